--- a/rainspindle/decisions/canary/burn.py
+++ b/rainspindle/decisions/canary/burn.py
@@ -20,7 +20,9 @@
 CHANCE = math.log(1e5)
 UNEVEN = 1.25  # a trouble of the whole fleet does not fall on both sides alike: times the old side's rate
 GROUPS: tuple[tuple[str, tuple[int, ...]], ...] = (
-    ("all", tuple(range(len(EFFECTS)))), *((effect.value, (n,)) for n, effect in enumerate(EFFECTS)))
+    ("all", tuple(range(len(EFFECTS)))),
+    *((effect.value, (n,)) for n, effect in enumerate(EFFECTS)),
+)
 
 
 class Level(IntEnum):
@@ -69,12 +71,19 @@
     found = []
     for group, kinds in GROUPS:
         new, old = counted(long, True, kinds), counted(long, False, kinds)
-        burns = (rate(new, old, terms.budget),
-                 rate(counted(short, True, kinds), counted(short, False, kinds), terms.budget))
+        burns = (
+            rate(new, old, terms.budget),
+            rate(counted(short, True, kinds), counted(short, False, kinds), terms.budget),
+        )
         level = Level.OVER if burns[0] > 1 else Level.SOUND
         if more_than_chance(new, min(yardstick(old) + terms.budget, 1.0)):
-            level = (Level.ABORT if min(burns) >= terms.abort_at else
-                     Level.PAUSE if min(burns) >= terms.pause_at else level)
+            level = (
+                Level.ABORT
+                if min(burns) >= terms.abort_at
+                else Level.PAUSE
+                if min(burns) >= terms.pause_at
+                else level
+            )
         found.append(Burn(group, new, old, *burns, level))
     return found
 
--- a/rainspindle/decisions/canary/canary.py
+++ b/rainspindle/decisions/canary/canary.py
@@ -96,8 +96,16 @@
     MOST_TURNED = 0.2  # of the new side's exchanges turned away, over which no stage goes forward
     HELD = 3.0  # seconds for which another's word of a pause, with no mark heard yet, holds a stage back
 
-    def __init__(self, now: float, terms: Terms, own: str, life: int, host: CanaryHost,
-                 kept: bytes | None = None, alone: bool = False) -> None:
+    def __init__(
+        self,
+        now: float,
+        terms: Terms,
+        own: str,
+        life: int,
+        host: CanaryHost,
+        kept: bytes | None = None,
+        alone: bool = False,
+    ) -> None:
         """`alone`: judges by its own counts and hears nobody, as the baseline of the lab does."""
         self.terms, self.own, self.life, self.host, self.alone = terms, own, life, host, alone
         self.digest = terms.digest
@@ -195,8 +203,9 @@
             return
         self.learn(now, self.carried[owner][0])
 
-    def heard_counts(self, now: float, owner: str, life: int, sequence: int, value: bytes,
-                     held: float = math.inf) -> None:
+    def heard_counts(
+        self, now: float, owner: str, life: int, sequence: int, value: bytes, held: float = math.inf
+    ) -> None:
         """`held`: when their owner is known to have told them, where that is before now."""
         at = min(now, held)
         before = self.others.get(owner)
@@ -212,9 +221,13 @@
             self.unread += 1
             return
         self.others[owner] = Heard(
-            told, at, life, sequence,
+            told,
+            at,
+            life,
+            sequence,
             Window(at, told.coarse, told.unit, told.coarse_age, self.terms.long, COARSE),
-            Window(at, told.fine, told.unit, told.fine_age, self.terms.short, FINE))
+            Window(at, told.fine, told.unit, told.fine_age, self.terms.short, FINE),
+        )
         self.hear_stamp(now, at, told)
 
     def hear_stamp(self, now: float, held: float, told: Told) -> None:
@@ -251,19 +264,33 @@
         s, steps = self.state, self.terms.steps
         new_run = (s.run, s.digest) != (before.run, before.digest)
         stage = f"{s.in_force + 1}/{len(steps)}" if s.in_force < len(steps) else "done"
-        event = ("aborted" if s.aborted and (new_run or not before.aborted) else
-                 "paused" if s.paused and (new_run or not before.paused) else
-                 "begun" if new_run else
-                 "resumed" if before.paused and not s.paused and not s.aborted else
-                 "done" if stage == "done" and s.in_force != before.in_force else
-                 "stage" if s.in_force != before.in_force else "")
+        event = (
+            "aborted"
+            if s.aborted and (new_run or not before.aborted)
+            else "paused"
+            if s.paused and (new_run or not before.paused)
+            else "begun"
+            if new_run
+            else "resumed"
+            if before.paused and not s.paused and not s.aborted
+            else "done"
+            if stage == "done" and s.in_force != before.in_force
+            else "stage"
+            if s.in_force != before.in_force
+            else ""
+        )
         if event:
-            self.host.log(f"canary {event}", canary=self.terms.name, run=s.run, stage=stage,
-                          why=note or "told")
+            self.host.log(
+                f"canary {event}", canary=self.terms.name, run=s.run, stage=stage, why=note or "told"
+            )
         differs = bool(s.run) and not s.aborted and s.digest != self.digest
         if differs and not self.differs:
-            self.host.log("canary terms differ", canary=self.terms.name, run=s.run,
-                          why="the run under way is by another file; all keys take the old side here")
+            self.host.log(
+                "canary terms differ",
+                canary=self.terms.name,
+                run=s.run,
+                why="the run under way is by another file; all keys take the old side here",
+            )
         self.differs = differs
 
     def act(self, now: float, new: State, note: str) -> None:
@@ -316,11 +343,20 @@
         # Guards against what lay in a stopped process's socket and is as old as its own word.
         since = max(now - max(self.FRESH, self.FRESH * self.interval), self.woke + self.SETTLE)
         heard = [name for name in counted if name in self.others and self.others[name].at >= since]
-        level = [name for name in heard if self.others[name].told.stamp == self.state.stamp
-                 and not self.others[name].told.unheard and self.others[name].told.own == self.digest]
+        level = [
+            name
+            for name in heard
+            if self.others[name].told.stamp == self.state.stamp
+            and not self.others[name].told.unheard
+            and self.others[name].told.own == self.digest
+        ]
         known = set(level)
-        self.seen = Seen(1 + len(counted), 1 + len(heard), 1 + len(level),
-                         tuple(sorted(name for name in counted if name not in known)))
+        self.seen = Seen(
+            1 + len(counted),
+            1 + len(heard),
+            1 + len(level),
+            tuple(sorted(name for name in counted if name not in known)),
+        )
         if self.alone or not counted:
             left = any(m.standing is Standing.LEFT for m in members)
             enough = self.alone or ((left or not self.known_others) and now - self.woke >= self.ALONE)
@@ -330,9 +366,13 @@
             self.confirmed_at = now
         in_touch = self.in_touch(now)
         if in_touch != self.in_touch_before and self.active:
-            self.host.log("canary in touch" if in_touch else "canary out of touch",
-                          canary=self.terms.name, heard=self.seen.heard, members=self.seen.members,
-                          why="the stage holds" if in_touch else "all keys take the old side here")
+            self.host.log(
+                "canary in touch" if in_touch else "canary out of touch",
+                canary=self.terms.name,
+                heard=self.seen.heard,
+                members=self.seen.members,
+                why="the stage holds" if in_touch else "all keys take the old side here",
+            )
             self.tell(now)
         self.in_touch_before = in_touch
 
@@ -344,7 +384,10 @@
         s = self.state
         for heard in self.others.values():
             if not self.alone and (heard.told.run, heard.told.digest, heard.told.epoch) == (
-                    s.run, s.digest, s.epoch):
+                s.run,
+                s.digest,
+                s.epoch,
+            ):
                 long.append(heard.long.within(now))
                 short.append(heard.short.within(now))
         return counts.add_up(long), counts.add_up(short)
@@ -356,14 +399,20 @@
         self.burns, self.turned_part = burn.look(self.terms, long, short), burn.turned_away(long)
         worst = max(self.burns, key=lambda b: (b.level, b.long))
         # Guards against a sidecar that was stopped and has not heard yet that staff have resumed.
-        if worst.level < Level.PAUSE or (worst.level is Level.PAUSE and s.paused) or not self.in_touch(now) \
-                or s.in_force >= len(self.terms.steps):
+        if (
+            worst.level < Level.PAUSE
+            or (worst.level is Level.PAUSE and s.paused)
+            or not self.in_touch(now)
+            or s.in_force >= len(self.terms.steps)
+        ):
             self.first_seen = {None: self.first_seen[None]} if None in self.first_seen else {}
             return
         if not self.my_turn(now, worst.level, self.PAUSE_TURN, self.PAUSE_LATEST):
             return
-        note = (f"{worst.group}: {worst.new[1]} of {worst.new[0]} bad, old {worst.old[1]} of {worst.old[0]}, "
-                f"burns {worst.long:.1f}, {worst.short:.1f}")
+        note = (
+            f"{worst.group}: {worst.new[1]} of {worst.new[0]} bad, old {worst.old[1]} of {worst.old[0]}, "
+            f"burns {worst.long:.1f}, {worst.short:.1f}"
+        )
         if worst.level is Level.ABORT:
             self.act(now, replace(s, aborted=True), note)
         else:
@@ -378,14 +427,19 @@
     def rank(self) -> int:
         def place(name: str) -> bytes:
             return blake2b(f"{self.state.run}|{name}".encode(), digest_size=8).digest()
+
         own = place(self.own)
-        return sum(place(m.name) < own for m in self.host.members()
-                   if m.standing is Standing.ALIVE and m.name != self.own)
+        return sum(
+            place(m.name) < own
+            for m in self.host.members()
+            if m.standing is Standing.ALIVE and m.name != self.own
+        )
 
     def new_mark(self) -> bytes:
         self.marks += 1
-        name = blake2b(f"{self.own}|{self.life}|{self.state.run}|{self.marks}".encode(),
-                       digest_size=MARK).digest()
+        name = blake2b(
+            f"{self.own}|{self.life}|{self.state.run}|{self.marks}".encode(), digest_size=MARK
+        ).digest()
         self.own_marks.add(name)
         return name
 
@@ -400,9 +454,11 @@
 
     def stage_counts(self) -> list[int]:
         """Exchanges on the new side in this stage, by effect, at all sidecars."""
-        told = [h.told.stage_new for h in self.others.values()
-                if not self.alone and h.told.stamp == self.state.stamp
-                and len(h.told.stage_new) == len(EFFECTS)]
+        told = [
+            h.told.stage_new
+            for h in self.others.values()
+            if not self.alone and h.told.stamp == self.state.stamp and len(h.told.stage_new) == len(EFFECTS)
+        ]
         return [sum(column) for column in zip(self.stage_new, *told, strict=True)]
 
     def why_it_waits(self, now: float) -> list[str]:
@@ -445,8 +501,19 @@
     def tell(self, now: float) -> None:
         s = self.state
         self.told_at, self.bad_since = now, False
-        told = Told(counts.VERSION, self.digest, s.run, s.digest, s.epoch, s.stage, s.paused, s.aborted,
-                    not self.in_touch(now), stage_new=self.stage_new, harmed=self.harmed)
+        told = Told(
+            counts.VERSION,
+            self.digest,
+            s.run,
+            s.digest,
+            s.epoch,
+            s.stage,
+            s.paused,
+            s.aborted,
+            not self.in_touch(now),
+            stage_new=self.stage_new,
+            harmed=self.harmed,
+        )
         self.host.tell_counts(now, counts.encode(told, self.fine, self.coarse, now))
 
     def keep_carried(self, now: float) -> None:
@@ -468,8 +535,9 @@
             if s.digest != self.digest:
                 raise RunUnderWay(f"run {s.run} of canary {self.terms.name!r} is by another file")
             if s.paused or s.stage >= len(self.terms.steps):
-                raise RunUnderWay(f"run {s.run} of canary {self.terms.name!r} is "
-                                  f"{'paused' if s.paused else 'done'}")
+                raise RunUnderWay(
+                    f"run {s.run} of canary {self.terms.name!r} is {'paused' if s.paused else 'done'}"
+                )
             return
         self.act(now, State(max(s.run + 1, int(wall)), self.digest), "called")
 
@@ -505,8 +573,12 @@
         if terms == self.terms:
             return True
         if self.active:
-            self.host.log("canary terms refused", canary=self.terms.name, run=self.state.run,
-                          why="a run is under way by the file as it was; abort it, then read the file again")
+            self.host.log(
+                "canary terms refused",
+                canary=self.terms.name,
+                run=self.state.run,
+                why="a run is under way by the file as it was; abort it, then read the file again",
+            )
             return False
         self.terms, self.digest = terms, terms.digest
         self.begin_counts(now)
@@ -520,31 +592,63 @@
     @property
     def standing(self) -> str:
         s = self.state
-        return ("idle" if not s.run else "aborted" if s.aborted else
-                "another file's" if s.digest != self.digest else
-                "paused" if s.paused else "done" if s.stage >= len(self.terms.steps) else "running")
+        return (
+            "idle"
+            if not s.run
+            else "aborted"
+            if s.aborted
+            else "another file's"
+            if s.digest != self.digest
+            else "paused"
+            if s.paused
+            else "done"
+            if s.stage >= len(self.terms.steps)
+            else "running"
+        )
 
     def report(self, now: float) -> dict[str, object]:
         s = self.state
         if self.active:
             self.waits = self.why_it_waits(now)
-        notes = {name: note for name, (known, note) in self.carried.items()
-                 if note and (known.run, known.digest) == (s.run, s.digest)}
+        notes = {
+            name: note
+            for name, (known, note) in self.carried.items()
+            if note and (known.run, known.digest) == (s.run, s.digest)
+        }
         if self.note:
             notes[self.own] = self.note
         return {
-            "name": self.terms.name, "matter": self.terms.matter, "state": self.standing, "run": s.run,
+            "name": self.terms.name,
+            "matter": self.terms.matter,
+            "state": self.standing,
+            "run": s.run,
             "stage": min(s.in_force + 1, len(self.terms.steps)) if s.run else 0,
-            "stages": len(self.terms.steps), "part": self.part(now), "paused_by": len(s.open),
+            "stages": len(self.terms.steps),
+            "part": self.part(now),
+            "paused_by": len(s.open),
             "in_touch": self.in_touch(now) if s.run else True,
-            "members": {"known": self.seen.members, "heard": self.seen.heard,
-                        "at_this_stage": self.seen.level,
-                        "missing": list(self.seen.missing[:50])},
-            "sides": {b.group: {"new": {"exchanges": b.new[0], "bad": b.new[1]},
-                                "old": {"exchanges": b.old[0], "bad": b.old[1]},
-                                "burn_long": round(b.long, 2), "burn_short": round(b.short, 2)}
-                      for b in self.burns},
+            "members": {
+                "known": self.seen.members,
+                "heard": self.seen.heard,
+                "at_this_stage": self.seen.level,
+                "missing": list(self.seen.missing[:50]),
+            },
+            "sides": {
+                b.group: {
+                    "new": {"exchanges": b.new[0], "bad": b.new[1]},
+                    "old": {"exchanges": b.old[0], "bad": b.old[1]},
+                    "burn_long": round(b.long, 2),
+                    "burn_short": round(b.short, 2),
+                }
+                for b in self.burns
+            },
             "turned_away": round(self.turned_part, 3),
-            "harmed": self.harmed + sum(h.told.harmed for h in self.others.values()
-                                        if (h.told.run, h.told.digest) == (s.run, s.digest)),
-            "waits": self.waits if self.active else self.why_it_waits(now), "notes": notes}
+            "harmed": self.harmed
+            + sum(
+                h.told.harmed
+                for h in self.others.values()
+                if (h.told.run, h.told.digest) == (s.run, s.digest)
+            ),
+            "waits": self.waits if self.active else self.why_it_waits(now),
+            "notes": notes,
+        }
--- a/rainspindle/decisions/canary/counts.py
+++ b/rainspindle/decisions/canary/counts.py
@@ -98,10 +98,17 @@
         told = msgspec.msgpack.decode(raw, type=Told)
     except msgspec.MsgspecError as fault:
         raise ValueError(f"not counts: {fault}") from None
-    if told.version != VERSION or told.unit < 1 or len(told.fine) > (FINE + 1) * WIDTH \
-            or len(told.coarse) > (COARSE + 1) * WIDTH or min((0, *told.fine, *told.coarse)) < 0 \
-            or not (0 <= told.fine_age < 1e6 and 0 <= told.coarse_age < 1e6) \
-            or told.run < 0 or told.epoch < 0 or not 0 <= told.stage < 256:
+    if (
+        told.version != VERSION
+        or told.unit < 1
+        or len(told.fine) > (FINE + 1) * WIDTH
+        or len(told.coarse) > (COARSE + 1) * WIDTH
+        or min((0, *told.fine, *told.coarse)) < 0
+        or not (0 <= told.fine_age < 1e6 and 0 <= told.coarse_age < 1e6)
+        or told.run < 0
+        or told.epoch < 0
+        or not 0 <= told.stage < 256
+    ):
         raise ValueError(f"not counts of version {VERSION}")
     return told
 
@@ -109,14 +116,16 @@
 class Window:
     """One sidecar's spans as they came, summed up once from the newest on, so that a look is cheap."""
 
-    def __init__(self, came: float, numbers: list[int], unit: int, age: float, window: float,
-                 spans: int) -> None:
+    def __init__(
+        self, came: float, numbers: list[int], unit: int, age: float, window: float, spans: int
+    ) -> None:
         self.begun, self.span, self.most = came - age, window / spans, spans
         self.sums: list[Sums] = [[0] * WIDTH]  # of so many of the newest spans
         for n in range(0, len(numbers), WIDTH):
-            part, last = numbers[n:n + WIDTH], self.sums[-1]
-            self.sums.append([a + b * unit for a, b in zip(last, part + [0] * (WIDTH - len(part)),
-                                                           strict=True)])
+            part, last = numbers[n : n + WIDTH], self.sums[-1]
+            self.sums.append(
+                [a + b * unit for a, b in zip(last, part + [0] * (WIDTH - len(part)), strict=True)]
+            )
 
     def within(self, now: float) -> Sums:
         """Of the spans that are not too old by now, though nothing newer has come."""
--- a/rainspindle/decisions/canary/state.py
+++ b/rainspindle/decisions/canary/state.py
@@ -69,14 +69,29 @@
         return self.join(replace(self, open=self.open | {(self.in_force, name)}))
 
     def resumed(self) -> State:
-        return replace(self, epoch=self.epoch + 1, stage=self.in_force, open=frozenset(),
-                       pardoned=self.pardoned | {name for _, name in self.open})
+        return replace(
+            self,
+            epoch=self.epoch + 1,
+            stage=self.in_force,
+            open=frozenset(),
+            pardoned=self.pardoned | {name for _, name in self.open},
+        )
 
     def encode(self, note: str = "") -> bytes:
         marks = b"".join(name + bytes((stage,)) for stage, name in sorted(self.open))
-        return msgspec.msgpack.encode(Told(
-            VERSION, self.run, self.digest, self.epoch, self.stage, self.aborted, marks,
-            b"".join(sorted(self.pardoned)), note[:MOST_NOTE].encode("ascii", "replace").decode()))
+        return msgspec.msgpack.encode(
+            Told(
+                VERSION,
+                self.run,
+                self.digest,
+                self.epoch,
+                self.stage,
+                self.aborted,
+                marks,
+                b"".join(sorted(self.pardoned)),
+                note[:MOST_NOTE].encode("ascii", "replace").decode(),
+            )
+        )
 
 
 def decode(raw: bytes) -> tuple[State, str]:
@@ -86,10 +101,21 @@
     except msgspec.MsgspecError as fault:
         raise ValueError(f"not a state: {fault}") from None
     marks, pardoned, size = told.open, told.pardoned, MARK + 1
-    if told.version != VERSION or len(marks) % size or len(pardoned) % MARK or told.run < 0 \
-            or told.epoch < 0 or not 0 <= told.stage < 256:
+    if (
+        told.version != VERSION
+        or len(marks) % size
+        or len(pardoned) % MARK
+        or told.run < 0
+        or told.epoch < 0
+        or not 0 <= told.stage < 256
+    ):
         raise ValueError(f"not a state of version {VERSION}")
     return State(
-        told.run, told.digest, told.epoch, told.stage, told.aborted,
-        frozenset((marks[n + MARK], marks[n:n + MARK]) for n in range(0, len(marks), size)),
-        frozenset(pardoned[n:n + MARK] for n in range(0, len(pardoned), MARK))), told.note
+        told.run,
+        told.digest,
+        told.epoch,
+        told.stage,
+        told.aborted,
+        frozenset((marks[n + MARK], marks[n : n + MARK]) for n in range(0, len(marks), size)),
+        frozenset(pardoned[n : n + MARK] for n in range(0, len(pardoned), MARK)),
+    ), told.note
--- a/rainspindle/decisions/evidence/evidence.py
+++ b/rainspindle/decisions/evidence/evidence.py
@@ -111,8 +111,15 @@
 
 
 class Evidence:
-    def __init__(self, now: float, zone: int, host: EvidenceHost, chance: random.Random, tellers: int = 3,
-                 lasts: float = 15.0) -> None:
+    def __init__(
+        self,
+        now: float,
+        zone: int,
+        host: EvidenceHost,
+        chance: random.Random,
+        tellers: int = 3,
+        lasts: float = 15.0,
+    ) -> None:
         """`tellers`: whose words together warn, 2 at least; `lasts`: seconds for which word counts."""
         self.zone, self.host, self.chance, self.tellers, self.lasts = zone, host, chance, tellers, lasts
         self.own: dict[int, Own] = {}
@@ -123,8 +130,9 @@
         self.shares: dict[int, float] = {}  # of hot keys, by all that is told
         self.wrote_at, self.urgent, self.changed = -math.inf, False, False
         self.began, self.keys_at, self.summed_at, self.keys_news = now, now + KEY_FIRST, now, False
-        self.counts = dict.fromkeys(("words", "discounted", "spared", "hastened", "warnings", "kept_quiet",
-                                     "told", "refused"), 0)
+        self.counts = dict.fromkeys(
+            ("words", "discounted", "spared", "hastened", "warnings", "kept_quiet", "told", "refused"), 0
+        )
 
     # What this sidecar meets itself.
 
@@ -162,8 +170,10 @@
         own.trying, own.answered = False, -math.inf
         self.say(own)
         # Guards against one that is always first again, as all others wait by their draws.
-        if any(self.counts_for(now, owner, heard, own.start)
-               for owner, heard in self.by_mark.get(mark, {}).items()):
+        if any(
+            self.counts_for(now, owner, heard, own.start)
+            for owner, heard in self.by_mark.get(mark, {}).items()
+        ):
             own.draw = self.draw(TRIAL_DRAW)
             own.due += own.draw
             self.host.plan(now, mark, own.due)
@@ -173,8 +183,10 @@
         own = self.own.pop(mark, None)
         if own is None:
             return
-        others = sum(heard.start == own.start and heard.served > own.began
-                     for heard in self.by_mark.get(mark, {}).values())
+        others = sum(
+            heard.start == own.start and heard.served > own.began
+            for heard in self.by_mark.get(mark, {}).values()
+        )
         if own.told or others < QUIET:
             self.back[mark] = own.start, now
             self.urgent = True
@@ -206,8 +218,14 @@
         written = now - max(0.0, self.host.wall(now) - told.wall)
         items = {out.mark: out for out in told.out[:MOST_OUT]}
         teller = self.by_owner[owner] = Teller(
-            told.zone, max(told.outs, sum(out.served < 0 for out in items.values())), written,
-            frozenset(items), max(0, told.total), sound(told), told.held[:MOST_HELD])
+            told.zone,
+            max(told.outs, sum(out.served < 0 for out in items.values())),
+            written,
+            frozenset(items),
+            max(0, told.total),
+            sound(told),
+            told.held[:MOST_HELD],
+        )
         self.counts["words"] += 1
         self.counts["discounted"] += self.odd(owner)
         self.keys_news = self.keys_news or bool(teller.keys) or bool(before and before.keys)
@@ -218,8 +236,13 @@
         for mark, out in items.items():
             known = self.by_mark.setdefault(mark, {})
             old = known.get(owner)
-            known[owner] = Heard(out.start, written - max(0.0, out.tried), out.hard,
-                                 written - out.served if out.served >= 0 else -math.inf, out.trying)
+            known[owner] = Heard(
+                out.start,
+                written - max(0.0, out.tried),
+                out.hard,
+                written - out.served if out.served >= 0 else -math.inf,
+                out.trying,
+            )
             self.weigh(now, mark, owner, old.tried if old else -math.inf, old.served if old else -math.inf)
 
     def drop(self, mark: int, owner: str) -> None:
@@ -253,11 +276,13 @@
         own, heard = self.own.get(mark), self.by_mark[mark][owner]
         if own is None:
             self.weigh_warning(now, mark)
-        elif heard.start == own.start and heard.served >= heard.tried \
-                and heard.served > max(served, own.tried):
+        elif (
+            heard.start == own.start and heard.served >= heard.tried and heard.served > max(served, own.tried)
+        ):
             self.hasten(now, mark, own, owner)
-        elif heard.tried > max(tried + 1e-3, own.base - TRIAL_DELAY) \
-                and self.counts_for(now, owner, heard, own.start):
+        elif heard.tried > max(tried + 1e-3, own.base - TRIAL_DELAY) and self.counts_for(
+            now, owner, heard, own.start
+        ):
             self.spare(now, mark, own, owner, heard)
 
     def spare(self, now: float, mark: int, own: Own, owner: str, heard: Heard) -> None:
@@ -338,8 +363,11 @@
             for key, count in t.keys:
                 sums[key] = sums.get(key, 0.0) + count * part
                 tellers[key] = tellers.get(key, 0) + 1
-        self.shares = {key: share for key, n in sums.items() if tellers[key] >= self.tellers
-                       and (share := (n - 1) / all_of_them) >= KEY_LEAST}
+        self.shares = {
+            key: share
+            for key, n in sums.items()
+            if tellers[key] >= self.tellers and (share := (n - 1) / all_of_them) >= KEY_LEAST
+        }
 
     def summed_held(self, now: float) -> dict[int, int]:
         """Forwards out by endpoint, as far as they are told."""
@@ -361,8 +389,10 @@
         for mark, own in self.own.items():
             if now >= own.tell_at:
                 own.tell_at = math.inf
-                others = sum(self.counts_for(now, owner, heard, own.start)
-                             for owner, heard in self.by_mark.get(mark, {}).items())
+                others = sum(
+                    self.counts_for(now, owner, heard, own.start)
+                    for owner, heard in self.by_mark.get(mark, {}).items()
+                )
                 if others >= QUIET:  # Guards against a cell of each member of thousands for one death.
                     self.counts["kept_quiet"] += 1
                 else:
@@ -388,10 +418,15 @@
         return min([now + WRITE_GAP, *later])
 
     def write(self, now: float) -> None:
-        told = [Out(mark, own.start, round(now - own.tried, 3), own.hard, trying=own.trying)
-                for mark, own in sorted(self.own.items(), key=lambda pair: -pair[1].tried) if own.told]
-        told += [Out(mark, start, round(now - at, 3), False, round(now - at, 3))
-                 for mark, (start, at) in self.back.items()]
+        told = [
+            Out(mark, own.start, round(now - own.tried, 3), own.hard, trying=own.trying)
+            for mark, own in sorted(self.own.items(), key=lambda pair: -pair[1].tried)
+            if own.told
+        ]
+        told += [
+            Out(mark, start, round(now - at, 3), False, round(now - at, 3))
+            for mark, (start, at) in self.back.items()
+        ]
         # Guards against being crowded out: the latest news first, whatever it is.
         told.sort(key=lambda out: out.tried)
         keys: Iterable[tuple[int, int]] = ()
@@ -400,14 +435,30 @@
             total, keys = self.host.counted()
         self.wrote_at, self.urgent, self.changed = now, False, False
         self.counts["told"] += 1
-        self.host.tell(now, Told(VERSION, self.host.wall(now), self.zone, len(self.own), told[:MOST_OUT],
-                                 total, list(keys)[:MOST_KEYS], self.host.held()[:MOST_HELD]))
+        self.host.tell(
+            now,
+            Told(
+                VERSION,
+                self.host.wall(now),
+                self.zone,
+                len(self.own),
+                told[:MOST_OUT],
+                total,
+                list(keys)[:MOST_KEYS],
+                self.host.held()[:MOST_HELD],
+            ),
+        )
 
     def report(self, now: float) -> dict[str, object]:
         fresh = [t for t in self.by_owner.values() if now - t.written <= max(self.lasts, KEY_LASTS)]
-        return {"out": len(self.own), "warned": len(self.warned), "tellers": len(fresh),
-                "odd": sum(self.odd(owner) for owner in self.by_owner), "hot_keys": len(self.shares),
-                **self.counts}
+        return {
+            "out": len(self.own),
+            "warned": len(self.warned),
+            "tellers": len(fresh),
+            "odd": sum(self.odd(owner) for owner in self.by_owner),
+            "hot_keys": len(self.shares),
+            **self.counts,
+        }
 
 
 def sound(told: Told) -> list[tuple[int, int]]:
--- a/rainspindle/decisions/listing/relay.py
+++ b/rainspindle/decisions/listing/relay.py
@@ -98,8 +98,9 @@
 
 
 class Relay:
-    def __init__(self, now: float, own: str, run: int, terms: Terms, at: bytes, host: RelayHost,
-                 chance: random.Random) -> None:
+    def __init__(
+        self, now: float, own: str, run: int, terms: Terms, at: bytes, host: RelayHost, chance: random.Random
+    ) -> None:
         """`run` is another in each process of this name, `at` the mark of the service that it asks."""
         self.own, self.run, self.terms, self.at, self.host, self.chance = own, run, terms, at, host, chance
         self.began = self.looked = now
@@ -269,8 +270,12 @@
         if word is None or now - word.at > silent:
             return now - since > silent
         behind = self.version is not None and word.head.version < self.version
-        return word.head.at != self.at or word.head.failing or self.doubted(now, name) or (
-            behind and now - max(self.changed_at, since) > silent)
+        return (
+            word.head.at != self.at
+            or word.head.failing
+            or self.doubted(now, name)
+            or (behind and now - max(self.changed_at, since) > silent)
+        )
 
     def elect(self, now: float) -> None:
         """Whether this one asks. Guards against askers that fail, lie or hang; may hurt by a few more."""
@@ -335,17 +340,25 @@
 
     def against(self, word: Word) -> bool:
         """Whether the service had another list when the one that is here was known already."""
-        return self.version is not None and word.head.version <= self.version \
-            and (word.head.version, word.head.digest) != (self.version, self.digest) \
+        return (
+            self.version is not None
+            and word.head.version <= self.version
+            and (word.head.version, word.head.digest) != (self.version, self.digest)
             and word.confirmed > self.changed_at
+        )
 
     def counted(self, now: float) -> list[tuple[str, Word]]:
         """Guards against versions from before a service counted anew, which seem later: who tells of a later
         one must have come down first; may hurt for an asking period, in which each asks for itself."""
         young = self.anew_at + self.terms.ask_within
-        return [(name, word) for name, word in self.words.items()
-                if word.head.at == self.at and name in self.there and (word.at > young or name in self.down)
-                and not self.doubted(now, name)]
+        return [
+            (name, word)
+            for name, word in self.words.items()
+            if word.head.at == self.at
+            and name in self.there
+            and (word.at > young or name in self.down)
+            and not self.doubted(now, name)
+        ]
 
     def votes(self, counted: list[tuple[str, Word]], version: int, digest: bytes) -> int:
         """How many tell that the service had this list."""
@@ -382,8 +395,14 @@
         # After a move the own call comes first; one that asks is told by the service, unless calls fail.
         if max(self.own_at, self.began) > -math.inf and (not self.asker or self.failed_at > self.own_at):
             recent = [one for one in counted if one[1].at > lately]
-            newer = sorted({(w.head.version, w.head.digest) for _, w in counted
-                            if self.version is None or w.head.version > self.version}, reverse=True)
+            newer = sorted(
+                {
+                    (w.head.version, w.head.digest)
+                    for _, w in counted
+                    if self.version is None or w.head.version > self.version
+                },
+                reverse=True,
+            )
             for version, digest in newer:
                 votes = self.votes(recent, version, digest)
                 if votes < AGREE:
@@ -402,8 +421,9 @@
         elif self.dispute_at == math.inf:
             self.dispute_at = now
             self.host.urge()
-        same = sorted(w.confirmed for _, w in counted
-                      if w.head.version == self.version and w.head.digest == self.digest)
+        same = sorted(
+            w.confirmed for _, w in counted if w.head.version == self.version and w.head.digest == self.digest
+        )
         if len(same) >= AGREE and same[-AGREE] > self.confirmed:
             self.confirmed = same[-AGREE]
         if any(self.version is None or w.head.version > self.version for _, w in counted):
@@ -419,8 +439,9 @@
             self.failing_at = now
             self.host.urge()
 
-    def fetch(self, now: float, counted: list[tuple[str, Word]], version: int, digest: bytes,
-              votes: int) -> bool:
+    def fetch(
+        self, now: float, counted: list[tuple[str, Word]], version: int, digest: bytes, votes: int
+    ) -> bool:
         """Takes this list, if it can be put together from what is here: the own one or a whole one that was
         told, and what changed after it. Whose it is does not matter, as the digest says whether it is it."""
         deltas = [w.head for _, w in counted if (w.head.version, w.head.digest) == (version, digest)]
@@ -443,8 +464,11 @@
             lines = words.changed(base[1], head.delta) if base[0] < head.version else base[1]
             if words.digest(lines) != head.digest or votes < self.needed(lines):
                 continue
-            delta = {id: lines.get(id, b"") for id in lines.keys() | self.lines.keys()
-                     if lines.get(id) != self.lines.get(id)}
+            delta = {
+                id: lines.get(id, b"")
+                for id in lines.keys() | self.lines.keys()
+                if lines.get(id) != self.lines.get(id)
+            }
             if not self.host.take(now, head.version, lines, delta):
                 continue
             self.step(now, head.version, dict(lines))
@@ -458,8 +482,12 @@
         value = self.host.cell(owner, words.SET)
         try:
             told = words.decode(value, Set) if value else None
-            if told is None or told.at != self.at or not 1 <= told.chunks <= words.MOST_CHUNKS \
-                    or told.version > version:
+            if (
+                told is None
+                or told.at != self.at
+                or not 1 <= told.chunks <= words.MOST_CHUNKS
+                or told.version > version
+            ):
                 return None
             chunks = [self.host.cell(owner, words.chunk_name(n)) for n in range(told.chunks)]
             lines = words.joined(told, chunks)
@@ -472,8 +500,7 @@
     def step(self, now: float, version: int, lines: dict[str, bytes]) -> None:
         """Another list is here."""
         if self.version is not None and version > self.version:
-            ids = tuple(id for id in self.lines.keys() | lines.keys()
-                        if lines.get(id) != self.lines.get(id))
+            ids = tuple(id for id in self.lines.keys() | lines.keys() if lines.get(id) != self.lines.get(id))
             self.steps.append((now, self.version, self.digest, ids))
         else:
             self.steps.clear()
@@ -503,10 +530,26 @@
         self.due, self.wrote_at, self.beat, self.telling = False, now, self.beat + 1, True
         since_told = now - self.own_at
         age = min(int(since_told * 1000) + 1, words.NEVER) if since_told < math.inf else words.NEVER
-        past = [(before, digest) for _, before, digest, _ in list(self.steps)[-words.MOST_PAST:]]
-        self.host.write(now, words.HEAD, words.encode(Head(
-            words.VERSION, self.at, self.run, self.beat, self.version, self.digest, age, fails, past, since,
-            delta)))
+        past = [(before, digest) for _, before, digest, _ in list(self.steps)[-words.MOST_PAST :]]
+        self.host.write(
+            now,
+            words.HEAD,
+            words.encode(
+                Head(
+                    words.VERSION,
+                    self.at,
+                    self.run,
+                    self.beat,
+                    self.version,
+                    self.digest,
+                    age,
+                    fails,
+                    past,
+                    since,
+                    delta,
+                )
+            ),
+        )
 
     def delta(self) -> tuple[int, list[tuple[str, bytes]]]:
         """As many of the last changes as fit, and after which version they begin."""
@@ -535,8 +578,9 @@
             self.host.write(now, words.chunk_name(n), b"")
         assert self.version is not None
         self.chunks, self.set_digest, self.set_at = chunks, self.digest, now
-        self.host.write(now, words.SET, words.encode(Set(
-            words.VERSION, self.at, self.version, self.digest, len(chunks))))
+        self.host.write(
+            now, words.SET, words.encode(Set(words.VERSION, self.at, self.version, self.digest, len(chunks)))
+        )
 
     def leave(self, now: float) -> None:
         """This process ends: others are to ask in its place at once, and it goes on by their word."""
@@ -586,8 +630,11 @@
         until = self.confirmed + bound
         if self.lag_at < math.inf:
             lone = LONE[0] + (LONE[1] - LONE[0]) * self.part
-            until = min(until, self.lag_at + lone * self.terms.ask_within,
-                        self.short_at + LAG + self.part * LAG_PART * self.terms.ask_within)
+            until = min(
+                until,
+                self.lag_at + lone * self.terms.ask_within,
+                self.short_at + LAG + self.part * LAG_PART * self.terms.ask_within,
+            )
         until = min(until, self.drawn_at + self.audit * max(self.size / AUDITS, LEAST_AUDIT))
         known = self.confirmed
         if max(self.own_at, self.failed_at) == -math.inf and self.began > -math.inf:
@@ -596,29 +643,46 @@
         if self.failing_at < math.inf and known > -math.inf:
             # Guards against all others falling at once on a service that fails: they draw from all the time
             # that is left to them; not while it answers some, as then it is they who would make it fail.
-            since = max(self.failing_at, known + FAILING_PART * self.terms.ask_within,
-                        self.up_at + self.period + SILENT)
+            since = max(
+                self.failing_at,
+                known + FAILING_PART * self.terms.ask_within,
+                self.up_at + self.period + SILENT,
+            )
             until = min(until, since + self.part * max(known + last - since, 0.0))
         if self.dispute_at < math.inf:
-            until = min(until, max(self.dispute_at, self.failed_at) + LAG
-                        + self.part * max(self.size / RETRIES, LAG))
+            until = min(
+                until, max(self.dispute_at, self.failed_at) + LAG + self.part * max(self.size / RETRIES, LAG)
+            )
         if self.failed_at > self.own_at and self.failing_at < math.inf:
             # Three say that nothing is to be had: what alone is tried again within a quarter of the asking
             # period is tried so seldom that the fleet's calls stay bounded.
-            until = max(until, self.failed_at + (0.5 + self.part) * max(
-                0.25 * self.terms.ask_within, self.size / RETRIES))
+            until = max(
+                until,
+                self.failed_at + (0.5 + self.part) * max(0.25 * self.terms.ask_within, self.size / RETRIES),
+            )
         return until
 
     def change_mode(self, now: float) -> None:
-        mode = "asker" if self.asker else "alone" if self.spared(now) <= now else \
-            "waits" if self.confirmed == -math.inf and not self.vouched else "spared"
+        mode = (
+            "asker"
+            if self.asker
+            else "alone"
+            if self.spared(now) <= now
+            else "waits"
+            if self.confirmed == -math.inf and not self.vouched
+            else "spared"
+        )
         if mode != self.mode:
             self.host.log(SAYS[mode], version=self.version, members=self.size)
             self.mode = mode
 
 
-SAYS = {"asker": "list: asks for others", "spared": "list: others ask", "waits": "list: waits for word",
-        "alone": "list: asks for itself"}
+SAYS = {
+    "asker": "list: asks for others",
+    "spared": "list: others ask",
+    "waits": "list: waits for word",
+    "alone": "list: asks for itself",
+}
 
 
 @functools.lru_cache(8192)
--- a/rainspindle/decisions/members/swim.py
+++ b/rainspindle/decisions/members/swim.py
@@ -111,9 +111,20 @@
 
 
 class Members:
-    def __init__(self, own: str, life: int, address: Address, fleet: str, seeds: Iterable[Address],
-                 host: MembersHost, chance: random.Random, now: float, cells: Cells | None = None,
-                 tuning: Tuning | None = None, successor: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        own: str,
+        life: int,
+        address: Address,
+        fleet: str,
+        seeds: Iterable[Address],
+        host: MembersHost,
+        chance: random.Random,
+        now: float,
+        cells: Cells | None = None,
+        tuning: Tuning | None = None,
+        successor: Callable[[], bool] = lambda: False,
+    ) -> None:
         """`successor` tells whether a process that takes over from this one runs beside it."""
         self.fleet, self.host, self.chance, self.successor = fleet, host, chance, successor
         self.tuning = tuning = tuning or Tuning()
@@ -197,7 +208,7 @@
         if len(living) > MOST_TOLD:
             living = self.chance.sample(living, MOST_TOLD)
         if living:
-            data = self.compose(now, wire.WORD, word=text[:wire.MOST_WORD], fill=False)
+            data = self.compose(now, wire.WORD, word=text[: wire.MOST_WORD], fill=False)
             for record in living:
                 if self.words.take(now):
                     self.post(record.packed, data)
@@ -258,8 +269,11 @@
         record = self.table.records.get(message.sender)
         if record is None or message.life > record.life:
             if message.kind == wire.ACK and self.proven(message):
-                self.hear(now, wire.News(message.sender, message.address, message.life, message.incarnation,
-                                         wire.ALIVE), message.sender)
+                self.hear(
+                    now,
+                    wire.News(message.sender, message.address, message.life, message.incarnation, wire.ALIVE),
+                    message.sender,
+                )
                 record = self.table.records.get(message.sender)
                 if record is None or record.life != message.life:
                     return None
@@ -276,17 +290,27 @@
             if now - record.told > 0.2 and self.greetings.take(now):
                 record.told = now  # it may be a process whose clock was set back: it takes a higher life then
                 asks = message.kind == wire.PING and message.target == self.own.name
-                self.post(message.address, self.compose(
-                    now, wire.ACK if asks else wire.NEWS, echo=message.number if asks else 0,
-                    news=[self.raw(now, record)], fill=False))
+                self.post(
+                    message.address,
+                    self.compose(
+                        now,
+                        wire.ACK if asks else wire.NEWS,
+                        echo=message.number if asks else 0,
+                        news=[self.raw(now, record)],
+                        fill=False,
+                    ),
+                )
             return None
         if not record.is_new(message.number):
             self.counts.replayed += 1
             return None
         record.direct = record.heard = self.last_heard = now
         if message.incarnation > record.incarnation:
-            self.hear(now, wire.News(message.sender, message.address, message.life, message.incarnation,
-                                     wire.ALIVE), message.sender)
+            self.hear(
+                now,
+                wire.News(message.sender, message.address, message.life, message.incarnation, wire.ALIVE),
+                message.sender,
+            )
         return record
 
     def proven(self, message: wire.Message) -> bool:
@@ -346,8 +370,12 @@
                 self.next_whole = min(self.next_whole, now + (0.3 if self.young(now) else 1.0))
         elif kind == wire.WORD and record.living and message.word:
             self.on_word(now, record.name, message.word)
-        if (not answered and record.standing != wire.ALIVE and now - record.told > 0.2
-                and self.answers.take(now)):
+        if (
+            not answered
+            and record.standing != wire.ALIVE
+            and now - record.told > 0.2
+            and self.answers.take(now)
+        ):
             self.send(now, record, wire.NEWS, free=True)  # what is believed of it goes along
 
     def young(self, now: float) -> bool:
@@ -361,8 +389,10 @@
                 record.heard = max(record.heard, now - one.age / 1000)
         wants = self.spread.compare(now, message.sums)
         if wants and self.answers.take(now, keep=10.0):
-            self.post(teller.packed, self.compose(now, wire.NEWS, wants=[wire.raw(want) for want in wants],
-                                                  fill=False))
+            self.post(
+                teller.packed,
+                self.compose(now, wire.NEWS, wants=[wire.raw(want) for want in wants], fill=False),
+            )
 
     def acked(self, now: float, message: wire.Message) -> None:
         probe = self.probes.get(message.echo)
@@ -388,8 +418,9 @@
         known = self.table.records.get(message.target)
         news = [self.raw(now, known)] if known is not None and known.standing != wire.ALIVE else []
         data = self.compose(now, wire.PING, target=message.target, news=news, fill=False)
-        self.relays[self.number] = Relay(asker.packed, message.number, now + self.tuning.indirect * 0.7,
-                                         now + 2.0)
+        self.relays[self.number] = Relay(
+            asker.packed, message.number, now + self.tuning.indirect * 0.7, now + 2.0
+        )
         self.post(message.at, data)
 
     # Time.
@@ -489,11 +520,17 @@
     def probe(self, now: float, record: Record, alone: bool = False) -> None:
         """`alone`: no helpers are asked, since others have tried already."""
         self.will.take(now)
-        data = self.compose(now, wire.PING, target=record.name, news=self.of(now, record),
-                            fill=record.standing == wire.ALIVE and not alone)
+        data = self.compose(
+            now,
+            wire.PING,
+            target=record.name,
+            news=self.of(now, record),
+            fill=record.standing == wire.ALIVE and not alone,
+        )
         factor = self.health.factor
-        self.probes[self.number] = Probe(record.name, record.life, self.number, factor,
-                                         now + self.tuning.direct * factor / PINGS, alone)
+        self.probes[self.number] = Probe(
+            record.name, record.life, self.number, factor, now + self.tuning.direct * factor / PINGS, alone
+        )
         self.post(record.packed, data)
 
     def go_on(self, now: float, probe: Probe) -> None:
@@ -507,8 +544,7 @@
         if probe.step == PINGS:
             self.silent.append(now)
             self.look_further(now)
-        if not probe.alone and (probe.step == PINGS or (
-                probe.step == PINGS + 1 and self.tuning.lifeguard)):
+        if not probe.alone and (probe.step == PINGS or (probe.step == PINGS + 1 and self.tuning.lifeguard)):
             self.ask_others(now, probe)
         if not probe.alone or probe.step != PINGS:  # many of these go out: four pings do
             self.ping_again(now, probe)
@@ -560,8 +596,13 @@
         if probe.helpers and not probe.nacks and now - self.last_heard > self.tuning.period:
             self.health.worse()  # neither those who were asked could be heard, nor anybody else
         record = self.table.records.get(probe.target)
-        if (record is None or record.life != probe.life or not record.living or now < self.doubt_until
-                or record.direct > now - self.tuning.indirect):
+        if (
+            record is None
+            or record.life != probe.life
+            or not record.living
+            or now < self.doubt_until
+            or record.direct > now - self.tuning.indirect
+        ):
             return
         self.suspect(now, record, record.incarnation, self.own.name, own=True)
         self.look_further(now)
@@ -642,16 +683,21 @@
             asked.life = max(asked.life, message.life)
             if not self.outnamed and message.life > self.own.life and not self.leaving:
                 self.outnamed, self.twin = True, address_text(wire.unpack_address(message.address))
-                self.host.log("members: another process has this name", name=self.own.name, at=self.twin,
-                              this_one="keeps quiet")
+                self.host.log(
+                    "members: another process has this name",
+                    name=self.own.name,
+                    at=self.twin,
+                    this_one="keeps quiet",
+                )
                 self.next_name = now
                 asked.asked = -math.inf
         elif message.kind == wire.TWIN and message.echo == self.own.life and message.life < self.own.life:
             at = address_text(wire.unpack_address(message.address))
             if at != self.twin:
                 self.twin = at
-                self.host.log("members: another process has this name", name=self.own.name, at=at,
-                              this_one="goes on")
+                self.host.log(
+                    "members: another process has this name", name=self.own.name, at=at, this_one="goes on"
+                )
             self.twin_until = now + 3 * ASK_NAMESAKE
         elif message.life > self.own.life:
             self.overtaken(now, message.life, message.address)
@@ -747,8 +793,11 @@
             if record.standing != wire.DEAD or not same:
                 self.suspect(now, record, news.incarnation, news.by or teller, first=news.by in ("", teller))
         elif record.standing != wire.DEAD or not same:
-            if self.tuning.lifeguard and record.living and (
-                    whole or record.direct > now - FRESH or now < self.doubt_until):
+            if (
+                self.tuning.lifeguard
+                and record.living
+                and (whole or record.direct > now - FRESH or now < self.doubt_until)
+            ):
                 # Guards against word of a death that is old, or that own ears speak against. May hurt where
                 # it is dead: so it is probed, unless the news comes otherwise too, and the verdict counts as
                 # the opinion of several.
@@ -761,8 +810,9 @@
                 self.stand(now, record, wire.DEAD, news.incarnation, age)
 
     def meet(self, now: float, news: wire.News, age: float) -> None:
-        record = Record(news.name, news.address, news.life, news.incarnation, news.standing, now - age,
-                        now - age)
+        record = Record(
+            news.name, news.address, news.life, news.incarnation, news.standing, now - age, now - age
+        )
         if news.standing == wire.SUSPECT:
             record.standing = wire.ALIVE
         if not self.table.add(record):
@@ -802,8 +852,13 @@
         after = record.member()
         # Guards against a flood for each suspicion that comes to nothing: what others suspect, and that it is
         # refuted, only rides along. May hurt where few messages go out: it is told a little later.
-        rides = self.tuning.lifeguard and before.life == after.life and record.living and (
-            before.standing in LIVING) and not (record.suspicion is not None and record.suspicion.own)
+        rides = (
+            self.tuning.lifeguard
+            and before.life == after.life
+            and record.living
+            and (before.standing in LIVING)
+            and not (record.suspicion is not None and record.suspicion.own)
+        )
         self.news.add(record.name, 1 if rides else 0)
         self.gossip_at = min(self.gossip_at, now + SOON)
         if (before.standing, before.life, before.address) == (after.standing, after.life, after.address):
@@ -815,8 +870,9 @@
         self.changes += 1
         self.host.changed(before, after)
 
-    def suspect(self, now: float, record: Record, incarnation: int, by: str, own: bool = False,
-                first: bool = False) -> None:
+    def suspect(
+        self, now: float, record: Record, incarnation: int, by: str, own: bool = False, first: bool = False
+    ) -> None:
         """`own`: a probe of this member has failed. `first`: it is heard from who has that opinion itself."""
         suspicion = record.suspicion
         if suspicion is not None and incarnation == record.incarnation:
@@ -840,9 +896,14 @@
         self.changed(now, record, before)
         # A second opinion by those whom the first to suspect it tells, and by a few more, so that the truth
         # is known soon either way.
-        if not own and self.tuning.lifeguard and not self.leaving and now >= self.doubt_until and (
-                first or self.chance.random() * len(self.table.living()) < SECOND) and (
-                self.opinions.take(now)):
+        if (
+            not own
+            and self.tuning.lifeguard
+            and not self.leaving
+            and now >= self.doubt_until
+            and (first or self.chance.random() * len(self.table.living()) < SECOND)
+            and (self.opinions.take(now))
+        ):
             self.probe(now, record, alone=True)
 
     def agree(self, now: float, record: Record, others: Iterable[str]) -> None:
@@ -851,8 +912,12 @@
             return
         for name in others:
             other = self.table.records.get(name)
-            if other is not None and other.living and other is not self.own and (
-                    self.answers.take(now, keep=20.0)):
+            if (
+                other is not None
+                and other.living
+                and other is not self.own
+                and (self.answers.take(now, keep=20.0))
+            ):
                 self.post(other.packed, self.compose(now, wire.NEWS, news=[self.raw(now, record)]))
 
     def note(self, now: float, event: str, record: Record) -> None:
@@ -884,8 +949,12 @@
         once_more, self.encore = self.encore, bool(self.news.untold)
         crowded = now < self.herd_until and len(self.news) > CROWD
         fresh = cells or self.news.untold or once_more or crowded
-        if not fresh and self.news and not (spread is not None and spread.queue) and (
-                now < self.filled + AGAIN):
+        if (
+            not fresh
+            and self.news
+            and not (spread is not None and spread.queue)
+            and (now < self.filled + AGAIN)
+        ):
             self.gossip_at = self.filled + AGAIN  # what has gone out meanwhile had it along
             return
         level = self.will.look(now)
@@ -980,12 +1049,16 @@
     def raw(self, now: float, record: Record) -> msgspec.Raw:
         by, age = "", 0
         if record.suspicion is not None:
-            by = self.own.name if record.suspicion.own and self.own.name in record.suspicion.by else (
-                self.chance.choice(sorted(record.suspicion.by)))
+            by = (
+                self.own.name
+                if record.suspicion.own and self.own.name in record.suspicion.by
+                else (self.chance.choice(sorted(record.suspicion.by)))
+            )
         elif record.standing > wire.SUSPECT:
             age = max(int(now - record.since), 0)
-        return wire.raw(wire.News(record.name, record.packed, record.life, record.incarnation,
-                                  record.standing, by, age))
+        return wire.raw(
+            wire.News(record.name, record.packed, record.life, record.incarnation, record.standing, by, age)
+        )
 
     def size(self, name: str) -> int:
         record = self.table.records.get(name)
@@ -998,17 +1071,45 @@
         if free or self.will.take(now):
             self.post(to.packed, self.compose(now, kind, echo=echo, news=self.of(now, to)))
 
-    def compose(self, now: float, kind: int, *, echo: int = 0, target: str = "", at: bytes = b"",
-                news: list[msgspec.Raw] | None = None, cells: list[msgspec.Raw] | None = None,
-                sums: list[msgspec.Raw] | None = None, wants: list[msgspec.Raw] | None = None,
-                marks: bytes = b"", word: str = "", fill: bool = True) -> bytes:
+    def compose(
+        self,
+        now: float,
+        kind: int,
+        *,
+        echo: int = 0,
+        target: str = "",
+        at: bytes = b"",
+        news: list[msgspec.Raw] | None = None,
+        cells: list[msgspec.Raw] | None = None,
+        sums: list[msgspec.Raw] | None = None,
+        wants: list[msgspec.Raw] | None = None,
+        marks: bytes = b"",
+        word: str = "",
+        fill: bool = True,
+    ) -> bytes:
         """One datagram. What room is left is filled with news, where `fill` says so."""
         own = self.own
         self.number += 1
         draft = wire.Draft(
-            wire.VERSION, wire.LOWEST, self.fleet, own.name, own.life, own.incarnation, own.packed,
-            self.number, kind, echo, target, at, news or [], cells or [], sums or [], wants or [], marks,
-            word)
+            wire.VERSION,
+            wire.LOWEST,
+            self.fleet,
+            own.name,
+            own.life,
+            own.incarnation,
+            own.packed,
+            self.number,
+            kind,
+            echo,
+            target,
+            at,
+            news or [],
+            cells or [],
+            sums or [],
+            wants or [],
+            marks,
+            word,
+        )
         if fill and self.waiting:
             self.filled = now
             room = wire.MOST - wire.ROOM - len(wire.encode(draft))
--- a/rainspindle/decisions/members/table.py
+++ b/rainspindle/decisions/members/table.py
@@ -45,8 +45,15 @@
         return self.standing <= wire.SUSPECT
 
     def member(self) -> Member:
-        return Member(self.name, self.address, self.life, self.incarnation, STANDINGS[self.standing],
-                      self.heard, self.direct)
+        return Member(
+            self.name,
+            self.address,
+            self.life,
+            self.incarnation,
+            STANDINGS[self.standing],
+            self.heard,
+            self.direct,
+        )
 
     def is_new(self, number: int) -> bool:
         """Guards against a datagram that comes twice, or is sent again by somebody later."""
@@ -79,8 +86,9 @@
 
     def living(self) -> list[Record]:
         if self.there is None:
-            self.there = [record for record in self.records.values()
-                          if record.living and record.name != self.own]
+            self.there = [
+                record for record in self.records.values() if record.living and record.name != self.own
+            ]
         return self.there
 
     def alive(self) -> list[Record]:
@@ -90,7 +98,7 @@
 
     def way(self, record: Record) -> int:
         """How far it stands behind the own name in the ring, which is the same at each member."""
-        return zlib.crc32(record.name.encode()) - zlib.crc32(self.own.encode()) & 0xffffffff
+        return zlib.crc32(record.name.encode()) - zlib.crc32(self.own.encode()) & 0xFFFFFFFF
 
     def next(self) -> Record | None:
         """Who comes after the own name in the ring of those alive, where anybody does."""
@@ -141,8 +149,12 @@
         self.there = self.sound = None
         if record is self.after:
             self.after = record if record.standing == wire.ALIVE else None
-        elif (self.after is not None and record.standing == wire.ALIVE and record.name != self.own
-                and self.way(record) < self.way(self.after)):
+        elif (
+            self.after is not None
+            and record.standing == wire.ALIVE
+            and record.name != self.own
+            and self.way(record) < self.way(self.after)
+        ):
             self.after = record
 
     def marks(self) -> bytes:
--- a/rainspindle/decisions/operation/beginning.py
+++ b/rainspindle/decisions/operation/beginning.py
@@ -26,13 +26,16 @@
 
 def tells(own: str, others: Iterable[str]) -> bool:
     """Whether this member is one of the few that tell: the same few at all that have one view."""
+
     def rank(name: str) -> bytes:
         return hashlib.blake2b(name.encode(), digest_size=8).digest()
+
     return sum(rank(other) < rank(own) for other in others if other != own) < TELLERS
 
 
-def told(balancers: Iterable[Balancer], mark_of: Callable[[Endpoint], bytes]
-         ) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
+def told(
+    balancers: Iterable[Balancer], mark_of: Callable[[Endpoint], bytes]
+) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
     """How many endpoints are ready here, which of them are out, and which are slow, with their times."""
     ready, out, slow = 0, list[bytes](), list[tuple[bytes, float]]()
     for balancer in balancers:
@@ -70,6 +73,7 @@
 
     def most(counts: Counter[bytes], room: int) -> list[bytes]:
         return sorted((m for m, n in counts.items() if n >= enough), key=lambda m: (-counts[m], m))[:room]
+
     out = most(outs, room)
     slow = most(Counter({m: n for m, n in slows.items() if m not in out}), room - len(out))
     times = {m: sorted(w.slow[m] for w in heard if m in w.slow) for m in slow}
--- a/rainspindle/decisions/operation/crowd.py
+++ b/rainspindle/decisions/operation/crowd.py
@@ -51,13 +51,22 @@
 
     def give_way(self, now: float) -> Iterator[C]:
         """Those that may go, in order; who asks for them ends the first that can be ended."""
-        for group, least in ((self.silent, self.SILENT), (self.begun, self.STALLED), (self.waiting, 0.0),
-                             (self.silent, 0.0), (self.begun, 0.0)):
+        for group, least in (
+            (self.silent, self.SILENT),
+            (self.begun, self.STALLED),
+            (self.waiting, 0.0),
+            (self.silent, 0.0),
+            (self.begun, 0.0),
+        ):
             for one, since in list(islice(group.items(), self.LOOKS)):
                 if now - since >= least:
                     yield one
 
     def resting(self, now: float, idle: float) -> list[C]:
         """Those with no part of a request for so long; one that has just connected is given a moment."""
-        return [one for group, least in ((self.waiting, idle), (self.silent, max(idle, self.SILENT)))
-                for one, since in group.items() if now - since >= least]
+        return [
+            one
+            for group, least in ((self.waiting, idle), (self.silent, max(idle, self.SILENT)))
+            for one, since in group.items()
+            if now - since >= least
+        ]
--- a/rainspindle/decisions/operation/learnt.py
+++ b/rainspindle/decisions/operation/learnt.py
@@ -24,14 +24,30 @@
         **{name: getattr(balancer, name) for name in OWN},
         "times": balancer.latency.bins,
         "put_back": {id: now - at for id, at in balancer.put_back.items()},
-        "endpoints": {e.id: {
-            **{name: getattr(e, name) for name in KEPT}, "age": now - (e.line.started or -math.inf),
-            "times": e.latency.bins, "cold_since": now - e.cold_until,
-            "out": now - e.breaker.since if e.breaker else None, "back": now - e.back_at,
-            } for e in balancer.touched},
-        "keys": {key: [entry.first.id, entry.current.id, [e.id for e in entry.tried], entry.retriable,
-                       entry.other, now - entry.last, now - entry.since]
-                 for key, entry in balancer.table.entries.items()}}
+        "endpoints": {
+            e.id: {
+                **{name: getattr(e, name) for name in KEPT},
+                "age": now - (e.line.started or -math.inf),
+                "times": e.latency.bins,
+                "cold_since": now - e.cold_until,
+                "out": now - e.breaker.since if e.breaker else None,
+                "back": now - e.back_at,
+            }
+            for e in balancer.touched
+        },
+        "keys": {
+            key: [
+                entry.first.id,
+                entry.current.id,
+                [e.id for e in entry.tried],
+                entry.retriable,
+                entry.other,
+                now - entry.last,
+                now - entry.since,
+            ]
+            for key, entry in balancer.table.entries.items()
+        },
+    }
 
 
 def histogram(bins: list[float]) -> Histogram:
@@ -41,19 +57,25 @@
     return made
 
 
-def take(balancer: Balancer, now: float, given: dict[str, Any], only: Collection[str] | None = None
-         ) -> list[str]:
+def take(
+    balancer: Balancer, now: float, given: dict[str, Any], only: Collection[str] | None = None
+) -> list[str]:
     """Goes on from what another process learnt just now; of an endpoint that has restarted, nothing. With
     `only`, of these endpoints alone, and nothing of what is the sidecar's own; the endpoints taken.
 
     Raises KeyError, TypeError, AttributeError or ValueError with nothing taken over."""
+
     def ago(age: float | None) -> float:
         return -math.inf if age is None else now - age
+
     known: list[tuple[Endpoint, dict[str, Any]]] = []
     for id, kept in given["endpoints"].items():
         e = balancer.endpoints.get(id)
-        if e and e.line.state is not State.LEFT_OUT and (
-                e.line.started is None or abs(ago(kept["age"]) - e.line.started) < 1.0):
+        if (
+            e
+            and e.line.state is not State.LEFT_OUT
+            and (e.line.started is None or abs(ago(kept["age"]) - e.line.started) < 1.0)
+        ):
             names = {name: kept[name] for name in KEPT}
             names["latency"] = histogram(kept["times"])
             names["cold_until"], names["back_at"] = ago(kept["cold_since"]), ago(kept["back"])
@@ -92,8 +114,14 @@
 
 def nothing() -> dict[str, Any]:
     """What a module has learnt that has just begun."""
-    return {**dict.fromkeys(OWN, 0.0), "counts": {}, "times": [0.0] * Histogram.BINS, "put_back": {},
-            "endpoints": {}, "keys": {}}
+    return {
+        **dict.fromkeys(OWN, 0.0),
+        "counts": {},
+        "times": [0.0] * Histogram.BINS,
+        "put_back": {},
+        "endpoints": {},
+        "keys": {},
+    }
 
 
 def aged(given: dict[str, Any], seconds: float, cold: float, window: float) -> dict[str, Any]:
@@ -111,7 +139,8 @@
     found["counts"] = {key: n * halved for key, n in given["counts"].items() if n * halved > 1}
     found["counted"] = given["counted"] * halved
     back = found["put_back"] = {
-        id: age + seconds for id, age in given["put_back"].items() if age + seconds < cold}
+        id: age + seconds for id, age in given["put_back"].items() if age + seconds < cold
+    }
     if seconds >= LOAD_LASTS:
         return found
     found["times"] = faded(given["times"], seconds)
@@ -123,20 +152,27 @@
         outcomes = sum(kept["outcomes"])
         moves = seconds // (Balancer.HALF if outcomes > 8 else Balancer.AGE)
         found["endpoints"][id] = {
-            "age": age, "credit": Endpoint.START_CREDIT + (kept["credit"] - Endpoint.START_CREDIT) * part,
+            "age": age,
+            "credit": Endpoint.START_CREDIT + (kept["credit"] - Endpoint.START_CREDIT) * part,
             "window": window if fresh else window + (kept["window"] - window) * part,
             "calm": 0.0 if fresh else risen(kept["calm"], seconds),
-            "busy": 0.0 if fresh else kept["busy"] * 0.7**seconds, "row": 0.0 if moves >= 2 else kept["row"],
-            **{name: list(kept[name]) if not moves else [0, kept[name][0]] if moves == 1 else [0, 0]
-               for name in ("failures", "outcomes")},
+            "busy": 0.0 if fresh else kept["busy"] * 0.7**seconds,
+            "row": 0.0 if moves >= 2 else kept["row"],
+            **{
+                name: list(kept[name]) if not moves else [0, kept[name][0]] if moves == 1 else [0, 0]
+                for name in ("failures", "outcomes")
+            },
             "times": [0.0] * Histogram.BINS if fresh else faded(kept["times"], seconds),
-            "cold_left": 0, "cold_since": None,
+            "cold_left": 0,
+            "cold_since": None,
             "out": None if kept["out"] is None else kept["out"] + seconds,
-            "back": None if kept["back"] is None else kept["back"] + seconds}
+            "back": None if kept["back"] is None else kept["back"] + seconds,
+        }
     found["keys"] = {
         key: [first, current, tried, retriable, other, last + seconds, since + seconds]
         for key, (first, current, tried, retriable, other, last, since) in given["keys"].items()
-        if last + seconds <= FailoverTable.RESET_WINDOW}
+        if last + seconds <= FailoverTable.RESET_WINDOW
+    }
     return found
 
 
@@ -157,9 +193,15 @@
 
 def trimmed(given: dict[str, Any], endpoints: int, keys: int, key_size: int) -> dict[str, Any]:
     """So many at most: those that are out and those with most outcomes, and the latest keys to fail."""
-    ranked = sorted(given["endpoints"].items(),
-                    key=lambda item: (item[1]["out"] is None, -sum(item[1]["outcomes"])))
-    latest = sorted((item for item in given["keys"].items() if len(item[0]) <= key_size),
-                    key=lambda item: item[1][5])
-    return {**given, "endpoints": dict(ranked[:endpoints]), "keys": dict(latest[:keys]),
-            "counts": {key: n for key, n in given["counts"].items() if len(key) <= key_size}}
+    ranked = sorted(
+        given["endpoints"].items(), key=lambda item: (item[1]["out"] is None, -sum(item[1]["outcomes"]))
+    )
+    latest = sorted(
+        (item for item in given["keys"].items() if len(item[0]) <= key_size), key=lambda item: item[1][5]
+    )
+    return {
+        **given,
+        "endpoints": dict(ranked[:endpoints]),
+        "keys": dict(latest[:keys]),
+        "counts": {key: n for key, n in given["counts"].items() if len(key) <= key_size},
+    }
--- a/rainspindle/decisions/operation/left_out.py
+++ b/rainspindle/decisions/operation/left_out.py
@@ -23,11 +23,15 @@
     if id not in balancer.left_out:
         return
     line, known = balancer.left_out.pop(id), balancer.endpoints.get(id)
-    balancer.put_back = {i: at for i, at in balancer.put_back.items()
-                         if now - at < balancer.budget.cold} | {id: now}
+    balancer.put_back = {i: at for i, at in balancer.put_back.items() if now - at < balancer.budget.cold} | {
+        id: now
+    }
     if line and known:
         known.reset(line)
-        balancer.table.entries = {key: entry for key, entry in balancer.table.entries.items()
-                                  if known not in (entry.first, entry.current)}
+        balancer.table.entries = {
+            key: entry
+            for key, entry in balancer.table.entries.items()
+            if known not in (entry.first, entry.current)
+        }
     balancer.renew()
     balancer.host.log(f"{id} put back by order: cold")
--- a/rainspindle/decisions/operation/orders.py
+++ b/rainspindle/decisions/operation/orders.py
@@ -69,8 +69,11 @@
         return changed
 
     def plain(self) -> dict[str, Any]:
-        return {"last": self.last, "listed": list(self.listed),
-                "given": {matter: [o.number, o.out] for matter, o in self.given.items()}}
+        return {
+            "last": self.last,
+            "listed": list(self.listed),
+            "given": {matter: [o.number, o.out] for matter, o in self.given.items()},
+        }
 
     @classmethod
     def of(cls, plain: Any) -> Orders:
--- a/rainspindle/decisions/shared/cells.py
+++ b/rainspindle/decisions/shared/cells.py
@@ -96,8 +96,14 @@
 
         Those that stay are told once more where their sequence is not over a forgotten one's. So one number
         tells all that are gone, and a word of one of them that comes late is known as such."""
-        names, own = set(gone), [seen.cell for name, seen in self.by_owner.get(self.own, {}).items()
-                                 if matter(name) == about and seen.cell.life == self.life]
+        names, own = (
+            set(gone),
+            [
+                seen.cell
+                for name, seen in self.by_owner.get(self.own, {}).items()
+                if matter(name) == about and seen.cell.life == self.life
+            ],
+        )
         floor = max([self.floor(about), *(cell.sequence for cell in own if cell.name in names)])
         for cell in own:
             if cell.name not in names and cell.sequence <= floor:
@@ -208,7 +214,9 @@
         if cell.name.startswith(SWEPT):
             floor = cell.value.partition(b" ")[0]
             self.floors[cell.owner, cell.name.removeprefix(SWEPT)] = (
-                cell.life, int(floor) if floor.isdigit() and len(floor) < 20 else 0)
+                cell.life,
+                int(floor) if floor.isdigit() and len(floor) < 20 else 0,
+            )
 
     def reborn(self, now: float, life: int) -> None:
         """The own member has taken a higher life: all that it wrote in its last one stands in the new."""
--- a/rainspindle/decisions/shared/spread.py
+++ b/rainspindle/decisions/shared/spread.py
@@ -76,8 +76,9 @@
 
     # Sums of all that one owner has.
 
-    def summed(self, now: float, room: int,
-               lives: Callable[[str], tuple[int, float] | None]) -> list[msgspec.Raw]:
+    def summed(
+        self, now: float, room: int, lives: Callable[[str], tuple[int, float] | None]
+    ) -> list[msgspec.Raw]:
         """Sums of as many owners as fit, each in its turn. `lives` tells a member's life and when it was last
         heard, or None where it is not there."""
         out: list[msgspec.Raw] = []
@@ -105,13 +106,20 @@
     def sum_of(self, now: float, owner: str, known: tuple[int, float] | None) -> msgspec.Raw | None:
         confirmed = self.cells.confirmed_at.get(owner, -math.inf)
         if confirmed == -math.inf:  # never whole here: as old as the newest that was heard
-            confirmed = max((seen.heard for seen in self.cells.by_owner.get(owner, {}).values()),
-                            default=-math.inf)
+            confirmed = max(
+                (seen.heard for seen in self.cells.by_owner.get(owner, {}).values()), default=-math.inf
+            )
         age = now - confirmed
         if age > self.outlive:
             return None
-        return wire.raw(wire.Sum(owner, known[0] if known else 0, self.cells.sum_of(owner).to_bytes(8, "big"),
-                                 min(max(int(age * 1000), 0), MOST_AGE)))
+        return wire.raw(
+            wire.Sum(
+                owner,
+                known[0] if known else 0,
+                self.cells.sum_of(owner).to_bytes(8, "big"),
+                min(max(int(age * 1000), 0), MOST_AGE),
+            )
+        )
 
     def compare(self, now: float, sums: list[wire.Sum]) -> list[wire.Want]:
         """What another has: confirmed where it is the same, else wanted."""
@@ -128,7 +136,7 @@
         return wants
 
     def marks(self, owner: str) -> bytes:
-        sums = [mark & 0xffffffff for mark in self.cells.marks.get(owner, ())]
+        sums = [mark & 0xFFFFFFFF for mark in self.cells.marks.get(owner, ())]
         return b"" if not any(sums) else b"".join(one.to_bytes(wire.MARK, "big") for one in sums)
 
     def wanted(self, now: float, want: wire.Want) -> list[list[msgspec.Raw]]:
@@ -136,7 +144,7 @@
         and no more than a few datagrams at once."""
         own = self.marks(want.owner) or bytes(wire.CELL_MARKS * wire.MARK)
         theirs = want.marks or bytes(wire.CELL_MARKS * wire.MARK)
-        differ = {n // wire.MARK for n in range(len(own)) if own[n:n + 1] != theirs[n:n + 1]}
+        differ = {n // wire.MARK for n in range(len(own)) if own[n : n + 1] != theirs[n : n + 1]}
         pages: list[list[msgspec.Raw]] = [[]]
         room = full = wire.MOST - 300
         names = [name for name in reversed(self.cells.by_owner.get(want.owner, {})) if part(name) in differ]
@@ -160,7 +168,9 @@
         for owner in list(self.cells.by_owner):
             if owner == self.cells.own or there(owner):
                 continue
-            last = max(self.cells.confirmed_at.get(owner, -math.inf),
-                       max((seen.heard for seen in self.cells.by_owner[owner].values()), default=-math.inf))
+            last = max(
+                self.cells.confirmed_at.get(owner, -math.inf),
+                max((seen.heard for seen in self.cells.by_owner[owner].values()), default=-math.inf),
+            )
             if now - last > self.outlive:
                 self.cells.forget_owner(owner)
--- a/rainspindle/decisions/sites/intake.py
+++ b/rainspindle/decisions/sites/intake.py
@@ -63,8 +63,10 @@
             self.turned_away += 1
             if not self.closed:
                 self.closed = True
-                self.log(f"foreign exchanges turned away: {self.foreign} under way, "
-                         f"window {self.window:.1f}, {self.own} own")
+                self.log(
+                    f"foreign exchanges turned away: {self.foreign} under way, "
+                    f"window {self.window:.1f}, {self.own} own"
+                )
             return False
         self.closed = False
         self.foreign += 1
--- a/rainspindle/decisions/sites/sites.py
+++ b/rainspindle/decisions/sites/sites.py
@@ -92,8 +92,9 @@
     BACK_RAMP = 10.0
     SWEEP, HALF = 1.0, 5
 
-    def __init__(self, own: str, peers: Sequence[str], seed: int, now: float,
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self, own: str, peers: Sequence[str], seed: int, now: float, log: Callable[[str], None]
+    ) -> None:
         """`peers` in the order in which they are leant on."""
         self.seed, self.log = seed, log
         self.own = Site(own, True, now)
@@ -218,8 +219,11 @@
 
     def count(self, site: Site, route: Route, retriable: bool, now: float) -> None:
         def next_untried(tried: list[Site]) -> Site | None:
-            return next((s for s in self.sites.values()
-                         if s not in tried and not s.breaker and self.usable(s, now)), None)
+            return next(
+                (s for s in self.sites.values() if s not in tried and not s.breaker and self.usable(s, now)),
+                None,
+            )
+
         before = self.table.entries.get(route.partition)
         moved = before is not None and self.table.moved(before)
         at = before.current if before and moved else site
@@ -229,8 +233,10 @@
         after = self.table.entries.get(route.partition)
         if after is not None and after.current is not site:
             self.moves += 1
-            self.log(f"partition {route.partition} moved from {site.name} to {after.current.name}: "
-                     f"{after.retriable} retriable and {after.other} other failures")
+            self.log(
+                f"partition {route.partition} moved from {site.name} to {after.current.name}: "
+                f"{after.retriable} retriable and {after.other} other failures"
+            )
 
     def judge(self, site: Site, now: float) -> None:
         """Whether the site is given up as a whole."""
@@ -238,8 +244,10 @@
         many = sum(site.shares.outcomes) >= self.WHOLE_LEAST and site.shares.failed() > self.WHOLE_SHARE
         if (row or many) and len(self.sites) > 1:
             site.breaker, site.delay = Breaker(now), self.TRIAL_DELAY
-            self.log(f"site {site.name} given up: {site.row} failures in a row, "
-                     f"{site.shares.failed():.0%} of {sum(site.shares.outcomes)} lately")
+            self.log(
+                f"site {site.name} given up: {site.row} failures in a row, "
+                f"{site.shares.failed():.0%} of {sum(site.shares.outcomes)} lately"
+            )
 
     def restore(self, site: Site, now: float) -> None:
         self.log(f"site {site.name} back: its trial was answered")
--- a/rainspindle/decisions/statements/digest.py
+++ b/rainspindle/decisions/statements/digest.py
@@ -7,7 +7,8 @@
 
 MOST_TEXT = 256 * 1024  # bytes; longer ones are not looked into
 
-TOKEN = re.compile(r"""
+TOKEN = re.compile(
+    r"""
     (?P<space>\s++)
   | (?P<hidden>/\*[!+](?:[^*]|\*(?!/))*+\*/)
   | (?P<comment>/\*(?:[^*]|\*(?!/))*+\*/ | --(?=[\s]|$)[^\n]*+ | \#[^\n]*+)
@@ -17,7 +18,9 @@
   | (?P<mark>\?)
   | (?P<end>;)
   | (?P<other>[-+*/%=<>!|&^~(),.:{}\[\]])
-""", re.VERBOSE | re.DOTALL)
+""",
+    re.VERBOSE | re.DOTALL,
+)
 HINT = re.compile(r"\bkey\s*=\s*([^\s*,;]{1,200})")
 ESCAPES = {"0": "\0", "n": "\n", "t": "\t", "r": "\r", "b": "\b", "Z": "\x1a"}
 
--- a/rainspindle/decisions/statements/parse.py
+++ b/rainspindle/decisions/statements/parse.py
@@ -15,8 +15,12 @@
 logging.getLogger("sqlglot").setLevel(logging.ERROR)
 
 KINDS: dict[type[exp.Expr], str] = {
-    exp.Select: "select", exp.Union: "select", exp.Insert: "insert", exp.Update: "update",
-    exp.Delete: "delete"}
+    exp.Select: "select",
+    exp.Union: "select",
+    exp.Insert: "insert",
+    exp.Update: "update",
+    exp.Delete: "delete",
+}
 ENDS: dict[type[exp.Expr], str] = {exp.Transaction: "begin", exp.Commit: "commit", exp.Rollback: "rollback"}
 LOCKING = ("GET_LOCK", "RELEASE_LOCK", "RELEASE_ALL_LOCKS")
 PLAIN = re.compile(r"SET (?:SESSION |LOCAL |@@SESSION\.|@@)?([A-Za-z_]\w*) ?:?= ?(:l\d+|[A-Za-z]\w*)$", re.I)
@@ -62,7 +66,7 @@
 def plain(text: str) -> Part | None:
     """What needs no parser, or what the parser keeps as text."""
     if found := NAMES.match(text):
-        return Part("set", leaves=frozenset(("set",)), sets=(("names", text[len("SET NAMES "):]),))
+        return Part("set", leaves=frozenset(("set",)), sets=(("names", text[len("SET NAMES ") :]),))
     if found := PLAIN.match(text):
         name = found[1].lower()
         if name in ("global", "persist", "password"):
--- a/rainspindle/decisions/statements/statements.py
+++ b/rainspindle/decisions/statements/statements.py
@@ -68,8 +68,9 @@
 class Statements:
     """Gives the meaning of statements; holds `most` parses, the latest used."""
 
-    def __init__(self, rules: Sequence[Rule], default: int, ranks: Sequence[int], parse: Parse,
-                 most: int = 2000) -> None:
+    def __init__(
+        self, rules: Sequence[Rule], default: int, ranks: Sequence[int], parse: Parse, most: int = 2000
+    ) -> None:
         """`default` is the traffic type of what fits no rule, a binding one. `ranks` by traffic type: of
         several
         statements in one text the highest counts."""
@@ -110,11 +111,21 @@
         return Meant(kind, key, leaves, sets, use)
 
     def fits(self, rule: Rule, part: Part) -> bool:
-        return (not rule.kinds or part.kind in rule.kinds) and "unknown" not in part.leaves and (
-            not rule.tables or (bool(part.tables) and part.tables <= rule.tables))
-
-    def key(self, rule: Rule | None, part: Part, found: Digest | None, user: str, session: str,
-            parameters: Sequence[str | None]) -> str | None:
+        return (
+            (not rule.kinds or part.kind in rule.kinds)
+            and "unknown" not in part.leaves
+            and (not rule.tables or (bool(part.tables) and part.tables <= rule.tables))
+        )
+
+    def key(
+        self,
+        rule: Rule | None,
+        part: Part,
+        found: Digest | None,
+        user: str,
+        session: str,
+        parameters: Sequence[str | None],
+    ) -> str | None:
         if rule is None or found is None:
             return session
         how, _, what = rule.key.partition(":")
@@ -141,6 +152,9 @@
     """A digested value as it was: `:l3` is the fourth literal, quoted anew unless it is a number."""
     if value.startswith(":l") and value[2:].isdecimal() and int(value[2:]) < len(literals):
         told = literals[int(value[2:])]
-        return told if told.replace(".", "", 1).isdecimal() else "'" + told.replace(
-            "\\", "\\\\").replace("'", "''") + "'"
+        return (
+            told
+            if told.replace(".", "", 1).isdecimal()
+            else "'" + told.replace("\\", "\\\\").replace("'", "''") + "'"
+        )
     return value
--- a/rainspindle/decisions/wallet/account.py
+++ b/rainspindle/decisions/wallet/account.py
@@ -30,9 +30,19 @@
 
     __slots__ = ("account", "back", "barred", "given", "got", "number", "off", "rests", "spent", "topped")
 
-    def __init__(self, account: int, number: int = 0, spent: int = 0, back: int = 0, topped: int = 0,
-                 given: dict[Who, int] | None = None, got: dict[Who, int] | None = None,
-                 off: dict[str, int] | None = None, barred: str = "", rests: bool = False) -> None:
+    def __init__(
+        self,
+        account: int,
+        number: int = 0,
+        spent: int = 0,
+        back: int = 0,
+        topped: int = 0,
+        given: dict[Who, int] | None = None,
+        got: dict[Who, int] | None = None,
+        off: dict[str, int] | None = None,
+        barred: str = "",
+        rests: bool = False,
+    ) -> None:
         self.account, self.number = account, number
         self.spent, self.back, self.topped = spent, back, topped
         self.given = given if given is not None else {}
@@ -42,8 +52,18 @@
         self.rests = rests  # its use has ended: nothing is left in it, and others have heard all
 
     def copy(self) -> Row:
-        return Row(self.account, self.number, self.spent, self.back, self.topped, dict(self.given),
-                   dict(self.got), dict(self.off), self.barred, self.rests)
+        return Row(
+            self.account,
+            self.number,
+            self.spent,
+            self.back,
+            self.topped,
+            dict(self.given),
+            dict(self.got),
+            dict(self.off),
+            self.barred,
+            self.rests,
+        )
 
     def rights(self) -> int:
         return self.topped + sum(self.got.values()) - sum(self.given.values()) - self.spent + self.back
@@ -210,16 +230,24 @@
         row = self.account.kept
         self.lost += max(self.account.held, 0)
         self.old = [*self.old, row][-MOST_OLD:]
-        self.account = Account(Row(self.number(row.account), off=dict(self.account.row.off),
-                                   barred=self.account.row.barred), self.account.ids)
+        self.account = Account(
+            Row(self.number(row.account), off=dict(self.account.row.off), barred=self.account.row.barred),
+            self.account.ids,
+        )
         self.account.dirty = True
         self.unsure = self.sealing = False
 
     def may_rest(self) -> bool:
         """Nothing is left, and all that was done is on disk."""
         account = self.account
-        return not (self.unsure or self.sealing or account.dirty or account.writing is not None
-                    or account.held or account.row.rests)
+        return not (
+            self.unsure
+            or self.sealing
+            or account.dirty
+            or account.writing is not None
+            or account.held
+            or account.row.rests
+        )
 
     def rest(self) -> None:
         """Its use has ended, until it gets something or its clients come."""
@@ -254,8 +282,12 @@
 
     def gifts(self, member: str) -> list[tuple[int, int, int]]:
         """Own account, its account, total: what may be told, as it is on disk."""
-        return [(row.account, account, total) for row in (*self.old, self.account.kept)
-                for (peer, account), total in row.given.items() if peer == member][-MOST_OLD:]
+        return [
+            (row.account, account, total)
+            for row in (*self.old, self.account.kept)
+            for (peer, account), total in row.given.items()
+            if peer == member
+        ][-MOST_OLD:]
 
     def take_gifts(self, member: str, entries: list[tuple[int, int, int]]) -> int:
         """A member's word of what it gave to this one; how much of that is new.
@@ -263,5 +295,8 @@
         Nothing is while it is unsure: a row that is written would hide that a later one was there before."""
         if self.unsure:
             return 0
-        return sum(self.account.hear((member, account), total)
-                   for account, to, total in entries if to == self.account.row.account)
+        return sum(
+            self.account.hear((member, account), total)
+            for account, to, total in entries
+            if to == self.account.row.account
+        )
--- a/rainspindle/decisions/wallet/wallet.py
+++ b/rainspindle/decisions/wallet/wallet.py
@@ -86,8 +86,17 @@
 
 
 class Wallet(Holding):
-    def __init__(self, name: str, own: str, life: int, rules: Rules, host: WalletHost, now: float,
-                 chance: int = 0, register: Register | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        own: str,
+        life: int,
+        rules: Rules,
+        host: WalletHost,
+        now: float,
+        chance: int = 0,
+        register: Register | None = None,
+    ) -> None:
         """Spends nothing before `load`. With no `register` its use never ends here."""
         self.register = register
         self.name, self.own, self.rules, self.host = name, own, rules, host
@@ -202,16 +211,18 @@
             self.told_pairs[member] = ()  # to be told once more
         who = member, word.account
         self.highest[who] = max(self.highest.get(who, 0), word.row)
-        self.hear_took(member, [(account, word.account, total)
-                                for giver, account, total in word.took if giver == self.own])
+        self.hear_took(
+            member,
+            [(account, word.account, total) for giver, account, total in word.took if giver == self.own],
+        )
         if not self.loaded or self.out:
             return
         self.speak()
         home = self.rules.home
         if (word.unsure and (self.own == home or member == home or self.highest[who] > word.row)) or (
-                not self.told_pairs.get(member) and (
-                    self.account.kept.off.get(member, 0) >= word.account
-                    or self.owed(member))):
+            not self.told_pairs.get(member)
+            and (self.account.kept.off.get(member, 0) >= word.account or self.owed(member))
+        ):
             self.tell_pair(now, member)
         if word.resting:
             self.answer_rest(now, member)
@@ -223,7 +234,8 @@
         if word.of == self.own and (word.life, word.ask) != self.answered.get(member, (word.life, 0)):
             self.grant(now, member, word)
         elif (self.want or self.paused_since is not None or self.rules.reserve) and (
-                before is None or before.held != word.held):
+            before is None or before.held != word.held
+        ):
             self.host.urge(self)
 
     def on_pair(self, now: float, member: str, pair: Pair) -> None:
@@ -287,8 +299,12 @@
     def written_off(self, now: float) -> None:
         """The home has written this account off: all that is left goes there, and then a new one begins."""
         if not self.sealing:
-            self.host.log("wallet: written off while away; what was left goes to the home", wallet=self.name,
-                          account=self.account.row.account, left=self.account.held)
+            self.host.log(
+                "wallet: written off while away; what was left goes to the home",
+                wallet=self.name,
+                account=self.account.row.account,
+                left=self.account.held,
+            )
         home = self.words.get(self.rules.home)
         self.word_due = self.seal((self.rules.home, home.account) if home is not None else None)
         self.pairs_due.add(self.rules.home)
@@ -302,8 +318,13 @@
         row, last = self.account.row, self.account.kept.number
         if word.account > row.account or (word.account == row.account and word.row > last):
             self.anew("others have a later row of it")
-        elif word.topped > row.topped and self.own == self.rules.home and word.account < row.account \
-                and not self.old and row.barred != self.rules.books:
+        elif (
+            word.topped > row.topped
+            and self.own == self.rules.home
+            and word.account < row.account
+            and not self.old
+            and row.barred != self.rules.books
+        ):
             self.bar()
 
     def older_folder(self, now: float) -> None:
@@ -327,8 +348,11 @@
     def bar(self) -> None:
         row = self.account.row
         row.barred, self.account.dirty = self.rules.books, True
-        self.host.log("wallet: top-ups are refused, ids of earlier ones may be forgotten", wallet=self.name,
-                      books=self.rules.books)
+        self.host.log(
+            "wallet: top-ups are refused, ids of earlier ones may be forgotten",
+            wallet=self.name,
+            books=self.rules.books,
+        )
         self.host.save(self)
 
     # Rights go to others.
@@ -370,8 +394,11 @@
             if word.rate < TINY:
                 fair_part, spare = word.want + word.held, min(spare, account.rights // EAGER_PART)
             amount = min(word.want, fair_part - word.held, spare, account.rights)
-            if amount <= 0 and account.held < self.rules.least \
-                    and (word.held, member) > (account.held, self.own):
+            if (
+                amount <= 0
+                and account.held < self.rules.least
+                and (word.held, member) > (account.held, self.own)
+            ):
                 account.put_back(account.free)
                 amount = account.rights
         if amount > 0:
@@ -404,12 +431,19 @@
         if word is not None and word.unsure and seen[2] <= word.row and now - self.begun_at < KNOWS:
             seen = 0, 0, 0
         ask = self.answered.get(member, (0, 0))[1]
-        took = self.took_from(member) if self.quiet or (
-            word is not None and word.resting and self.register is not None) else []
+        took = (
+            self.took_from(member)
+            if self.quiet or (word is not None and word.resting and self.register is not None)
+            else []
+        )
         off = self.account.kept.off.get(member, 0)
         self.told_pairs[member] = entries, took, off
-        self.tell(now, pair_cell(self.name, member),
-                  encode(Pair(VERSION, entries, ask, off, seen, mark, took)), (member,))
+        self.tell(
+            now,
+            pair_cell(self.name, member),
+            encode(Pair(VERSION, entries, ask, off, seen, mark, took)),
+            (member,),
+        )
 
     def tell(self, now: float, name: str, value: bytes, toward: tuple[str, ...]) -> None:
         if self.register is not None:
@@ -443,7 +477,8 @@
         """Whether the row that is to be written says more for this member than the one on disk."""
         row, kept = self.account.row, self.account.kept
         return row.off.get(member, 0) != kept.off.get(member, 0) or any(
-            total != kept.given.get(who, 0) for who, total in row.given.items() if who[0] == member)
+            total != kept.given.get(who, 0) for who, total in row.given.items() if who[0] == member
+        )
 
     # Time.
 
@@ -503,7 +538,8 @@
             self.give_up(now)
         self.refused_before = self.refused
         self.hope = any(word.held > 0 for word in self.known()) or not (
-            self.own == rules.home or rules.home in self.words)
+            self.own == rules.home or rules.home in self.words
+        )
         if account.dirty:
             self.host.save(self)
         self.say(now)
@@ -545,8 +581,14 @@
         self.ticked = now
 
     def look_for_sure(self, now: float) -> float:
-        if not list(self.host.alive()) and not self.words and now - self.begun_at > 3.0 \
-                and self.own == self.rules.home and not self.account.row.given and not self.account.row.got:
+        if (
+            not list(self.host.alive())
+            and not self.words
+            and now - self.begun_at > 3.0
+            and self.own == self.rules.home
+            and not self.account.row.given
+            and not self.account.row.got
+        ):
             self.unsure = False
         elif now - self.told_at > AGAIN:
             self.word_due = True
@@ -563,8 +605,9 @@
                 self.word_due = True
                 self.host.log("wallet: paused", wallet=self.name, held=account.held, known=self.balance())
         elif can and account.free >= self.rules.least:
-            self.host.log("wallet: goes on", wallet=self.name, held=account.held,
-                          after=f"{now - self.paused_since:.2f}")
+            self.host.log(
+                "wallet: goes on", wallet=self.name, held=account.held, after=f"{now - self.paused_since:.2f}"
+            )
             self.paused_since, self.word_due = None, True
 
     def seek(self, now: float, rate: float) -> None:
@@ -650,8 +693,11 @@
         if account.rights <= 0:
             return
         alive = [m for m in self.host.alive() if m in self.words]
-        to = self.rules.home if self.rules.home in alive else max(
-            alive, key=lambda m: (self.words[m].held, m), default="")
+        to = (
+            self.rules.home
+            if self.rules.home in alive
+            else max(alive, key=lambda m: (self.words[m].held, m), default="")
+        )
         if to:
             account.give((to, self.words[to].account), account.rights)
             self.pairs_due.add(to)
@@ -662,7 +708,8 @@
         close = held < self.rate * CLOSE or self.paused_since is not None or held < self.rules.top
         part = CHANGED_CLOSE if close else CHANGED
         changed = abs(held - self.told_held) > part * max(self.told_held, 1) or (
-            abs(self.slow - self.told_slow) > CHANGED * max(self.told_slow, 1.0))
+            abs(self.slow - self.told_slow) > CHANGED * max(self.told_slow, 1.0)
+        )
         due = now - self.told_at >= (WORD_CLOSE if close else WORD) and changed
         kept = self.account.kept
         # Others must have heard of rows, so that a folder that was set back is known as such.
@@ -671,11 +718,25 @@
             return
         paused = now - self.paused_since if self.paused_since is not None else 0.0
         self.told_took = self.took() if self.resting else []
-        word = Word(VERSION, self.account.row.account, kept.number, max(held, 0),
-                    round(self.usable_rate(), 3), kept.topped, self.ask, self.want, self.of, paused,
-                    self.unsure, self.life, self.rules.home, self.rules.books,
-                    self.register.found if self.unsure and self.register is not None else -1,
-                    self.resting, self.told_took)
+        word = Word(
+            VERSION,
+            self.account.row.account,
+            kept.number,
+            max(held, 0),
+            round(self.usable_rate(), 3),
+            kept.topped,
+            self.ask,
+            self.want,
+            self.of,
+            paused,
+            self.unsure,
+            self.life,
+            self.rules.home,
+            self.rules.books,
+            self.register.found if self.unsure and self.register is not None else -1,
+            self.resting,
+            self.told_took,
+        )
         self.word_due, self.told_at, self.told_held, self.told_slow = False, now, held, self.slow
         self.told_row = kept.number
         self.tell(now, word_cell(self.name), encode(word), (toward,) if toward else ())
@@ -699,8 +760,9 @@
         if self.rules.eager:
             self.wake()
             return None
-        if (row.rests and not self.account.held) \
-                or not (row.number or self.told_at > -math.inf or self.word_due):
+        if (row.rests and not self.account.held) or not (
+            row.number or self.told_at > -math.inf or self.word_due
+        ):
             return math.inf
         return self.end(now)
 
@@ -743,16 +805,26 @@
         self.told_took = []
 
     def may_be_silent(self) -> bool:
-        return self.register is not None and self.own == self.rules.home \
+        return (
+            self.register is not None
+            and self.own == self.rules.home
             and self.register.silence(self.name, self.rules.books)
+        )
 
     def fall_silent(self, now: float) -> float | None:
         """The home keeps what it holds. It tells nothing while nobody is there to hear it."""
         account = self.account
         if self.silent:
             return math.inf
-        if self.words or self.told_pairs or any(self.from_pairs.values()) or self.told_at == -math.inf \
-                or account.dirty or account.writing is not None or not self.may_be_silent():
+        if (
+            self.words
+            or self.told_pairs
+            or any(self.from_pairs.values())
+            or self.told_at == -math.inf
+            or account.dirty
+            or account.writing is not None
+            or not self.may_be_silent()
+        ):
             return None
         assert self.register is not None
         self.silent = True
@@ -775,8 +847,11 @@
     def owed(self, member: str) -> bool:
         """Whether it may not have heard of all gifts to its account."""
         word = self.words.get(member)
-        return any(self.acked.get((mine, member, theirs), 0) < total
-                   for mine, theirs, total in self.gifts(member) if word is None or theirs >= word.account)
+        return any(
+            self.acked.get((mine, member, theirs), 0) < total
+            for mine, theirs, total in self.gifts(member)
+            if word is None or theirs >= word.account
+        )
 
     def hear_took(self, member: str, took: list[tuple[int, int, int]]) -> None:
         for mine, theirs, total in took:
@@ -789,9 +864,9 @@
         if self.unsure:
             return []
         kept = self.account.kept
-        return [(theirs, kept.account, total) for (giver, theirs), total in kept.got.items()
-                if giver == member][-4:] + [
-                    one for one in self.from_pairs.get(member, ()) if one[1] < kept.account]
+        return [
+            (theirs, kept.account, total) for (giver, theirs), total in kept.got.items() if giver == member
+        ][-4:] + [one for one in self.from_pairs.get(member, ()) if one[1] < kept.account]
 
     def took(self) -> list[Took]:
         """As much of it as a word has room for, first what others still tell."""
@@ -838,8 +913,12 @@
 
     def drop_pair(self, member: str, account: int = 1) -> None:
         """What was told to it, where it has heard of all. `account`: the one that it is known to have."""
-        if member in self.told_pairs and not (self.unsure or self.owed(member) or member in self.pairs_due) \
-                and self.register is not None and self.account.row.off.get(member, 0) < account:
+        if (
+            member in self.told_pairs
+            and not (self.unsure or self.owed(member) or member in self.pairs_due)
+            and self.register is not None
+            and self.account.row.off.get(member, 0) < account
+        ):
             del self.told_pairs[member]
             self.register.ended([pair_cell(self.name, member)])
             self.host.urge(self)
@@ -861,9 +940,14 @@
     def other_home(self) -> tuple[str, str] | None:
         """A member that lives and whose file names another home for the same books, and that home."""
         words, rules = self.words, self.rules
-        told = next(((m, words[m].home) for m in self.host.alive()
-                     if m in words and words[m].home not in ("", rules.home) and words[m].books == rules.books
-                     ), None)
+        told = next(
+            (
+                (m, words[m].home)
+                for m in self.host.alive()
+                if m in words and words[m].home not in ("", rules.home) and words[m].books == rules.books
+            ),
+            None,
+        )
         if told is None and self.register is not None:
             other = self.register.claimant(self.host.alive(), self.name, rules.books)
             return (other, other) if other else None
--- a/rainspindle/fronts/console/front.py
+++ b/rainspindle/fronts/console/front.py
@@ -15,8 +15,13 @@
 
 
 class ConsoleFront:
-    def __init__(self, loop: Loop, address: Address, call: Callable[[Order], tuple[int, str]],
-                 fleet: Callable[[FleetCall], tuple[int, str]]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: Address,
+        call: Callable[[Order], tuple[int, str]],
+        fleet: Callable[[FleetCall], tuple[int, str]],
+    ) -> None:
         """`call` does what is asked and gives the status and a line of text, `fleet` gives JSON.
 
         Raises OSError."""
--- a/rainspindle/fronts/http1/back.py
+++ b/rainspindle/fronts/http1/back.py
@@ -37,8 +37,16 @@
     def keep_only(self, endpoints: dict[str, Address]) -> None:
         self.heard = {id: at for id, at in self.heard.items() if id in endpoints}
 
-    def forward(self, given: Given, endpoint: str, address: Address, until: float, before: Callable[[], bool],
-                after: Callable[[], bool], started: Callable[[], None]) -> Coroutine[Forwarded]:
+    def forward(
+        self,
+        given: Given,
+        endpoint: str,
+        address: Address,
+        until: float,
+        before: Callable[[], bool],
+        after: Callable[[], bool],
+        started: Callable[[], None],
+    ) -> Coroutine[Forwarded]:
         """One forward; a served one's payload is the endpoint's `Answered`, or `Passed`."""
         body: Ask | Carried = given.body
         ask, streams = (body.ask, body.streams) if isinstance(body, Carried) else (body, None)
@@ -47,6 +55,7 @@
 
         def unwanted() -> bool:  # also where the staff take the endpoint out before the first byte
             return before() or endpoint in self.directory.left_out
+
         if ask.more and streams is not None:
             try:
                 yield from streams.enter(self.loop.now() + SILENCE, unwanted)
@@ -133,12 +142,21 @@
             else:
                 self.pool.close(connection)
 
-    def upload(self, given: Given, streams: Streams, connection: Connection, call: EndpointSide, first: bytes,
-               before: Callable[[], bool]) -> Coroutine[tuple[Answered | None, float]]:
+    def upload(
+        self,
+        given: Given,
+        streams: Streams,
+        connection: Connection,
+        call: EndpointSide,
+        first: bytes,
+        before: Callable[[], bool],
+    ) -> Coroutine[tuple[Answered | None, float]]:
         """Sends a body while it comes; the answer, where one comes before the body's end, and until when to
         wait for it. What is behind in being read is not read from the client either."""
+
         def early() -> bool:
             return connection.readable or before()
+
         bound(connection)
         piece, answer = first, None
         while True:
@@ -164,22 +182,24 @@
             if not piece:
                 return None, given.written()
 
-    def pass_on(self, connection: Connection, call: EndpointSide, streams: Streams
-                ) -> Coroutine[tuple[Forwarded, bool]]:
+    def pass_on(
+        self, connection: Connection, call: EndpointSide, streams: Streams
+    ) -> Coroutine[tuple[Forwarded, bool]]:
         """A long answer goes to its client while it comes; whether the connection can be used again.
 
         Guards against memory that long answers fill: no more is read than the client takes."""
+
         def unwanted() -> bool:  # the client's end wakes this wait: no need to ask the kernel
             client = streams.client
             return client.closed or (client.ended and self.settings.may_call_off)
+
         assert call.call.response is not None
         try:
             yield from streams.begin(going_on(call.call.response.headers), call.call.length())
             answer = None
             while True:
                 yield from streams.send(call.call.take())
-                data = yield from connection.await_bytes(
-                    self.loop.now() + SILENCE, unwanted)
+                data = yield from connection.await_bytes(self.loop.now() + SILENCE, unwanted)
                 answer = call.receive(data)
                 if answer is not None:
                     yield from streams.send(answer.body)
--- a/rainspindle/fronts/http1/front.py
+++ b/rainspindle/fronts/http1/front.py
@@ -26,8 +26,15 @@
 
 
 class HttpFront:
-    def __init__(self, loop: Loop, core: Core, taker: Taker, pool: Pool, most_clients: int,
-                 room: int = 32 * 1024 * 1024) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        taker: Taker,
+        pool: Pool,
+        most_clients: int,
+        room: int = 32 * 1024 * 1024,
+    ) -> None:
         """Exchanges go to `taker`; the core says when they expire. `room`: bytes for long bodies and answers,
         which are passed on piece by piece; 0 where the back is not of this protocol."""
         self.streams, self.room = room > 0, Room(loop, room)
@@ -154,8 +161,9 @@
                     # One that leaves is not ready: its successor is, under the same address.
                     ready = self.core.listed and not self.leaving and self.loop.now() >= self.ready_from
                     close = self.closes(client, side)
-                    yield from client.send(side.answer(200 if ready else 503, b"", close),
-                                           self.loop.now() + SILENCE)
+                    yield from client.send(
+                        side.answer(200 if ready else 503, b"", close), self.loop.now() + SILENCE
+                    )
                     if close:
                         yield from self.close_gracefully(client)
                         return
@@ -217,20 +225,30 @@
             pass
         client.close()
 
-    def exchange(self, client: Connection, side: ApplicationSide, ask: Ask, read_at: float
-                 ) -> Coroutine[bool]:
+    def exchange(
+        self, client: Connection, side: ApplicationSide, ask: Ask, read_at: float
+    ) -> Coroutine[bool]:
         """Hands an exchange over and gives its client the final answer; whether the connection goes on.
 
         `read_at` is when the bytes came of which this request is a part: while an earlier request of the same
         bytes was served, others may have come, and their time is not this one's."""
+
         def expiry() -> float:  # of a body that is still coming: as if it were whole by now
             came = self.loop.now() if ask.more and not streams.whole else max(read_at, streams.whole_at)
             return self.core.expiry(ask.type_index, came, ask.wait)
+
         streams = Streams(self.loop, client, side, lambda: self.closes(client, side), self.room)
-        given = Given(ask.type_index, ask.key, ask.hint, ask.repeat,
-                      self.loop.now() + MOST_UPLOAD if ask.more else expiry(),
-                      Carried(ask, streams) if self.streams else ask, expiry if ask.more else None,
-                      tenant=ask.tenant, request_id=ask.request_id.decode("latin-1"))
+        given = Given(
+            ask.type_index,
+            ask.key,
+            ask.hint,
+            ask.repeat,
+            self.loop.now() + MOST_UPLOAD if ask.more else expiry(),
+            Carried(ask, streams) if self.streams else ask,
+            expiry if ask.more else None,
+            tenant=ask.tenant,
+            request_id=ask.request_id.decode("latin-1"),
+        )
         # The request's own id may come again, when a client sends it once more, but not while it is open.
         self.open_ids.add(ask.request_id)
         try:
--- a/rainspindle/fronts/http1/stream.py
+++ b/rainspindle/fronts/http1/stream.py
@@ -32,8 +32,9 @@
 class Streams:
     """One exchange's body, while it comes, and its answer, while it goes."""
 
-    def __init__(self, loop: Loop, client: Connection, side: ApplicationSide, closing: Callable[[], bool],
-                 room: Room) -> None:
+    def __init__(
+        self, loop: Loop, client: Connection, side: ApplicationSide, closing: Callable[[], bool], room: Room
+    ) -> None:
         self.loop, self.client, self.side, self.closing, self.room = loop, client, side, closing, room
         self.entered = False  # whether this exchange has a place for its streams, both ways
         self.cut: Cut | None = None  # why the body came to no end
--- a/rainspindle/fronts/link/crossing.py
+++ b/rainspindle/fronts/link/crossing.py
@@ -59,8 +59,14 @@
 class Peer:
     """Another site, as exchanges cross to it."""
 
-    def __init__(self, loop: Loop, site: str, type_names: tuple[str, ...], counter: Counter,
-                 on_link: Callable[[bool], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        site: str,
+        type_names: tuple[str, ...],
+        counter: Counter,
+        on_link: Callable[[bool], None],
+    ) -> None:
         """`on_link` is told when the first of its connections comes up and when the last is gone."""
         self.loop, self.site, self.type_names, self.counter = loop, site, type_names, counter
         self.on_link = on_link
@@ -146,10 +152,23 @@
         under = Under(self.counter.next(), task, Claim(), line, peer.epoch)
         self.under[under.id] = under
         try:
-            line.session.open(f.Open(
-                under.id, now, given.expires_at - now, self.type_names[given.type_index], given.key,
-                given.hint, given.repeat, ask.request_id, ask.method, ask.target, ask.headers, len(ask.body)),
-                ask.body)
+            line.session.open(
+                f.Open(
+                    under.id,
+                    now,
+                    given.expires_at - now,
+                    self.type_names[given.type_index],
+                    given.key,
+                    given.hint,
+                    given.repeat,
+                    ask.request_id,
+                    ask.method,
+                    ask.target,
+                    ask.headers,
+                    len(ask.body),
+                ),
+                ask.body,
+            )
             line.wake()
             return (yield from self.follow(given, under, gone, may_rerun))
         finally:
@@ -157,8 +176,9 @@
             under.line.session.forget(under.id)
             under.line.wake()
 
-    def follow(self, given: Given, under: Under, gone: Callable[[], bool], may_rerun: bool
-               ) -> Coroutine[Crossed]:
+    def follow(
+        self, given: Given, under: Under, gone: Callable[[], bool], may_rerun: bool
+    ) -> Coroutine[Crossed]:
         while True:
             if under.answer is not None:
                 return self.final(*under.answer)
--- a/rainspindle/fronts/link/link.py
+++ b/rainspindle/fronts/link/link.py
@@ -48,9 +48,20 @@
 class Link:
     """All links of this gateway with other sites."""
 
-    def __init__(self, loop: Loop, site: str, epoch: int, keys: Callable[[], Sequence[bytes]], core: Core,
-                 intake: Intake, type_names: tuple[str, ...], reruns: Sequence[bool], stall: float,
-                 dials: int, on_link: Callable[[str, bool], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        site: str,
+        epoch: int,
+        keys: Callable[[], Sequence[bytes]],
+        core: Core,
+        intake: Intake,
+        type_names: tuple[str, ...],
+        reruns: Sequence[bool],
+        stall: float,
+        dials: int,
+        on_link: Callable[[str, bool], None],
+    ) -> None:
         """`keys` are those valid now; `reruns` says by traffic type whether an exchange may run again here
         and
         there; `dials` connections are held to each peer that has an address."""
@@ -141,6 +152,7 @@
         def gone() -> None:
             self.strangers.pop(connection, None)
             connection.close()
+
         self.loop.spawn(self.drive(connection, session), gone)
 
     def drive(self, connection: Connection, session: Session) -> Coroutine[None]:
@@ -179,8 +191,12 @@
             pass
         except f.LinkFault as fault:
             self.faults += 1
-            log.warning("link closed", extra={"fields": {
-                "peer": session.peer.site if session.peer else "unknown", **fault.fields()}})
+            log.warning(
+                "link closed",
+                extra={
+                    "fields": {"peer": session.peer.site if session.peer else "unknown", **fault.fields()}
+                },
+            )
             self.say_why(connection, fault)
         finally:
             del self.lines[line]
@@ -237,8 +253,15 @@
     def came(self, line: Line, peer: Peer, epoch: int, event: Came) -> None:
         now, head, ledger = self.loop.now(), event.open, self.ledgers[peer.site]
         kind = self.types.get(head.type_name)
-        why = "late" if event.stale or event.expires_at <= now else "unknown_type" if kind is None else \
-            "leaving" if self.leaving else ""
+        why = (
+            "late"
+            if event.stale or event.expires_at <= now
+            else "unknown_type"
+            if kind is None
+            else "leaving"
+            if self.leaving
+            else ""
+        )
         if why or not self.intake.admit(now):
             # Written down as never to start, so that what is answered here is proof.
             if ledger.revoke(epoch, head.id) == "never":
@@ -252,8 +275,18 @@
             return
         self.taken_in += 1
         assert kind is not None
-        ask = Ask(head.request_id, head.method, head.target, event.body, head.headers, kind, head.key, None,
-                  head.hint, head.repeat)
+        ask = Ask(
+            head.request_id,
+            head.method,
+            head.target,
+            event.body,
+            head.headers,
+            kind,
+            head.key,
+            None,
+            head.hint,
+            head.repeat,
+        )
         expires_at = min(event.expires_at, self.core.last_answer)
         given = Given(kind, head.key, head.hint, head.repeat, expires_at, ask)
         self.loop.spawn(self.serve(line, peer, epoch, head.id, given))
@@ -276,14 +309,25 @@
             return
         body = final.payload.body if isinstance(final, Finished) else b""
         answer = f.Answer(
-            id, "finished" if isinstance(final, Finished) else
-            "rejected" if isinstance(final, Rejected) else "terminated",
+            id,
+            "finished"
+            if isinstance(final, Finished)
+            else "rejected"
+            if isinstance(final, Rejected)
+            else "terminated",
             final.hold_off if isinstance(final, Rejected) else 0.0,
-            final.payload.headers if isinstance(final, Finished) else (), len(body),
-            not isinstance(final, Rejected) or final.ran)
+            final.payload.headers if isinstance(final, Finished) else (),
+            len(body),
+            not isinstance(final, Rejected) or final.ran,
+        )
         line.session.theirs.discard(id)
-        way = line if line.up else next(
-            (n for n in peer.lines if n.session.peer is not None and n.session.peer.epoch == epoch), None)
+        way = (
+            line
+            if line.up
+            else next(
+                (n for n in peer.lines if n.session.peer is not None and n.session.peer.epoch == epoch), None
+            )
+        )
         if way is not None:
             way.session.answer(answer, body)
             way.wake()
@@ -317,5 +361,9 @@
                 line.wake()
 
     def describe(self) -> str:
-        return ", ".join(f"{site} at {address_text(a) if a else 'any address'}"
-                         for site, a in self.addresses.items()) or "nobody"
+        return (
+            ", ".join(
+                f"{site} at {address_text(a) if a else 'any address'}" for site, a in self.addresses.items()
+            )
+            or "nobody"
+        )
--- a/rainspindle/fronts/mysql/back.py
+++ b/rainspindle/fronts/mysql/back.py
@@ -58,8 +58,16 @@
     def keep_only(self, endpoints: dict[str, Address]) -> None:
         self.heard = {id: at for id, at in self.heard.items() if id in endpoints}
 
-    def forward(self, given: Given, endpoint: str, address: Address, until: float, before: Callable[[], bool],
-                after: Callable[[], bool], started: Callable[[], None]) -> Coroutine[Forwarded]:
+    def forward(
+        self,
+        given: Given,
+        endpoint: str,
+        address: Address,
+        until: float,
+        before: Callable[[], bool],
+        after: Callable[[], bool],
+        started: Callable[[], None],
+    ) -> Coroutine[Forwarded]:
         """One statement at one server. The answer is in the `Order`; its server is for the session to
         keep."""
         order: Order = given.body
@@ -67,7 +75,8 @@
         try:
             connect_until = min(until, self.loop.now() + connect_time)
             server = yield from self.servers.take(
-                (endpoint, address), order.account, order.sets, connect_until, before)
+                (endpoint, address), order.account, order.sets, connect_until, before
+            )
         except OutOfSockets:
             return Forwarded(Outcome.UNSENT)
         except Refused as fault:
@@ -86,14 +95,23 @@
             self.servers.drop((endpoint, address))
         return came
 
-    def run(self, order: Order, server: Server, until: float, expires_at: float, before: Unless,
-            after: Unless, started: Callable[[], None]) -> Coroutine[Forwarded]:
+    def run(
+        self,
+        order: Order,
+        server: Server,
+        until: float,
+        expires_at: float,
+        before: Unless,
+        after: Unless,
+        started: Callable[[], None],
+    ) -> Coroutine[Forwarded]:
         """The statement on a connection, which is closed unless the answer is whole."""
         sent = False
         try:
             server.connection.mine()
-            yield from self.servers.bring(server, order.database, order.sets, order.insert_id, order.held_by,
-                                          until, before)
+            yield from self.servers.bring(
+                server, order.database, order.sets, order.insert_id, order.held_by, until, before
+            )
             body = order.body
             if order.command is Command.PREPARE:
                 yield from self.servers.room_to_prepare(server, order.sql, until, before)
@@ -129,18 +147,26 @@
             return Forwarded(Outcome.ERROR)
         return Forwarded(Outcome.SERVED, order)
 
-    def send_long(self, order: Order, server: Server, id: int, until: float, before: Unless
-                  ) -> Coroutine[None]:
+    def send_long(
+        self, order: Order, server: Server, id: int, until: float, before: Unless
+    ) -> Coroutine[None]:
         head = bytes((Command.LONG_DATA,)) + id.to_bytes(4, "little")
         if order.long_data:
             yield from self.servers.ask(server, Command.RESET, id.to_bytes(4, "little"), until, before)
         for parameter, data in order.long_data.items():
             for at in range(0, max(len(data), 1), LONG_CHUNK):
-                part = head + parameter.to_bytes(2, "little") + data[at:at + LONG_CHUNK]
+                part = head + parameter.to_bytes(2, "little") + data[at : at + LONG_CHUNK]
                 yield from server.connection.send(packets(part, 0), until, before)
 
-    def answer(self, order: Order, server: Server, until: float, expires_at: float, after: Unless,
-               started: Callable[[], None]) -> Coroutine[AnswerReader]:
+    def answer(
+        self,
+        order: Order,
+        server: Server,
+        until: float,
+        expires_at: float,
+        after: Unless,
+        started: Callable[[], None],
+    ) -> Coroutine[AnswerReader]:
         """Follows the answer to its end; what is over HELD goes to the client while it comes.
 
         From then on `until` bounds each silence of the server alone: no other forward can answer."""
@@ -150,6 +176,7 @@
         def over() -> bool:  # guards against a server that is held, or blamed, for a client that has left
             left = order.streamed and order.client is not None and order.client.ended
             return left or (after is not None and after())
+
         continued = whole = False
         order.held.clear()
         while not whole:
--- a/rainspindle/fronts/mysql/front.py
+++ b/rainspindle/fronts/mysql/front.py
@@ -45,8 +45,14 @@
 LOGIN_TIME, COMMAND_TIME = 5.0, 30.0  # for a log-in; for a command, from its first byte on
 FLAGS = Can.FOUND_ROWS | Can.MULTI_STATEMENTS | Can.MULTI_RESULTS | Can.PS_MULTI_RESULTS | Can.DEPRECATE_EOF
 DENIED, UNKNOWN_COMMAND, MALFORMED, NOT_DONE, NO_STATEMENT, TOO_LARGE, NO_DATABASE = (
-    (1045, "28000"), (1047, "08S01"), (1835, "HY000"), (1235, "42000"), (1243, "HY000"), (1153, "08S01"),
-    (1046, "3D000"))
+    (1045, "28000"),
+    (1047, "08S01"),
+    (1835, "HY000"),
+    (1235, "42000"),
+    (1243, "HY000"),
+    (1153, "08S01"),
+    (1046, "3D000"),
+)
 REJECTED, TERMINATED, STATE_LOST = (1213, "40001"), (1317, "70100"), (1927, "70100")
 
 
@@ -90,8 +96,16 @@
 
 
 class MysqlFront:
-    def __init__(self, loop: Loop, core: Core, taker: Taker, back: MysqlBack, statements: Statements,
-                 users: dict[str, bytes], most_clients: int) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        taker: Taker,
+        back: MysqlBack,
+        statements: Statements,
+        users: dict[str, bytes],
+        most_clients: int,
+    ) -> None:
         self.loop, self.core, self.taker, self.back = loop, core, taker, back
         self.statements, self.users, self.most_clients = statements, users, most_clients
         self.clients: dict[Connection, Session | None] = {}
@@ -170,8 +184,9 @@
             if reader.begun and until == math.inf:
                 until = self.loop.now() + COMMAND_TIME
             client.mine()
-            data = yield from client.await_bytes(until, lambda: client.closed or (
-                self.closing and not reader.begun))
+            data = yield from client.await_bytes(
+                until, lambda: client.closed or (self.closing and not reader.begun)
+            )
             if not data:
                 return None
             reader.receive(data)
@@ -204,8 +219,9 @@
             reader.receive(data)
         return payload
 
-    def prove(self, client: Connection, reader: PacketReader, login: Login, nonce: bytes, until: float
-              ) -> Coroutine[Account | None]:
+    def prove(
+        self, client: Connection, reader: PacketReader, login: Login, nonce: bytes, until: float
+    ) -> Coroutine[Account | None]:
         """The account, once the password is proved."""
         if login.can & NEEDED != NEEDED:
             yield from self.say(client, Err(*NOT_DONE, "a client of protocol 4.1 is needed"), reader.sequence)
@@ -226,8 +242,17 @@
         if plugin == auth.CACHING and proof:
             yield from client.send(packets(bytes((1, auth.FAST_OK)), reader.sequence), until)
             reader.restart(reader.sequence + 1)
-        return Account(login.user, password, login.can & OURS & (FLAGS | NEEDED) | Can.PLUGIN_AUTH | NEEDED
-                       | Can.PLUGIN_AUTH_LENENC | Can.TRANSACTIONS | Can.LONG_PASSWORD | Can.LONG_FLAG)
+        return Account(
+            login.user,
+            password,
+            login.can & OURS & (FLAGS | NEEDED)
+            | Can.PLUGIN_AUTH
+            | NEEDED
+            | Can.PLUGIN_AUTH_LENENC
+            | Can.TRANSACTIONS
+            | Can.LONG_PASSWORD
+            | Can.LONG_FLAG,
+        )
 
     # One command: its bytes to the client, None where the connection is to end.
 
@@ -280,8 +305,16 @@
         return self.ok(session)
 
     def order(self, session: Session, command: Command, body: bytes, **more: object) -> Order:
-        return Order(command, body, session.account, session.database, dict(session.sets), 0, session.client,
-                     **more)  # type: ignore[arg-type]
+        return Order(
+            command,
+            body,
+            session.account,
+            session.database,
+            dict(session.sets),
+            0,
+            session.client,
+            **more,  # type: ignore[arg-type]
+        )
 
     def query(self, session: Session, body: bytes) -> Coroutine[bytes | None]:
         sql = body.decode("utf-8", "replace")
@@ -301,8 +334,14 @@
             out = yield from self.on_pinned(session, order, meant.traffic_type)
         else:
             now = self.loop.now()
-            given = Given(meant.traffic_type, meant.key, None, False,
-                          self.core.expiry(meant.traffic_type, now, None), order)
+            given = Given(
+                meant.traffic_type,
+                meant.key,
+                None,
+                False,
+                self.core.expiry(meant.traffic_type, now, None),
+                order,
+            )
             final = yield from self.taker.run(given, lambda: session.client.ended)
             out = self.told(session, order, final)
         self.after(session, order, meant)
@@ -327,8 +366,11 @@
         directory, (endpoint, address) = self.core.directory, server.place
         since = directory.draining.get(endpoint)
         late = since is not None and self.loop.now() - since > self.core.settings.drain_grace
-        if directory.addresses.get(endpoint) != address or late or (
-                since is not None and not session.in_transaction):
+        if (
+            directory.addresses.get(endpoint) != address
+            or late
+            or (since is not None and not session.in_transaction)
+        ):
             lost = self.lose(session)
             raise Fault(STATE_LOST, f"never ran: the server leaves, and with it {lost}")
         order.sets, order.database, order.held_by = dict(server.sets), server.database, True
@@ -336,6 +378,7 @@
 
         def left() -> bool:
             return session.client.ended
+
         came = yield from self.back.run(order, server, until, until, left, left, lambda: None)
         if came.outcome is Outcome.SERVED:
             return bytes(order.held)
@@ -343,8 +386,10 @@
         if came.broke or left():
             return None
         never = came.outcome is Outcome.UNCONNECTED
-        raise Fault(STATE_LOST if never else TERMINATED,
-                    f"{'never ran' if never else 'terminated: it may have run'}; with the server went {lost}")
+        raise Fault(
+            STATE_LOST if never else TERMINATED,
+            f"{'never ran' if never else 'terminated: it may have run'}; with the server went {lost}",
+        )
 
     def lose(self, session: Session) -> str:
         """The pinned connection is gone: what went with it, in words. The session is clean again."""
@@ -404,7 +449,7 @@
         statement = Statement(session.last_statement, sql, told.parameters)
         session.statements[statement.id] = statement
         head = Prepared(statement.id, told.columns, told.parameters, told.warnings).encode()
-        return out[:4] + head + out[4 + len(head):]
+        return out[:4] + head + out[4 + len(head) :]
 
     def statement(self, session: Session, body: bytes) -> Statement:
         id = Cursor(body).number(4)
@@ -450,8 +495,13 @@
             values = parameters(statement, nulls, data)
             rest += nulls + b"\1" + statement.types + data
         meant = self.statements.meaning(statement.sql, session.account.user, session.name, values)
-        order = self.order(session, Command.EXECUTE, rest, sql=statement.sql,
-                           long_data={n: bytes(d) for n, d in statement.long_data.items()})
+        order = self.order(
+            session,
+            Command.EXECUTE,
+            rest,
+            sql=statement.sql,
+            long_data={n: bytes(d) for n, d in statement.long_data.items()},
+        )
         out = yield from self.run(session, order, meant)
         statement.long_data.clear()
         return out
@@ -480,5 +530,3 @@
         else:
             found.append(c.lenenc_bytes().decode("utf-8", "replace"))
     return found
-
-
--- a/rainspindle/fronts/mysql/servers.py
+++ b/rainspindle/fronts/mysql/servers.py
@@ -83,8 +83,9 @@
 
     # Taking and giving back.
 
-    def take(self, place: Place, account: Account, sets: dict[str, str], until: float,
-             unless: Unless) -> Coroutine[Server]:
+    def take(
+        self, place: Place, account: Account, sets: dict[str, str], until: float, unless: Unless
+    ) -> Coroutine[Server]:
         """One for this account; waits in turn where all are in use. Raises Broken, Late, Unwanted,
         Refused."""
         task, waits = self.loop.current, False
@@ -186,8 +187,14 @@
                 raise Refused("it cannot do what is needed")
             plugin = greeting.plugin if greeting.plugin in auth.PROOFS else auth.NATIVE
             nonce = greeting.nonce
-            login = Login(account.can, account.user, auth.PROOFS[plugin](account.password, nonce), "", plugin,
-                          greeting.charset)
+            login = Login(
+                account.can,
+                account.user,
+                auth.PROOFS[plugin](account.password, nonce),
+                "",
+                plugin,
+                greeting.charset,
+            )
             yield from connection.send(packets(login.encode(), server.reader.sequence), until, unless)
             server.reader.restart(server.reader.sequence + 1)
             while True:
@@ -237,8 +244,9 @@
         server.reader.restart(count_packets(len(command)))
         yield from server.connection.send(packets(command, 0), until, unless)
 
-    def ask(self, server: Server, kind: Command, body: bytes, until: float, unless: Unless
-            ) -> Coroutine[AnswerReader]:
+    def ask(
+        self, server: Server, kind: Command, body: bytes, until: float, unless: Unless
+    ) -> Coroutine[AnswerReader]:
         """A command whose answer is short and only matters to us. Raises Refused for an ERR."""
         yield from self.write(server, bytes((kind,)) + body, until, unless)
         answer = AnswerReader(server.account.can, kind)
@@ -250,8 +258,16 @@
             raise Refused(f"{answer.error.code} {answer.error.message}"[:200])
         return answer
 
-    def bring(self, server: Server, database: str, sets: dict[str, str], insert_id: int, held: bool,
-              until: float, unless: Unless) -> Coroutine[None]:
+    def bring(
+        self,
+        server: Server,
+        database: str,
+        sets: dict[str, str],
+        insert_id: int,
+        held: bool,
+        until: float,
+        unless: Unless,
+    ) -> Coroutine[None]:
         """Into the state that a session needs, and no other's. One that the session holds is its own
         already."""
         if not held and not server.clean_for(sets):
@@ -288,4 +304,3 @@
         assert answer.prepared is not None
         server.prepared[sql] = answer.prepared
         return answer.prepared
-
--- a/rainspindle/lab/audit.py
+++ b/rainspindle/lab/audit.py
@@ -102,8 +102,11 @@
         began.sort(key=lambda r: r.began)
         first = began[0]
         for run in began[1:]:
-            dropped = kind.effect == "fingerprinted" and run.began - first.began <= kind.memory_span and (
-                group(kind.group, run, world) == group(kind.group, first, world))
+            dropped = (
+                kind.effect == "fingerprinted"
+                and run.began - first.began <= kind.memory_span
+                and (group(kind.group, run, world) == group(kind.group, first, world))
+            )
             if not dropped:
                 yield True, Break(2, f"ran again at e{run.endpoint}", run.began, id)
     for asked in ledger.asked:
@@ -132,8 +135,12 @@
     for run in ledger.runs:
         for since, until in unready.get((run.sidecar, run.endpoint), ()):
             if since + grace < sent(run) < until:
-                yield Break(3, f"sent to e{run.endpoint} {sent(run) - since:.3f} s after word that it is not "
-                               "to be used", sent(run), run.id)
+                yield Break(
+                    3,
+                    f"sent to e{run.endpoint} {sent(run) - since:.3f} s after word that it is not to be used",
+                    sent(run),
+                    run.id,
+                )
 
 
 # Rule 4: a cold endpoint is not pushed over.
@@ -156,13 +163,20 @@
                 told = told_of(start, ledger, world)
                 informed = sum(told.get(run.sidecar, math.inf) <= sent(run) for run in window)
                 if informed > INFORMED * len(window) or not window:
-                    breaks.append(Break(
-                        4, f"e{start.endpoint} fell over {said - start.at:.2f} s after its start, "
-                           f"{informed} of {len(window)} from sidecars told of it", said,
-                        f"e{start.endpoint}"))
+                    breaks.append(
+                        Break(
+                            4,
+                            f"e{start.endpoint} fell over {said - start.at:.2f} s after its start, "
+                            f"{informed} of {len(window)} from sidecars told of it",
+                            said,
+                            f"e{start.endpoint}",
+                        )
+                    )
             if bool(window) != (said is not None):
-                faults.append(f"e{start.endpoint} start {start.start}: the auditor counts "
-                              f"{'a fall' if window else 'no fall'}, the endpoint says otherwise")
+                faults.append(
+                    f"e{start.endpoint} start {start.start}: the auditor counts "
+                    f"{'a fall' if window else 'no fall'}, the endpoint says otherwise"
+                )
     faults += [f"e{e} start {s}: fell over without a cold start" for e, s in fell]
     return breaks, falls, faults
 
@@ -170,10 +184,20 @@
 def told_of(start: Start, ledger: Ledger, world: World) -> dict[int, float]:
     """When each sidecar was first told of this start: by a line that names a start since the one before went
     down, or by the whole list at a start of its own."""
-    down = max((s.at for s in ledger.starts if s.endpoint == start.endpoint and s.start < start.start
-                and s.what != "start"), default=-math.inf)
-    lines = [c for registry in set(world.registries) for c in registry.changes
-             if c.line.id == f"e{start.endpoint}" and c.line.started is not None and c.line.started > down]
+    down = max(
+        (
+            s.at
+            for s in ledger.starts
+            if s.endpoint == start.endpoint and s.start < start.start and s.what != "start"
+        ),
+        default=-math.inf,
+    )
+    lines = [
+        c
+        for registry in set(world.registries)
+        for c in registry.changes
+        if c.line.id == f"e{start.endpoint}" and c.line.started is not None and c.line.started > down
+    ]
     listed = min((c.at for c in lines), default=math.inf)
     told: dict[int, float] = {}
     heard = [(t.at, t.sidecar) for t in ledger.told if t.endpoint == start.endpoint and t.state == "ready"]
@@ -230,5 +254,3 @@
             if token in used:
                 yield f"the answer {token!r:.40} came to clients twice"
             used.add(token)
-
-
--- a/rainspindle/lab/bench.py
+++ b/rainspindle/lab/bench.py
@@ -71,10 +71,16 @@
 
 
 def settings() -> World:
-    x = Experiment.model_validate({
-        "name": "bench", "length": 1.0, "fleet": {"kinds": [{"count": 2}]}, "sidecars": {"count": 1},
-        "clients": {"rate": 1.0},
-        "traffic": [{"name": "look", "work": 0.001, "promised": 1.0, "expiry": 2.0}]})
+    x = Experiment.model_validate(
+        {
+            "name": "bench",
+            "length": 1.0,
+            "fleet": {"kinds": [{"count": 2}]},
+            "sidecars": {"count": 1},
+            "clients": {"rate": 1.0},
+            "traffic": [{"name": "look", "work": 0.001, "promised": 1.0, "expiry": 2.0}],
+        }
+    )
     return World(x, x.variants[0], 1)
 
 
@@ -96,7 +102,10 @@
     def fast(self, core: int, *arguments: object) -> subprocess.Popen[str]:
         process = subprocess.Popen(
             [sys.executable, str(Path(__file__).parent / "sockets" / "fast.py"), *map(str, arguments)],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         os.sched_setaffinity(process.pid, {self.cores[core]})
         self.processes.append(process)
         return process
@@ -104,27 +113,46 @@
     def start(self, tree: Path, ports: list[int]) -> psutil.Process:
         world = settings()
         config = Path(self.folder.name) / "config.json"
-        known = [entry(line, f"127.0.0.1:{port}", ["a"], 0.0)
-                 for line, port in zip(world.lines, ports, strict=True)]
-        config.write_bytes(orjson.dumps({
-            "name": "bench", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{ports[0]}",
-            "seed": 7, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
-            "known": {"generation": 1, "reset": True, "instances": known}, "settings": world.settings(0)}))
+        known = [
+            entry(line, f"127.0.0.1:{port}", ["a"], 0.0)
+            for line, port in zip(world.lines, ports, strict=True)
+        ]
+        config.write_bytes(
+            orjson.dumps(
+                {
+                    "name": "bench",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": f"127.0.0.1:{ports[0]}",
+                    "seed": 7,
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+                    "known": {"generation": 1, "reset": True, "instances": known},
+                    "settings": world.settings(0),
+                }
+            )
+        )
         # Another tree has no environment of its own: the libraries are this one's, so only the code differs.
         line = run_line()[0].replace(".venv/bin/python", shlex.quote(sys.executable))
         if self.gateway:
-            line = (f"exec {shlex.quote(sys.executable)} -O -m rainspindle gateway "
-                    f"--config {self.gateway_file()}")
+            line = (
+                f"exec {shlex.quote(sys.executable)} -O -m rainspindle gateway --config {self.gateway_file()}"
+            )
         log = (Path(self.folder.name) / "log").open("w")
-        process = subprocess.Popen(["/bin/sh", "-c", line], cwd=tree, stdout=subprocess.DEVNULL, stderr=log,
-                                   env={**os.environ, "RELAY_CONFIG": str(config), "PYTHONPATH": str(tree)},
-                                   text=True, start_new_session=True)
+        process = subprocess.Popen(
+            ["/bin/sh", "-c", line],
+            cwd=tree,
+            stdout=subprocess.DEVNULL,
+            stderr=log,
+            env={**os.environ, "RELAY_CONFIG": str(config), "PYTHONPATH": str(tree)},
+            text=True,
+            start_new_session=True,
+        )
         os.sched_setaffinity(process.pid, {self.cores[0]})
         self.processes.append(process)
         until = time.monotonic() + START_TIME
         while time.monotonic() < until and process.poll() is None:
             with contextlib.suppress(OSError):
                 from .sockets.fast import connected
+
                 sock = connected(self.port, 1)[0]
                 sock.send(b"GET /ready HTTP/1.1\r\nHost: bench\r\n\r\n")
                 if sock.recv(64).startswith(b"HTTP/1.1 200"):
@@ -139,8 +167,9 @@
         key = path.with_name("link.key")
         key.touch(0o600)
         key.write_text("a key of the benchmark's own")
-        path.write_text('[gateway]\nsite = "a"\nlink = "127.0.0.1:0"\nplatform = "config.json"\n'
-                        'keys = ["link.key"]\n')
+        path.write_text(
+            '[gateway]\nsite = "a"\nlink = "127.0.0.1:0"\nplatform = "config.json"\nkeys = ["link.key"]\n'
+        )
         return path
 
     def drive(self, bench: Bench, rate: float) -> dict[str, float]:
@@ -198,8 +227,10 @@
         for revision in revisions:
             done = subprocess.run(["git", "archive", revision, "rainspindle"], cwd=ROOT, capture_output=True)
             if done.returncode:
-                raise BenchFault(f"revisions: {revision!r}: {done.stderr.decode().strip()[-200:]}",
-                                 "name revisions that this repository has")
+                raise BenchFault(
+                    f"revisions: {revision!r}: {done.stderr.decode().strip()[-200:]}",
+                    "name revisions that this repository has",
+                )
             found[revision] = Path(folder) / revision.replace("/", "_")
             with tarfile.open(fileobj=BytesIO(done.stdout)) as archive:
                 archive.extractall(found[revision], filter="data")
@@ -215,7 +246,7 @@
         if bench.gateway:
             subjects["gateway"] = ROOT
         for repeat in range(bench.repeats):
-            for name, tree in list(subjects.items())[::1 if repeat % 2 == 0 else -1]:
+            for name, tree in list(subjects.items())[:: 1 if repeat % 2 == 0 else -1]:
                 rig = None
                 try:
                     rig = Rig(tree, name == "gateway")
@@ -223,8 +254,10 @@
                 finally:
                     if rig is not None:
                         rig.end()
-    figures = {name: {f: [round(r[f], 3) for r in rows if f in r] for f in FIGURES}
-               for name, rows in measured.items()}
+    figures = {
+        name: {f: [round(r[f], 3) for r in rows if f in r] for f in FIGURES}
+        for name, rows in measured.items()
+    }
     folder = out if out.name == bench.name else out / bench.name
     folder.mkdir(parents=True, exist_ok=True)
     whole = {"bench": bench.name, "subjects": figures}
@@ -234,12 +267,16 @@
         return 0
     print(f"{'median (least to most)':24}" + "".join(f"{f:>26}" for f in FIGURES))
     for name in subjects:
-        cells = [f"{statistics.median(v):.4g} ({min(v):.4g} to {max(v):.4g})" if v else "-"
-                 for v in figures[name].values()]
+        cells = [
+            f"{statistics.median(v):.4g} ({min(v):.4g} to {max(v):.4g})" if v else "-"
+            for v in figures[name].values()
+        ]
         print(f"{name:24}" + "".join(f"{cell:>26}" for cell in cells))
     added = statistics.median(figures["this tree"]["p50_us"]) - statistics.median(figures["direct"]["p50_us"])
-    print(f"per_s={statistics.median(figures['this tree']['per_s']):.0f} "
-          f"cpu_us={statistics.median(figures['this tree']['cpu_us']):.0f} added_p50_us={added:.0f} "
-          f"rss_mb={statistics.median(figures['this tree']['rss_mb']):.1f} "
-          f"idle_kb={statistics.median(figures['this tree']['idle_kb']):.2f}")
+    print(
+        f"per_s={statistics.median(figures['this tree']['per_s']):.0f} "
+        f"cpu_us={statistics.median(figures['this tree']['cpu_us']):.0f} added_p50_us={added:.0f} "
+        f"rss_mb={statistics.median(figures['this tree']['rss_mb']):.1f} "
+        f"idle_kb={statistics.median(figures['this tree']['idle_kb']):.2f}"
+    )
     return 0
--- a/rainspindle/lab/canary_figures.py
+++ b/rainspindle/lab/canary_figures.py
@@ -40,8 +40,11 @@
 
 
 RELEASES: tuple[tuple[str, Bad], ...] = (
-    ("all fail", all_fail), ("a tenth is late", a_tenth),
-    ("0.3 fail from 25% of the keys on", from_a_quarter), ("half of the binding ones fail", binding_alone))
+    ("all fail", all_fail),
+    ("a tenth is late", a_tenth),
+    ("0.3 fail from 25% of the keys on", from_a_quarter),
+    ("half of the binding ones fail", binding_alone),
+)
 
 
 class All:
@@ -62,6 +65,7 @@
                 kind = counts.EFFECTS.index(effect)
                 for ring in (self.long, self.short):
                     ring.add(now, *([counts.at(new, kind)] + [counts.at(new, kind, True)] * bad))
+
         canary.ended = both  # type: ignore[attr-defined]
 
     def look(self) -> None:
@@ -91,8 +95,11 @@
 def play(seed: int, size: int, bad: Bad, alone: bool, horizon: float = HORIZON, loss: float = 0.0) -> Day:
     terms = TERMS
     if alone:  # each has a part of what all see together, and takes a part of the evidence for enough
-        terms = replace(TERMS, steps=tuple(replace(s, exchanges=max(1, s.exchanges // size))
-                                           for s in TERMS.steps), each_effect=0)
+        terms = replace(
+            TERMS,
+            steps=tuple(replace(s, exchanges=max(1, s.exchanges // size)) for s in TERMS.steps),
+            each_effect=0,
+        )
     net = net_of(seed, size, terms, alone, loss)
     net.run(2.0)
     nodes = list(net.nodes.values())
@@ -124,8 +131,10 @@
 
 
 def harm(sizes: tuple[int, ...]) -> None:
-    print("| release | sidecars | shared: harmed | until stopped | alone: harmed | until stopped "
-          "| no canary: harmed |\n| --- | --- | --- | --- | --- | --- | --- |")
+    print(
+        "| release | sidecars | shared: harmed | until stopped | alone: harmed | until stopped "
+        "| no canary: harmed |\n| --- | --- | --- | --- | --- | --- | --- |"
+    )
     for name, bad in RELEASES:
         for size in sizes:
             shared = [play(seed, size, bad, alone=False) for seed in SEEDS]
@@ -148,11 +157,16 @@
     print("| --- | --- | --- | --- |")
     for size in sizes:
         for loss in (0.0, 0.3) if size <= 100 else (0.0,):
-            days = [play(seed, size, bad, False, loss=loss)
-                    for seed in range(4, 9 if size < 100 else 7) for bad in (all_fail, a_tenth)]
+            days = [
+                play(seed, size, bad, False, loss=loss)
+                for seed in range(4, 9 if size < 100 else 7)
+                for bad in (all_fail, a_tenth)
+            ]
             times = [d.told for d in days]
-            print(f"| {size:,} | {loss:.0%} | {statistics.median(times):.1f} s | {max(times):.1f} s |",
-                  flush=True)
+            print(
+                f"| {size:,} | {loss:.0%} | {statistics.median(times):.1f} s | {max(times):.1f} s |",
+                flush=True,
+            )
 
 
 def good(sizes: tuple[int, ...]) -> None:
@@ -161,8 +175,11 @@
         ends = []
         for alone in (False, True):
             days = [play(seed, size, lambda new, effect, part: BASE, alone, horizon=7200.0) for seed in SEEDS]
-            ends.append(figure([d.ended for d in days]) + " s" if all(
-                d.stages >= 3 and d.ended < 7200 for d in days) else "not within 7,200 s")
+            ends.append(
+                figure([d.ended for d in days]) + " s"
+                if all(d.stages >= 3 and d.ended < 7200 for d in days)
+                else "not within 7,200 s"
+            )
         print(f"| {size:,} | {ends[0]} | {ends[1]} |", flush=True)
 
 
@@ -179,8 +196,12 @@
 
     def trouble(now: float) -> float:  # of 90 s in each ten minutes, of changing strength
         return 0.05 + 0.4 * ((now // 600) % 5) / 4 if now % 600 < 90 else BASE
-    for name, share in (("quiet, 0.4% fail", quiet(BASE)), ("quiet, 2% fail", quiet(0.02)), (
-                            "general trouble, 5% to 45% fail, 90 s of each 600 s", trouble)):
+
+    for name, share in (
+        ("quiet, 0.4% fail", quiet(BASE)),
+        ("quiet, 2% fail", quiet(0.02)),
+        ("general trouble, 5% to 45% fail, 90 s of each 600 s", trouble),
+    ):
         paused = aborted = 0
         for seed in range(hours):
             net = net_of(100 + seed, 5, terms, False)
@@ -196,8 +217,11 @@
 
 def main(what: list[str]) -> None:
     parts: dict[str, Callable[[], None]] = {
-        "harm": lambda: harm((5, 50, 1000)), "told": lambda: told((5, 50, 1000)),
-        "good": lambda: good((5, 50)), "false": lambda: false_stops(20)}
+        "harm": lambda: harm((5, 50, 1000)),
+        "told": lambda: told((5, 50, 1000)),
+        "good": lambda: good((5, 50)),
+        "false": lambda: false_stops(20),
+    }
     for name in what or list(parts):
         parts[name]()
         print(flush=True)
--- a/rainspindle/lab/canary_load.py
+++ b/rainspindle/lab/canary_load.py
@@ -15,8 +15,10 @@
 from .sockets.run import reserve_port
 
 # Times that no endpoint here takes, on a loaded machine neither: it answers or is gone.
-TYPES = ({"name": "read", "effect": "read_like", "promised-time": 3000.0, "expiry": 10000.0},
-         {"name": "submit", "effect": "non_idempotent", "promised-time": 3000.0, "expiry": 10000.0})
+TYPES = (
+    {"name": "read", "effect": "read_like", "promised-time": 3000.0, "expiry": 10000.0},
+    {"name": "submit", "effect": "non_idempotent", "promised-time": 3000.0, "expiry": 10000.0},
+)
 KINDS = ("old", "new")
 How = Callable[[str], tuple[int, float]]  # by traffic type: status and seconds
 
@@ -45,8 +47,9 @@
             self.servers[name] = Endpoint(name, name[:3], self.answer, port)
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, fault: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+    ) -> None:
         for name in list(self.servers):
             self.end(name)
 
@@ -89,8 +92,9 @@
 class Clients:
     """One client at each sidecar, each asking so many times a second."""
 
-    def __init__(self, ports: dict[str, int], rate: float, types: Sequence[str] = ("read", "read", "submit")
-                 ) -> None:
+    def __init__(
+        self, ports: dict[str, int], rate: float, types: Sequence[str] = ("read", "read", "submit")
+    ) -> None:
         self.ports, self.rate, self.types = ports, rate, types
         self.asked: list[Asked] = []
         self.over = threading.Event()
@@ -101,8 +105,9 @@
             thread.start()
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, fault: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+    ) -> None:
         self.over.set()
         for thread in self.threads:
             thread.join()
@@ -118,8 +123,11 @@
             kind, key, id = self.types[n % len(self.types)], f"k{n % 997}", f"{name}-{n}"
             sent, status = time.monotonic(), 0
             try:
-                connection.request("GET", "/", headers={
-                    "X-Request-ID": id, "X-Priority-Class": kind, "Cookie": f"user={key}"})
+                connection.request(
+                    "GET",
+                    "/",
+                    headers={"X-Request-ID": id, "X-Priority-Class": kind, "Cookie": f"user={key}"},
+                )
                 answer = connection.getresponse()
                 answer.read()
                 status = answer.status
--- a/rainspindle/lab/canary_net.py
+++ b/rainspindle/lab/canary_net.py
@@ -40,8 +40,15 @@
         self.inbox: deque[Message] = deque()
         self.there: dict[str, float] = {}
         self.cells = Cells(self.name, self.life)
-        self.canary = Canary(self.net.now, self.net.terms_of(self.name), self.name, self.life, self,
-                             self.kept if self.folder else None, self.net.alone)
+        self.canary = Canary(
+            self.net.now,
+            self.net.terms_of(self.name),
+            self.name,
+            self.life,
+            self,
+            self.kept if self.folder else None,
+            self.net.alone,
+        )
         self.cells.on_change("canary/", self.changed)
 
     def changed(self, now: float, cell: Cell) -> None:
@@ -90,8 +97,15 @@
     STEP, FANOUT, ROOM = 0.1, 2, 64  # seconds; members told at each step; messages that a stopped one holds
     TOWARD = 50
 
-    def __init__(self, seed: int, size: int, terms: Terms, folder: bool = True, alone: bool = False,
-                 other_terms: dict[str, Terms] | None = None) -> None:
+    def __init__(
+        self,
+        seed: int,
+        size: int,
+        terms: Terms,
+        folder: bool = True,
+        alone: bool = False,
+        other_terms: dict[str, Terms] | None = None,
+    ) -> None:
         self.random, self.now, self.terms, self.alone = random.Random(seed), 1000.0, terms, alone
         self.other_terms = other_terms or {}
         self.events: list[tuple[float, str, str, dict[str, object]]] = []
@@ -117,8 +131,13 @@
         seen = node.cells.read(node.name, name)
         assert seen is not None
         for other in self.random.sample(list(self.nodes.values()), min(self.TOWARD, len(self.nodes))):
-            if other is not node and other.alive and self.passes(node.name, other.name) \
-                    and self.random.random() >= self.loss and len(other.inbox) < self.ROOM:
+            if (
+                other is not node
+                and other.alive
+                and self.passes(node.name, other.name)
+                and self.random.random() >= self.loss
+                and len(other.inbox) < self.ROOM
+            ):
                 at = self.now + self.random.random() * self.delay
                 other.inbox.append((at, node.name, [(seen.cell, 0.0)], {}))
 
@@ -126,8 +145,12 @@
         return self.group.get(sender, 0) == self.group.get(to, 0) and (sender, to) not in self.deaf
 
     def seen_by(self, node: Node) -> Sequence[Member]:
-        return [Member(name, NOWHERE, 1, 0, Standing.ALIVE if self.now - at <= DEAD_AFTER else Standing.DEAD,
-                       at, at) for name, at in {**node.there, node.name: self.now}.items()]
+        return [
+            Member(
+                name, NOWHERE, 1, 0, Standing.ALIVE if self.now - at <= DEAD_AFTER else Standing.DEAD, at, at
+            )
+            for name, at in {**node.there, node.name: self.now}.items()
+        ]
 
     def gossip(self) -> None:
         if self.alone:
@@ -137,15 +160,23 @@
             if not node.runs():
                 continue
             node.there[node.name] = self.now
-            cells = [(seen.cell, 0.0 if seen.cell.owner == node.name else self.now - seen.heard)
-                     for seen in node.cells.all()]
+            cells = [
+                (seen.cell, 0.0 if seen.cell.owner == node.name else self.now - seen.heard)
+                for seen in node.cells.all()
+            ]
             for name in self.random.sample(names, min(self.FANOUT + 1, len(names))):
                 other = self.nodes[name]
-                if other is node or not other.alive or not self.passes(node.name, name) \
-                        or self.random.random() < self.loss or len(other.inbox) >= self.ROOM:
+                if (
+                    other is node
+                    or not other.alive
+                    or not self.passes(node.name, name)
+                    or self.random.random() < self.loss
+                    or len(other.inbox) >= self.ROOM
+                ):
                     continue
-                other.inbox.append((self.now + self.random.random() * self.delay, node.name, cells,
-                                    dict(node.there)))
+                other.inbox.append(
+                    (self.now + self.random.random() * self.delay, node.name, cells, dict(node.there))
+                )
 
     def step(self) -> None:
         self.now += self.STEP
@@ -186,8 +217,9 @@
                 other.inbox.append((at, node.name, [(seen.cell, 0.0)], {}))
 
     def gossip(self) -> None:
-        self.all_there = [Member(name, NOWHERE, 1, 0, Standing.ALIVE, self.now, self.now)
-                          for name in self.nodes]
+        self.all_there = [
+            Member(name, NOWHERE, 1, 0, Standing.ALIVE, self.now, self.now) for name in self.nodes
+        ]
         for node in self.nodes.values():
             if node.inbox:
                 node.inbox = deque(sorted(node.inbox, key=lambda message: message[0]))
@@ -199,8 +231,14 @@
 class Traffic:
     """Exchanges of a key space at every sidecar, and how a release treats them."""
 
-    def __init__(self, net: Net, rate: float, bad: Callable[[bool, Effect, float], float],
-                 effects: Sequence[tuple[Effect, float]] = MIX, keys: int = 20_000) -> None:
+    def __init__(
+        self,
+        net: Net,
+        rate: float,
+        bad: Callable[[bool, Effect, float], float],
+        effects: Sequence[tuple[Effect, float]] = MIX,
+        keys: int = 20_000,
+    ) -> None:
         """`rate`: exchanges a second at each sidecar. `bad` gives the part that fails or is late, of the new
         side or the old one, of an effect, at this part of the keys on the new side."""
         self.net, self.rate, self.bad, self.keys = net, rate, bad, keys
--- a/rainspindle/lab/canary_pair.py
+++ b/rainspindle/lab/canary_pair.py
@@ -29,8 +29,9 @@
     def __init__(self, pair: Pair) -> None:
         self.pair = pair
 
-    def forward(self, given: Given, endpoint: str, address: Any, until: float, before: Any, after: Any,
-                started: Any) -> Coroutine[Forwarded]:
+    def forward(
+        self, given: Given, endpoint: str, address: Any, until: float, before: Any, after: Any, started: Any
+    ) -> Coroutine[Forwarded]:
         loop, (outcome, takes) = self.pair.loop, self.pair.how(endpoint)
         self.pair.sent.append((given.key or "", endpoint))
         ends = loop.now() + takes
@@ -43,35 +44,58 @@
     def keep_only(self, endpoints: Any) -> None: ...
 
 
-TYPES = [{"name": name, "effect": effect, "promised-time": 600.0, "expiry": 2000.0, "memory-span": 150.0}
-         for name, effect in (("read", "read_like"), ("submit", "non_idempotent"),
-                              ("print", "idempotency_key"))]
+TYPES = [
+    {"name": name, "effect": effect, "promised-time": 600.0, "expiry": 2000.0, "memory-span": 150.0}
+    for name, effect in (("read", "read_like"), ("submit", "non_idempotent"), ("print", "idempotency_key"))
+]
 
 
 class Pair:
     """A sidecar's cores for one table, in virtual time; `start`ed, it is the only member."""
 
-    def __init__(self, how: Callable[[str], tuple[Outcome, float]], limits: dict[str, Any] | None = None,
-                 forwards: int = 3, peers: bool = False, **table: Any) -> None:
+    def __init__(
+        self,
+        how: Callable[[str], tuple[Outcome, float]],
+        limits: dict[str, Any] | None = None,
+        forwards: int = 3,
+        peers: bool = False,
+        **table: Any,
+    ) -> None:
         self.clock, self.how = Clock(), how
         self.loop = VirtualLoop(self.clock, self.fault)
         self.sent: list[tuple[str, str]] = []
-        raw = {"zone": 0, "peers-total": 1, "traffic-types": TYPES,
-               "policy-limits": {"max-forwards": forwards, "peers": peers}, "contract": {
-                   "fall-multiple": 2.5, "tip-after": 3000.0, "cold-from": 0.15, "cold": 24000.0,
-                   "ask-within": 10000.0, **(limits or {})}}
-        settings = SimpleNamespace(type_names=("read", "submit", "print"), kinds=("fast", "new"),
-                                   memory_spans=(math.inf, math.inf, 0.15))
+        raw = {
+            "zone": 0,
+            "peers-total": 1,
+            "traffic-types": TYPES,
+            "policy-limits": {"max-forwards": forwards, "peers": peers},
+            "contract": {
+                "fall-multiple": 2.5,
+                "tip-after": 3000.0,
+                "cold-from": 0.15,
+                "cold": 24000.0,
+                "ask-within": 10000.0,
+                **(limits or {}),
+            },
+        }
+        settings = SimpleNamespace(
+            type_names=("read", "submit", "print"),
+            kinds=("fast", "new"),
+            memory_spans=(math.inf, math.inf, 0.15),
+        )
         config: Any = SimpleNamespace(seed=1, raw_settings=raw, settings=settings)
         self.config = config
-        self.part = msgspec.convert({"name": "c", "stages": [{"part": 0.5, "time": 1000, "exchanges": 10}],
-                                     **table}, type=CanaryPart)
-        self.core = split_core(self.loop, self.config, [self.part], lambda directory: FakeBack(self),
-                               lambda: None, lambda: None)
+        self.part = msgspec.convert(
+            {"name": "c", "stages": [{"part": 0.5, "time": 1000, "exchanges": 10}], **table}, type=CanaryPart
+        )
+        self.core = split_core(
+            self.loop, self.config, [self.part], lambda directory: FakeBack(self), lambda: None, lambda: None
+        )
         members = SimpleNamespace(own_name="me", own_life=1, members=lambda: [])
         self.cells = Cells("me", 1)
-        ground: Any = SimpleNamespace(loop=self.loop, config=self.config, members=members, cells=self.cells,
-                                      folder=None)
+        ground: Any = SimpleNamespace(
+            loop=self.loop, config=self.config, members=members, cells=self.cells, folder=None
+        )
         self.run = CanaryRun(ground, [self.part], wall=lambda: 5.0)
         self.taker = self.run.taker(self.core)
         self.tick()
@@ -86,8 +110,9 @@
         self.clock.at(self.loop.now() + 0.25, self.tick)
 
     def list_now(self, lines: tuple[Listed, ...], whole: bool = True) -> None:
-        self.core.list_changed(lines, {ln.id: ("127.0.0.1", 1) for ln in lines
-                                       if ln.state is not State.GONE}, whole, False)
+        self.core.list_changed(
+            lines, {ln.id: ("127.0.0.1", 1) for ln in lines if ln.state is not State.GONE}, whole, False
+        )
 
     def go(self, seconds: float) -> None:
         self.clock.env.run(until=self.loop.now() + seconds)
@@ -103,6 +128,7 @@
         def one() -> Coroutine[None]:
             given = Given(type_index, key, None, False, self.loop.now() + 2.0, None)
             finals.append((yield from self.taker.run(given, lambda: False)))
+
         self.loop.spawn(one())
         self.go(2.5)
         return finals[0]
--- a/rainspindle/lab/claimcheck.py
+++ b/rainspindle/lab/claimcheck.py
@@ -64,13 +64,25 @@
 
 
 def freeze(ledger: Ledger) -> tuple[Any, ...]:
-    return (tuple(sorted((epoch, tuple((id, s.value) for id, s in e.names.items()), e.floor)
-                         for epoch, e in ledger.epochs.items())), ledger.epoch_floor)
+    return (
+        tuple(
+            sorted(
+                (epoch, tuple((id, s.value) for id, s in e.names.items()), e.floor)
+                for epoch, e in ledger.epochs.items()
+            )
+        ),
+        ledger.epoch_floor,
+    )
 
 
 class Checker:
-    def __init__(self, size: Size, make_ledger: Callable[[int, int], Ledger] = Ledger,
-                 make_claim: Callable[[], Claim] = Claim, epochs_matter: bool = True) -> None:
+    def __init__(
+        self,
+        size: Size,
+        make_ledger: Callable[[int, int], Ledger] = Ledger,
+        make_claim: Callable[[], Claim] = Claim,
+        epochs_matter: bool = True,
+    ) -> None:
         """Other ledgers and claims, and `epochs_matter`, are for planting faults."""
         self.size, self.make_ledger, self.make_claim = size, make_ledger, make_claim
         self.epochs_matter = epochs_matter
@@ -107,8 +119,11 @@
             ledger = self.ledger(w)
             ledger.welcome(w.sender_epoch)
             back = tuple(("answer", i) for epoch, i in sorted(w.kept) if epoch == w.sender_epoch)
-            there = tuple(("revoke", i, x.epoch) for i, x in enumerate(w.exchanges)
-                          if x.claim is not None and x.claim[1])
+            there = tuple(
+                ("revoke", i, x.epoch)
+                for i, x in enumerate(w.exchanges)
+                if x.claim is not None and x.claim[1]
+            )
             line = Line(True, True, w.sender_epoch, w.receiver_epoch, there, back)
             kept = frozenset(k for k in w.kept if k[0] != w.sender_epoch)
             yield "connected", replace(w, lines=(*w.lines, line), ledger=freeze(ledger), kept=kept)
@@ -159,19 +174,27 @@
                 if not claim.written and line.sender:
                     claim.was_written()
                     there = (*line.there, ("open", i, w.sender_epoch))
-                    yield f"{i} is written", put(self.act(w, i, claim, Step.WAIT), x.line,
-                                                 replace(line, there=there))
+                    yield (
+                        f"{i} is written",
+                        put(self.act(w, i, claim, Step.WAIT), x.line, replace(line, there=there)),
+                    )
                 if claim.written:
                     ended = replace(answered(x, "terminated"), claim=(True, False, claim.started, True))
                     yield f"{i} expires", self.revoke(put_exchange(w, i, ended), i)
                 else:
-                    yield f"{i} expires half written", put_exchange(
-                        w, i, replace(answered(x, "rejected"), claim=(False, False, False, True)))
+                    yield (
+                        f"{i} expires half written",
+                        put_exchange(
+                            w, i, replace(answered(x, "rejected"), claim=(False, False, False, True))
+                        ),
+                    )
         if w.sender_epoch <= self.size.sender_restarts:
             lines = tuple(replace(line, sender=False, back=()) for line in w.lines)
             exchanges = tuple(x if x.final or x.claim is None else answered(x, "killed") for x in w.exchanges)
-            yield "sender restarts", replace(w, lines=lines, exchanges=exchanges,
-                                             sender_epoch=w.sender_epoch + 1)
+            yield (
+                "sender restarts",
+                replace(w, lines=lines, exchanges=exchanges, sender_epoch=w.sender_epoch + 1),
+            )
 
     def receiver(self, w: World) -> Iterator[Next]:
         for epoch, i in w.running:
@@ -187,9 +210,17 @@
                 yield f"{i} answered, kept", replace(after, kept=w.kept | {(epoch, i)})
         if w.receiver_epoch <= self.size.receiver_restarts:
             lines = tuple(replace(line, receiver=False, there=()) for line in w.lines)
-            yield "receiver restarts", replace(
-                w, lines=lines, ledger=((), 0), running=frozenset(), kept=frozenset(),
-                receiver_epoch=w.receiver_epoch + 1)
+            yield (
+                "receiver restarts",
+                replace(
+                    w,
+                    lines=lines,
+                    ledger=((), 0),
+                    running=frozenset(),
+                    kept=frozenset(),
+                    receiver_epoch=w.receiver_epoch + 1,
+                ),
+            )
 
     def at_receiver(self, w: World, n: int, frame: Any) -> World:
         line, ledger = w.lines[n], self.ledger(w)
@@ -220,8 +251,13 @@
     # The search.
 
     def run(self, most: int = 10_000_000) -> Found:
-        return explore(World(tuple(Exchange() for _ in range(self.size.exchanges))), self.steps, violation,
-                       lambda w: all(x.final for x in w.exchanges), most)
+        return explore(
+            World(tuple(Exchange() for _ in range(self.size.exchanges))),
+            self.steps,
+            violation,
+            lambda w: all(x.final for x in w.exchanges),
+            most,
+        )
 
 
 def made_names(names: tuple[tuple[int, str], ...]) -> Any:
@@ -233,11 +269,11 @@
 
 
 def put(w: World, n: int, line: Line) -> World:
-    return replace(w, lines=(*w.lines[:n], line, *w.lines[n + 1:]))
+    return replace(w, lines=(*w.lines[:n], line, *w.lines[n + 1 :]))
 
 
 def put_exchange(w: World, i: int, x: Exchange) -> World:
-    return replace(w, exchanges=(*w.exchanges[:i], x, *w.exchanges[i + 1:]))
+    return replace(w, exchanges=(*w.exchanges[:i], x, *w.exchanges[i + 1 :]))
 
 
 def violation(w: World) -> str:
--- a/rainspindle/lab/command.py
+++ b/rainspindle/lab/command.py
@@ -18,8 +18,18 @@
 from .experiment import Experiment, ExperimentFault, load
 
 BAD_INPUT, MISSED, STOPPED = 2, 3, 130
-SHOWN = ("goodput", "rejected", "terminated", "p50_ms", "p99_ms", "tries", "busiest", "recovery_s",
-         "rules_broken", "executions_twice")
+SHOWN = (
+    "goodput",
+    "rejected",
+    "terminated",
+    "p50_ms",
+    "p99_ms",
+    "tries",
+    "busiest",
+    "recovery_s",
+    "rules_broken",
+    "executions_twice",
+)
 
 
 def add_to(commands: Any) -> None:
@@ -29,8 +39,10 @@
 
     def verb(name: str, help: str, example: str) -> argparse.ArgumentParser:
         made: argparse.ArgumentParser = verbs.add_parser(
-            name, help=help, description=help, epilog=f"Example: rainspindle lab {example}")
+            name, help=help, description=help, epilog=f"Example: rainspindle lab {example}"
+        )
         return made
+
     run = verb("run", "play an experiment", "run experiments/first-day.toml --mode sockets")
     run.add_argument("file")
     run.add_argument("--mode", choices=("virtual", "sockets"), help="default: as the file says")
@@ -39,8 +51,9 @@
     run.add_argument("--jobs", type=int, metavar="N", help="runs at once")
     run.add_argument("--out", metavar="DIR", help="default: lab-out/NAME-MODE")
     run.add_argument("--json", action="store_true", help="the results on standard output")
-    both = verb("compare", "hold two results against each other, paired by seed",
-                "compare lab-out/a lab-out/b:random")
+    both = verb(
+        "compare", "hold two results against each other, paired by seed", "compare lab-out/a lab-out/b:random"
+    )
     both.add_argument("before", metavar="DIR[:VARIANT]")
     both.add_argument("after", metavar="DIR[:VARIANT]")
     both.add_argument("--json", action="store_true")
@@ -68,6 +81,7 @@
 def stoppable() -> Iterator[None]:
     def stop(number: int, frame: object) -> None:
         raise Stopped
+
     before = signal.signal(signal.SIGTERM, stop)
     try:
         yield
@@ -104,6 +118,7 @@
     try:
         runs.write(out, found, played)
         from . import report
+
         path = report.write(out, found)
     except OSError as fault:
         print(f"rainspindle: {fault.filename}: {fault.strerror}", file=sys.stderr)
@@ -125,6 +140,7 @@
     def __init__(self, x: Experiment, mode: str, total: int, jobs: int) -> None:
         from rich.console import Console
         from rich.progress import Progress as Bar
+
         self.bar = Bar(console=Console(stderr=True), disable=not sys.stderr.isatty(), transient=True)
         self.task = self.bar.add_task(f"{x.name}, {mode}", total=total * (x.length + x.settle))
         self.length, self.finished, self.shown = x.length + x.settle, 0, 0.0
@@ -149,6 +165,7 @@
 def show(found: dict[str, Any]) -> None:
     from rich.console import Console
     from rich.table import Table
+
     seeds = ", ".join(map(str, found["seeds"]))
     table = Table(title=f"{found['experiment']}, {found['mode']}, seeds {seeds}")
     table.add_column("variant")
@@ -163,11 +180,27 @@
 def compared(options: argparse.Namespace) -> int:
     differences = compare.compare(options.before, options.after)
     if options.json:
-        print(json.dumps([{"figure": d.figure, "before": d.before, "after": d.after, "low": d.low,
-                           "high": d.high, "pairs": d.pairs, "shown": d.shown} for d in differences]))
+        print(
+            json.dumps(
+                [
+                    {
+                        "figure": d.figure,
+                        "before": d.before,
+                        "after": d.after,
+                        "low": d.low,
+                        "high": d.high,
+                        "pairs": d.pairs,
+                        "shown": d.shown,
+                    }
+                    for d in differences
+                ]
+            )
+        )
         return 0
-    print(f"{options.before} -> {options.after}, {differences[0].pairs} pairs; "
-          f"the {compare.PART:.0%} interval of the difference")
+    print(
+        f"{options.before} -> {options.after}, {differences[0].pairs} pairs; "
+        f"the {compare.PART:.0%} interval of the difference"
+    )
     for difference in differences:
         print(difference)
     return 0
@@ -175,6 +208,7 @@
 
 def reported(options: argparse.Namespace) -> int:
     from . import report
+
     found, _ = compare.read(options.dir)
     print(report.write(Path(options.dir), found))
     return 0
--- a/rainspindle/lab/compare.py
+++ b/rainspindle/lab/compare.py
@@ -12,8 +12,21 @@
 from ..errors import Trouble
 
 DRAWS, PART, FEWEST = 4000, 0.95, 3
-FIGURES = ("goodput", "finished", "rejected", "terminated", "p50_ms", "p99_ms", "tries", "busiest", "wasted",
-           "worst_second", "recovery_s", "rules_broken", "executions_twice")
+FIGURES = (
+    "goodput",
+    "finished",
+    "rejected",
+    "terminated",
+    "p50_ms",
+    "p99_ms",
+    "tries",
+    "busiest",
+    "wasted",
+    "worst_second",
+    "recovery_s",
+    "rules_broken",
+    "executions_twice",
+)
 
 
 class Unreadable(Trouble):
@@ -36,10 +49,16 @@
         return self.pairs >= FEWEST and not self.low <= 0 <= self.high
 
     def __str__(self) -> str:
-        verdict = "" if self.shown else "  no difference shown" + (
-            f" ({self.pairs} pairs are too few)" if self.pairs < FEWEST else "")
-        return (f"{self.figure:18} {self.before:12.4f} -> {self.after:12.4f}  "
-                f"[{self.low:+.4f}, {self.high:+.4f}]{verdict}")
+        verdict = (
+            ""
+            if self.shown
+            else "  no difference shown"
+            + (f" ({self.pairs} pairs are too few)" if self.pairs < FEWEST else "")
+        )
+        return (
+            f"{self.figure:18} {self.before:12.4f} -> {self.after:12.4f}  "
+            f"[{self.low:+.4f}, {self.high:+.4f}]{verdict}"
+        )
 
 
 def read(place: str) -> tuple[dict[str, Any], str]:
--- a/rainspindle/lab/crashstates.py
+++ b/rainspindle/lab/crashstates.py
@@ -71,7 +71,7 @@
     def read(self, name: str, most: int) -> bytes:
         if name not in self.names_now:
             raise FileNotFoundError(2, "no such file")
-        return self.names_now[name].data[:most + 1]
+        return self.names_now[name].data[: most + 1]
 
     def write(self, name: str, data: bytes) -> None:
         self.begin()
@@ -131,9 +131,19 @@
         return
     old, new = inode.durable, inode.data
     half = len(new) // 2
-    yield from dict.fromkeys((
-        old, b"", new[:half], bytes(len(new)), new[:half] + bytes(len(new) - half), bytes(half) + new[half:],
-        new[:half] + old[half:], old[:half] + new[half:], new))
+    yield from dict.fromkeys(
+        (
+            old,
+            b"",
+            new[:half],
+            bytes(len(new)),
+            new[:half] + bytes(len(new) - half),
+            bytes(half) + new[half:],
+            new[:half] + old[half:],
+            old[:half] + new[half:],
+            new,
+        )
+    )
 
 
 # Writers with a fault.
@@ -225,11 +235,15 @@
 
 
 FAULTS: dict[str, type[Generations]] = {
-    "no sync of the file": NoFileSync, "no sync of the folder": NoFolderSync,
+    "no sync of the file": NoFileSync,
+    "no sync of the folder": NoFolderSync,
     "renamed, and those before removed, before its bytes are synced": RenamedFirst,
-    "the generation before overwritten in place": InPlace, "no checksum": NoChecksum,
-    "those before removed too early": PrunedFirst, "acknowledged too early": Early,
-    "the generation before not kept": NoPrevious}
+    "the generation before overwritten in place": InPlace,
+    "no checksum": NoChecksum,
+    "those before removed too early": PrunedFirst,
+    "acknowledged too early": Early,
+    "the generation before not kept": NoPrevious,
+}
 # An order that would be a fault with one file; here the generation before stands in until the sync.
 HARMLESS: dict[str, type[Generations]] = {"renamed before its bytes are synced": NamedEarly}
 
@@ -269,6 +283,7 @@
         def stopped() -> None:
             for state in files.states():
                 self.judge(state, dict(sent), latest[0], again)
+
         files.stopped_at = stopped
         first = len(sent) + 1
         for n in range(first, first + writes):
@@ -318,8 +333,11 @@
         whole = {name: inode.data for name, inode in files.names_now.items()}
         for name, data in whole.items():
             cut = [data[:n] for n in range(len(data))] + [data + b"x"]
-            wrong = [data[:n] + bytes([data[n] ^ bits]) + data[n + 1:]
-                     for n in range(len(data)) for bits in (1, 0x80, 0xFF)]
+            wrong = [
+                data[:n] + bytes([data[n] ^ bits]) + data[n + 1 :]
+                for n in range(len(data))
+                for bits in (1, 0x80, 0xFF)
+            ]
             for one in cut + wrong:
                 self.spoilt += 1
                 self.look(Recorded.of({**whole, name: one}), sent, self.writes - 1, f"{name} spoilt")
@@ -329,9 +347,17 @@
     writers: dict[str, type[Generations]] = {"as it is": Generations, **HARMLESS, **FAULTS}
     rows = {name: Check(make).run() for name, make in writers.items()}
     for name, check in rows.items():
-        print(json.dumps({
-            "writer": name, "states": check.states, "spoilt": check.spoilt, "found": len(check.found),
-            "first": check.found[0] if check.found else None}))
+        print(
+            json.dumps(
+                {
+                    "writer": name,
+                    "states": check.states,
+                    "spoilt": check.spoilt,
+                    "found": len(check.found),
+                    "first": check.found[0] if check.found else None,
+                }
+            )
+        )
     return 0 if all(bool(check.found) == (name in FAULTS) for name, check in rows.items()) else 3
 
 
--- a/rainspindle/lab/decide.py
+++ b/rainspindle/lab/decide.py
@@ -19,8 +19,15 @@
         if variant.policy == "module":
             return make_balancer(host, seed, now, settings)
         limits = settings["policy-limits"]
-        return make_baseline(host, variant.policy, seed, [traffic_type(t) for t in settings["traffic-types"]],
-                             limits["max-forwards"], limits["max-retry-after"] / 1000)
+        return make_baseline(
+            host,
+            variant.policy,
+            seed,
+            [traffic_type(t) for t in settings["traffic-types"]],
+            limits["max-forwards"],
+            limits["max-retry-after"] / 1000,
+        )
+
     return make
 
 
@@ -34,8 +41,9 @@
             cls = getattr(logic, owner, None)
             old = getattr(cls, constant, None) if isinstance(cls, type) and constant.isupper() else None
             if not isinstance(old, int | float) or not isinstance(cls, type):
-                raise ExperimentFault(f"variant {variant.name}",
-                                      [f"knobs.{name}: the module has no such constant"])
+                raise ExperimentFault(
+                    f"variant {variant.name}", [f"knobs.{name}: the module has no such constant"]
+                )
             before.append((cls, constant, old))
             setattr(cls, constant, type(old)(value))
         yield
--- a/rainspindle/lab/experiment.py
+++ b/rainspindle/lab/experiment.py
@@ -24,8 +24,20 @@
 Span = Annotated[tuple[float, float], BeforeValidator(lambda v: tuple(v) if isinstance(v, list) else v)]
 
 Policy = Literal["module", "random", "round_robin", "least_outstanding", "plain_hash"]
-FaultKind = Literal["crash", "silent", "hang", "slow", "pauses", "errors", "drain",
-                    "link_silent", "link_slow", "list_outage", "sidecar_crash", "sidecar_freeze"]
+FaultKind = Literal[
+    "crash",
+    "silent",
+    "hang",
+    "slow",
+    "pauses",
+    "errors",
+    "drain",
+    "link_silent",
+    "link_slow",
+    "list_outage",
+    "sidecar_crash",
+    "sidecar_freeze",
+]
 AT_SIDECARS = ("sidecar_crash", "sidecar_freeze")
 AT_ENDPOINTS = ("crash", "silent", "hang", "slow", "pauses", "errors", "drain")
 
@@ -224,19 +236,51 @@
 
     def as_played(self, variant: Variant) -> Experiment:
         """With the variant's other settings in place."""
-        changed = {"limits": {**self.limits.model_dump(), **variant.limits},
-                   "clients": {**self.clients.model_dump(), **variant.clients}}
+        changed = {
+            "limits": {**self.limits.model_dump(), **variant.limits},
+            "clients": {**self.clients.model_dump(), **variant.clients},
+        }
         if self.sites is not None:
             changed["sites"] = {**self.sites.model_dump(), **variant.sites}
         return Experiment.model_validate({**self.model_dump(), **changed})
 
 
-FIGURES = ("goodput", "offered", "finished", "late", "rejected", "terminated", "left", "p50_ms", "p90_ms",
-           "p99_ms", "tries", "forwards", "busiest", "rules_broken", "executions_twice", "falls",
-           "recovery_s", "worst_second", "failures_met", "wasted", "site_best", "site_worst", "site_back_s",
-           "calls", "calls_most", "calls_refused", "handshakes", "handshakes_most", "handshakes_refused",
-           "trials", "trials_vain", "trials_most", "cold_most",
-           "cells")  # these from "calls" on in virtual time alone
+FIGURES = (
+    "goodput",
+    "offered",
+    "finished",
+    "late",
+    "rejected",
+    "terminated",
+    "left",
+    "p50_ms",
+    "p90_ms",
+    "p99_ms",
+    "tries",
+    "forwards",
+    "busiest",
+    "rules_broken",
+    "executions_twice",
+    "falls",
+    "recovery_s",
+    "worst_second",
+    "failures_met",
+    "wasted",
+    "site_best",
+    "site_worst",
+    "site_back_s",
+    "calls",
+    "calls_most",
+    "calls_refused",
+    "handshakes",
+    "handshakes_most",
+    "handshakes_refused",
+    "trials",
+    "trials_vain",
+    "trials_most",
+    "cold_most",
+    "cells",
+)  # these from "calls" on in virtual time alone
 
 
 def load(path: str | Path, **changes: Any) -> Experiment:
@@ -292,9 +336,12 @@
 def unfit(x: Experiment) -> Iterator[str]:
     """What is wrong between values that are each well formed."""
     zones = x.fleet.zones
-    for what, names in (("fleet.zones", zones), ("traffic", [t.name for t in x.traffic]),
-                        ("variants", [v.name for v in x.variants]),
-                        ("fleet.kinds", [k.name for k in x.fleet.kinds])):
+    for what, names in (
+        ("fleet.zones", zones),
+        ("traffic", [t.name for t in x.traffic]),
+        ("variants", [v.name for v in x.variants]),
+        ("fleet.kinds", [k.name for k in x.fleet.kinds]),
+    ):
         for twice in sorted({n for n in names if names.count(n) > 1}):
             yield f"{what}: {twice!r} is there twice"
     for n, kind in enumerate(x.fleet.kinds):
@@ -345,13 +392,17 @@
                 yield f"variants[{n}].{name}: only the module has any, in virtual time, without sites"
         if v.sites and x.sites is None:
             yield f"variants[{n}].sites: there is no [sites] to change"
-        for table, fields in (("limits", Limits.model_fields), ("clients", Clients.model_fields),
-                              ("sites", SitesTable.model_fields)):
+        for table, fields in (
+            ("limits", Limits.model_fields),
+            ("clients", Clients.model_fields),
+            ("sites", SitesTable.model_fields),
+        ):
             for key in getattr(v, table):
                 if key not in fields:
                     near = difflib.get_close_matches(key, list(fields), 1)
                     yield f"variants[{n}].{table}.{key}: unknown key" + (
-                        f"; the nearest known is {near[0]!r}" if near else "")
+                        f"; the nearest known is {near[0]!r}" if near else ""
+                    )
         yield from overlay(x, n, v)
     for name, bounds in x.expect.items():
         if name not in [v.name for v in x.variants]:
@@ -360,7 +411,8 @@
             if figure not in FIGURES:
                 near = difflib.get_close_matches(figure, FIGURES, 1)
                 yield f"expect.{name}.{figure}: no such figure" + (
-                    f"; the nearest known is {near[0]!r}" if near else "")
+                    f"; the nearest known is {near[0]!r}" if near else ""
+                )
 
 
 def overlay(x: Experiment, n: int, v: Variant) -> Iterator[str]:
--- a/rainspindle/lab/explore.py
+++ b/rainspindle/lab/explore.py
@@ -20,8 +20,13 @@
     whole: bool = False  # there was no state more
 
 
-def explore(first: W, steps: Callable[[W], Iterator[tuple[str, W]]], violation: Callable[[W], str],
-            ended: Callable[[W], bool], most: int = 10_000_000) -> Found:
+def explore(
+    first: W,
+    steps: Callable[[W], Iterator[tuple[str, W]]],
+    violation: Callable[[W], str],
+    ended: Callable[[W], bool],
+    most: int = 10_000_000,
+) -> Found:
     """From `first` by all `steps`, each with its name; stops at a state that `violation` names something of,
     or when `most` states are known."""
     found = Found()
--- a/rainspindle/lab/figures.py
+++ b/rainspindle/lab/figures.py
@@ -78,15 +78,21 @@
     found = {
         "goodput": float(got_value[warm].sum() / max(asked_value[warm].sum(), 1e-9)),
         "offered": operations / (x.length - x.warmup),
-        **{name: ends[name] / max(operations, 1) for name in
-           ("finished", "late", "rejected", "terminated", "left")},
-        "p50_ms": percent(0.5), "p90_ms": percent(0.9), "p99_ms": percent(0.99),
+        **{
+            name: ends[name] / max(operations, 1)
+            for name in ("finished", "late", "rejected", "terminated", "left")
+        },
+        "p50_ms": percent(0.5),
+        "p90_ms": percent(0.9),
+        "p99_ms": percent(0.99),
         "tries": tried / max(operations, 1),
         "forwards": len(ledger.runs) / max(len(ledger.asked), 1),
         "busiest": float(load.max() / load.mean()) if load.any() else 0.0,
-        "rules_broken": float(len(audit.breaks)), "executions_twice": float(audit.twice),
+        "rules_broken": float(len(audit.breaks)),
+        "executions_twice": float(audit.twice),
         "falls": float(audit.falls),
-        "recovery_s": recovery(world, good), "worst_second": float(good[warm].min()),
+        "recovery_s": recovery(world, good),
+        "worst_second": float(good[warm].min()),
         "failures_met": failed / x.sidecars.count,
         "wasted": wasted / max(float(work.sum()), 1e-9),
         **sites(world, by_zone),
@@ -97,7 +103,9 @@
         by_endpoint[run.endpoint, min(max(int(run.arrived), 0), seconds - 1)] += run.work
     edges = np.geomspace(0.001, 10, 61)
     series = {
-        "goodput": rounded(good), "asked": rounded(counts["asked"]), "rejected": rounded(counts["rejected"]),
+        "goodput": rounded(good),
+        "asked": rounded(counts["asked"]),
+        "rejected": rounded(counts["rejected"]),
         "tries": rounded(counts["tries"] / np.maximum(counts["asked"], 1)),
         "p50_ms": [round(1000 * float(np.median(t)), 3) if t else None for t in times],
         "p99_ms": [round(1000 * float(np.quantile(t, 0.99)), 3) if t else None for t in times],
@@ -110,6 +118,7 @@
 
 def summed(ledger: Ledger, world: World) -> Figures:
     """What all sidecars together did: `_most` is the most in any second, at any one endpoint."""
+
     def most(met: list[tuple[int, float]]) -> float:
         cells = Counter((endpoint, math.floor(at)) for endpoint, at in met)
         return float(max(cells.values(), default=0))
@@ -119,17 +128,24 @@
         by_what[m.what].append(m)
     calls, hands = by_what["call"], by_what["handshake"]
     starts = {(s.endpoint, s.start): s.at for s in ledger.starts if s.what == "start" and s.cold}
-    cold = [(r.endpoint, r.arrived) for r in ledger.runs
-            if r.arrived - starts.get((r.endpoint, r.start), -math.inf) < world.kinds[r.endpoint].cold]
-    return {"calls": len(calls) / (world.end + 1.0), "calls_most": most([(-1, m.at) for m in calls]),
-            "calls_refused": sum(m.refused for m in calls) / max(len(calls), 1),
-            "handshakes": len(hands) / max(len(ledger.runs), 1),
-            "handshakes_most": most([(m.endpoint, m.at) for m in hands]),
-            "handshakes_refused": sum(m.refused for m in hands) / max(len(hands), 1),
-            "trials": float(len(by_what["trial"])),
-            "trials_vain": float(sum(m.refused for m in by_what["trial"])),
-            "trials_most": most([(m.endpoint, m.at) for m in by_what["trial"]]), "cold_most": most(cold),
-            "cells": len(by_what["cell"]) / (world.end + 1.0)}
+    cold = [
+        (r.endpoint, r.arrived)
+        for r in ledger.runs
+        if r.arrived - starts.get((r.endpoint, r.start), -math.inf) < world.kinds[r.endpoint].cold
+    ]
+    return {
+        "calls": len(calls) / (world.end + 1.0),
+        "calls_most": most([(-1, m.at) for m in calls]),
+        "calls_refused": sum(m.refused for m in calls) / max(len(calls), 1),
+        "handshakes": len(hands) / max(len(ledger.runs), 1),
+        "handshakes_most": most([(m.endpoint, m.at) for m in hands]),
+        "handshakes_refused": sum(m.refused for m in hands) / max(len(hands), 1),
+        "trials": float(len(by_what["trial"])),
+        "trials_vain": float(sum(m.refused for m in by_what["trial"])),
+        "trials_most": most([(m.endpoint, m.at) for m in by_what["trial"]]),
+        "cold_most": most(cold),
+        "cells": len(by_what["cell"]) / (world.end + 1.0),
+    }
 
 
 def sites(world: World, by_zone: np.ndarray) -> Figures:
@@ -142,14 +158,17 @@
     parts = got[:, first:last].sum(axis=1) / np.maximum(asked[:, first:last].sum(axis=1), 1e-9)
     worst = int(parts.argmin())
     good = np.divide(got[worst], asked[worst], out=np.ones(asked.shape[1]), where=asked[worst] > 0)
-    return {"site_best": float(parts.max()), "site_worst": float(parts.min()),
-            "site_back_s": held_from(good[first:] >= BACK)}
+    return {
+        "site_best": float(parts.max()),
+        "site_worst": float(parts.min()),
+        "site_back_s": held_from(good[first:] >= BACK),
+    }
 
 
 def held_from(back: np.ndarray) -> float:
     """The first of STEADY seconds in a row that hold; the rest of the run if there are none."""
     for n in range(len(back)):
-        if back[n:n + STEADY].all():
+        if back[n : n + STEADY].all():
             return float(n)
     return float(len(back))
 
--- a/rainspindle/lab/fleet/builds.py
+++ b/rainspindle/lab/fleet/builds.py
@@ -71,8 +71,9 @@
     if (place / build.alias).exists():
         return build
     try:
-        done = subprocess.run(["git", "archive", commit, "rainspindle"], cwd=root, capture_output=True,
-                              timeout=60)
+        done = subprocess.run(
+            ["git", "archive", commit, "rainspindle"], cwd=root, capture_output=True, timeout=60
+        )
     except OSError as fault:
         raise NoBuild(f"git cannot be run: {fault.strerror}", "install git") from None
     if done.returncode:
