--- a/rainspindle/lab/fleet/day.py
+++ b/rainspindle/lab/fleet/day.py
@@ -94,10 +94,12 @@
     split_for = chance.uniform(0.2, 0.3) * length
     stall_at = split_at + chance.uniform(0.0, 0.5) * split_for
     kill_at = split_at + chance.uniform(0.1, 0.8) * split_for
-    return (Split(split_at, (tuple(sorted(sides[:half])), tuple(sorted(sides[half:]))), split_for),
-            Stall(stall_at, (stalled,), chance.uniform(0.1, 0.2) * length),
-            Kill(kill_at, (first, second), chance.uniform(0.15, 0.25) * length),
-            Restart(chance.uniform(0.6, 0.65) * length, (restarted,)))
+    return (
+        Split(split_at, (tuple(sorted(sides[:half])), tuple(sorted(sides[half:]))), split_for),
+        Stall(stall_at, (stalled,), chance.uniform(0.1, 0.2) * length),
+        Kill(kill_at, (first, second), chance.uniform(0.15, 0.25) * length),
+        Restart(chance.uniform(0.6, 0.65) * length, (restarted,)),
+    )
 
 
 class DayRun(SocketsRun):
@@ -121,8 +123,10 @@
     def write_config(self, n: int, discovery: str, endpoints: dict[str, str]) -> None:
         super().write_config(n, discovery, endpoints)
         name = f"s{n}"
-        self.fleet[name].write(orjson.loads((self.folder / f"s{n}.config.json").read_bytes()),
-                               self.fleet.file(name) if self.plan.fleet else None)
+        self.fleet[name].write(
+            orjson.loads((self.folder / f"s{n}.config.json").read_bytes()),
+            self.fleet.file(name) if self.plan.fleet else None,
+        )
 
     def start_sidecar(self, n: int) -> None:
         self.fleet[f"s{n}"].start(self.plan.odd)
@@ -225,8 +229,11 @@
     day.broken += [f"the lab's own fault: {fault}" for fault in (*found.faults, *run.fleet.network.faults)]
     day.broken += run.beside
     struck = {name for fault in plan.schedule if isinstance(fault, Kill) for name in fault.names}
-    known = sorted(times_to_know([replace(s, at=s.at - run.start) for s in run.watch.seen],
-                                 sorted(struck), run.player.away))
+    known = sorted(
+        times_to_know(
+            [replace(s, at=s.at - run.start) for s in run.watch.seen], sorted(struck), run.player.away
+        )
+    )
     if known:
         day.figures.update(known_s=round(known[len(known) // 2], 3), known_most_s=round(known[-1], 3))
     if any("/top-up?" in call.path for call in plan.calls):
@@ -241,8 +248,9 @@
     return day
 
 
-def plan(seed: int, x: experiment.Experiment, parts: Collection[str], schedule: Schedule | None = None
-         ) -> Plan:
+def plan(
+    seed: int, x: experiment.Experiment, parts: Collection[str], schedule: Schedule | None = None
+) -> Plan:
     """A day with these of PARTS. The wallet is topped up early and in the split, the canary started early and
     aborted in the split or after it; of `evidence`, `list` and `keep` each has its defaults."""
     members = names(x.sidecars.count)
@@ -252,27 +260,54 @@
     calls: list[Call] = []
     tables: dict[str, Any] = {part: {} for part in ("evidence", "list", "keep") if part in parts}
     if "wallet" in parts:
-        tables["wallet"] = [{"name": "north", "home": home, "tenant": 0, "match": list(PRICES),
-                             "prices": PRICES, "reserve": 30}]
-        calls += [Call(at, "POST", f"/-/wallets/north/top-up?id={id}&amount={TOP_UPS[id]}", (home,))
-                  for at, id in ((0.2, "first"), (0.3 * x.length, "first"), (0.35 * x.length, "second"),
-                                 (0.7 * x.length, "second"))]
+        tables["wallet"] = [
+            {
+                "name": "north",
+                "home": home,
+                "tenant": 0,
+                "match": list(PRICES),
+                "prices": PRICES,
+                "reserve": 30,
+            }
+        ]
+        calls += [
+            Call(at, "POST", f"/-/wallets/north/top-up?id={id}&amount={TOP_UPS[id]}", (home,))
+            for at, id in (
+                (0.2, "first"),
+                (0.3 * x.length, "first"),
+                (0.35 * x.length, "second"),
+                (0.7 * x.length, "second"),
+            )
+        ]
     if "canary" in parts:
-        tables["canary"] = [{
-            "name": "answers", "endpoints": [f"e{n}" for n in NEW], "budget": 0.2, "long": 10.0, "short": 2.0,
-            "stages": [{"part": 0.1, "time": 1.0, "exchanges": 10},
-                       {"part": 0.4, "time": 60.0, "exchanges": 50}]}]
-        calls += [Call(0.5, "POST", "/-/canaries/answers/start", tuple(members)),
-                  Call(chance.uniform(0.3, 0.6) * x.length, "POST", "/-/canaries/answers/abort", (home,))]
+        tables["canary"] = [
+            {
+                "name": "answers",
+                "endpoints": [f"e{n}" for n in NEW],
+                "budget": 0.2,
+                "long": 10.0,
+                "short": 2.0,
+                "stages": [
+                    {"part": 0.1, "time": 1.0, "exchanges": 10},
+                    {"part": 0.4, "time": 60.0, "exchanges": 50},
+                ],
+            }
+        ]
+        calls += [
+            Call(0.5, "POST", "/-/canaries/answers/start", tuple(members)),
+            Call(chance.uniform(0.3, 0.6) * x.length, "POST", "/-/canaries/answers/abort", (home,)),
+        ]
     return Plan(schedule, tuple(calls), lambda name: tables)
 
 
 def shortest(x: experiment.Experiment, seed: int, whole: Plan) -> Schedule:
     """The least of a day's faults with which it still does not hold; each try is a day played."""
+
     def fails(schedule: Schedule) -> bool:
         with tempfile.TemporaryDirectory(prefix="rainspindle-day-") as folder:
             day = play(World(x, x.variants[0], seed), replace(whole, schedule=schedule), Path(folder))
         return bool(day.broken)
+
     return shrink(whole.schedule, fails)
 
 
@@ -282,8 +317,12 @@
     parser.add_argument("--schedule", type=Path, help="faults as JSON, in place of those drawn")
     parser.add_argument("--folder", type=Path, help="where files and logs are kept; default: nowhere")
     parser.add_argument("--plain", action="store_true", help="sidecars without fleet files: the lab alone")
-    parser.add_argument("--with", dest="parts", default=",".join(PARTS),
-                        help="what is on beside the members, of " + ", ".join(PARTS))
+    parser.add_argument(
+        "--with",
+        dest="parts",
+        default=",".join(PARTS),
+        help="what is on beside the members, of " + ", ".join(PARTS),
+    )
     parser.add_argument("--shrink", action="store_true", help="if it does not hold, find the least faults")
     options = parser.parse_args(arguments)
     x = experiment.load(FILE)
@@ -292,8 +331,16 @@
     whole = replace(plan(options.seed, x, parts, schedule), fleet=not options.plain)
     with tempfile.TemporaryDirectory(prefix="rainspindle-day-") as folder:
         day = play(World(x, x.variants[0], options.seed), whole, options.folder or Path(folder))
-    print(json.dumps({"seed": options.seed, "schedule": to_values(whole.schedule), "broken": day.broken[:20],
-                      "figures": day.figures}))
+    print(
+        json.dumps(
+            {
+                "seed": options.seed,
+                "schedule": to_values(whole.schedule),
+                "broken": day.broken[:20],
+                "figures": day.figures,
+            }
+        )
+    )
     if day.broken and options.shrink:
         least = shortest(x, options.seed, whole)
         print(json.dumps({"seed": options.seed, "schedule": to_values(least)}))
--- a/rainspindle/lab/fleet/endpoints.py
+++ b/rainspindle/lab/fleet/endpoints.py
@@ -39,9 +39,16 @@
 
     def listed(self, machine: str = "", started_ms: int = 0) -> dict[str, Any]:
         """Its entry in a list."""
-        return {"instanceId": self.name, "hostPort": f"127.0.0.1:{self.server_address[1]}", "zone": None,
-                "machineType": machine, "cell": 0, "lifecycle": "SERVING", "weight": 1.0,
-                "startedAtMs": started_ms}
+        return {
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.server_address[1]}",
+            "zone": None,
+            "machineType": machine,
+            "cell": 0,
+            "lifecycle": "SERVING",
+            "weight": 1.0,
+            "startedAtMs": started_ms,
+        }
 
 
 class Handler(BaseHTTPRequestHandler):
--- a/rainspindle/lab/fleet/heartbeats.py
+++ b/rainspindle/lab/fleet/heartbeats.py
@@ -47,5 +47,6 @@
         return Member(name, self.process.address, 0, 0, standing, self.heard[name], self.heard[name])
 
     def members(self) -> list[Member]:
-        return [self.member(name, Standing.DEAD if name in self.dead else Standing.ALIVE)
-                for name in self.names]
+        return [
+            self.member(name, Standing.DEAD if name in self.dead else Standing.ALIVE) for name in self.names
+        ]
--- a/rainspindle/lab/fleet/judge.py
+++ b/rainspindle/lab/fleet/judge.py
@@ -53,8 +53,11 @@
 
 
 def met_away(asked: Asked, away: Away) -> bool:
-    return (away.name == f"s{asked.sidecar}" and asked.sent <= away.until + OPENS
-            and asked.sent + min(asked.wait, asked.expiry) >= away.since - OPENS)
+    return (
+        away.name == f"s{asked.sidecar}"
+        and asked.sent <= away.until + OPENS
+        and asked.sent + min(asked.wait, asked.expiry) >= away.since - OPENS
+    )
 
 
 def sent_late(ledger: Ledger, away: Sequence[Away], world: World) -> Iterator[Break]:
@@ -78,7 +81,8 @@
             before = [s.state for s in said if s.at < span.since]
             after = [s.at for s in said if span.since <= s.at < span.until and s.state == "dead"]
             asleep = after and any(
-                a.name == viewer and a.since < after[0] and a.until > span.since for a in away)
+                a.name == viewer and a.since < after[0] and a.until > span.since for a in away
+            )
             if before and before[-1] in ("alive", "suspect") and after and not asleep:
                 yield after[0] - span.since
 
@@ -94,8 +98,11 @@
     for run in sorted(ledger.runs, key=lambda r: r.began):
         if run.began < math.inf and types[run.type] in PRICES:
             begun.setdefault(run.id, (run.began, PRICES[types[run.type]]))
-    yield from (f"{one.call.path} at {one.member}: {one.status} {one.text}" for one in called
-                if "/top-up?" in one.call.path and one.status not in (200, 202))
+    yield from (
+        f"{one.call.path} at {one.member}: {one.status} {one.text}"
+        for one in called
+        if "/top-up?" in one.call.path and one.status not in (200, 202)
+    )
     topped, spent = top_ups(called), 0
     for at, price in begun.values():
         spent += price
@@ -124,8 +131,14 @@
     return sum(PRICES.get(name, 0) for name in executed.values()) / max(topped, 1)
 
 
-def judge_canary(ledger: Ledger, called: Sequence[Called], away: Sequence[Away], schedule: Schedule,
-                 new: Sequence[int] = NEW, late: float = 0.0) -> Iterator[str]:
+def judge_canary(
+    ledger: Ledger,
+    called: Sequence[Called],
+    away: Sequence[Away],
+    schedule: Schedule,
+    new: Sequence[int] = NEW,
+    late: float = 0.0,
+) -> Iterator[str]:
     """Nothing goes to the canary's endpoints before it is started, nor once its abort is in force. `late`:
     seconds by which a loaded machine may be."""
     at: dict[str, Called] = {}
@@ -143,9 +156,11 @@
     for run in came:
         until = in_force(f"s{run.sidecar}", at["abort"], away, schedule) + late
         if run.first < at["start"].call.at or run.first > until:
-            yield (f"{run.id} of s{run.sidecar} came to the canary's e{run.endpoint} at {run.first:.3f} s; "
-                   f"started at {at['start'].at:.3f} s, aborted at {at['abort'].at:.3f} s, which was to be "
-                   f"in force at {until:.3f} s")
+            yield (
+                f"{run.id} of s{run.sidecar} came to the canary's e{run.endpoint} at {run.first:.3f} s; "
+                f"started at {at['start'].at:.3f} s, aborted at {at['abort'].at:.3f} s, which was to be "
+                f"in force at {until:.3f} s"
+            )
 
 
 def in_force(name: str, abort: Called, away: Sequence[Away], schedule: Schedule) -> float:
@@ -157,15 +172,29 @@
 def unreached(name: str, abort: Called, away: Sequence[Away], schedule: Schedule) -> float | None:
     """The end of what kept the abort from this sidecar; None where it could be reached."""
     by = abort.at + IN_FORCE
-    missed = [span.until for span in away
-              if span.name == name and span.since - OPENS < by and span.until > abort.at - IN_FORCE]
-    missed += [end(fault) for fault in schedule if isinstance(fault, Split) and fault.at < by
-               and abort.at < end(fault) + HEARD and not crosses(fault, abort.member, name)]
+    missed = [
+        span.until
+        for span in away
+        if span.name == name and span.since - OPENS < by and span.until > abort.at - IN_FORCE
+    ]
+    missed += [
+        end(fault)
+        for fault in schedule
+        if isinstance(fault, Split)
+        and fault.at < by
+        and abort.at < end(fault) + HEARD
+        and not crosses(fault, abort.member, name)
+    ]
     return max(missed, default=None)
 
 
-def canary_lags(ledger: Ledger, called: Sequence[Called], away: Sequence[Away], schedule: Schedule,
-                new: Sequence[int] = NEW) -> Iterator[tuple[str, float]]:
+def canary_lags(
+    ledger: Ledger,
+    called: Sequence[Called],
+    away: Sequence[Away],
+    schedule: Schedule,
+    new: Sequence[int] = NEW,
+) -> Iterator[tuple[str, float]]:
     """Seconds from the abort's answer to the last run at the canary, of those that could be reached; of the
     others from the end of what kept it from them, which is below 0 where they fell back before."""
     abort = next((c for c in called if c.call.path.endswith("/abort")), None)
@@ -175,7 +204,8 @@
     for run in ledger.runs:
         if run.endpoint in new and run.first > abort.at:
             over = unreached(f"s{run.sidecar}", abort, away, schedule)
-            what, since = ("canary_last_s", abort.at) if over is None else (
-                "canary_cut_last_s", max(over, abort.at))
+            what, since = (
+                ("canary_last_s", abort.at) if over is None else ("canary_cut_last_s", max(over, abort.at))
+            )
             last[what] = max(last.get(what, -math.inf), run.first - since)
     yield from last.items()
--- a/rainspindle/lab/fleet/long/__main__.py
+++ b/rainspindle/lab/fleet/long/__main__.py
@@ -21,8 +21,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="rainspindle.lab.fleet.long", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="rainspindle.lab.fleet.long",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     for name, value in (("members", 30), ("wallets", 250), ("canaries", 2), ("days", 2), ("seed", 1)):
         parser.add_argument(f"--{name}", type=int, default=value)
     parser.add_argument("--bursts", type=float, default=0.4, help="of exchanges of one wallet, a day")
@@ -35,8 +38,11 @@
         parser.error("wants 3 members or more, and a day and a look at least")
     gc.set_threshold(200_000, 20, 100)
     try:
-        made: Plan = from_values(json.loads(asked.plan.read_text())) if asked.plan is not None else plan(
-            asked.members, asked.wallets, asked.canaries, asked.days, asked.seed, asked.bursts)
+        made: Plan = (
+            from_values(json.loads(asked.plan.read_text()))
+            if asked.plan is not None
+            else plan(asked.members, asked.wallets, asked.canaries, asked.days, asked.seed, asked.bursts)
+        )
     except (OSError, ValueError, msgspec.ValidationError) as fault:
         parser.error(f"{asked.plan}: {fault}")
     if asked.shrink:
@@ -47,6 +53,7 @@
 
     def line(figures: dict[str, object]) -> None:
         print(json.dumps({"cpu_s": round(time.process_time() - begun), **figures}), flush=True)
+
     outcome = play(made, asked.planted, line, steps=asked.looks)
     print(json.dumps({"broken": outcome.broken[:50], "seed": made.seed}), flush=True)
     return 3 if outcome.broken else 0
--- a/rainspindle/lab/fleet/long/canaries.py
+++ b/rainspindle/lab/fleet/long/canaries.py
@@ -36,8 +36,15 @@
 
 
 def terms(n: int) -> Terms:
-    return Terms(f"c{n}", "kind new", tuple(Step(part, 40.0, 5) for part in (0.05, 0.25, 0.5)), budget=0.02,
-                 long=120.0, short=20.0, each_effect=0)
+    return Terms(
+        f"c{n}",
+        "kind new",
+        tuple(Step(part, 40.0, 5) for part in (0.05, 0.25, 0.5)),
+        budget=0.02,
+        long=120.0,
+        short=20.0,
+        each_effect=0,
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,8 +65,9 @@
         self.seen_at, self.seen = -math.inf, list[Known]()
         self.told_from, self.grace = -math.inf, GRACE  # since when it can know of the abort
         world, of = trial.world, trial.terms
-        self.canary = trial.fleet.make(world.now, of, member.name, member.life, self,
-                                       trial.fleet.kept.get((member.name, of.name)))
+        self.canary = trial.fleet.make(
+            world.now, of, member.name, member.life, self, trial.fleet.kept.get((member.name, of.name))
+        )
         self.canary.EVERY = max(self.canary.EVERY, self.canary.EACH * len(world.list))
         self.tick_time = TICK if judges else SLOW_TICK
         self.canary.LOOK = LOOK if judges else SLOW_LOOK
@@ -101,8 +109,18 @@
         world = self.trial.world
         if world.now - self.seen_at > TICK:
             self.seen_at = world.now
-            self.seen = [Known(m.name, NOWHERE, m.life, 0, Standing.ALIVE if world.believes(self.member, m)
-                               else Standing.DEAD, world.now, world.now) for m in self.hears]
+            self.seen = [
+                Known(
+                    m.name,
+                    NOWHERE,
+                    m.life,
+                    0,
+                    Standing.ALIVE if world.believes(self.member, m) else Standing.DEAD,
+                    world.now,
+                    world.now,
+                )
+                for m in self.hears
+            ]
         return self.seen
 
     def log(self, event: str, **fields: object) -> None:
@@ -124,8 +142,9 @@
         members = self.world.list
         count = min(HEARD, len(members) - 1)
         judges = {m.name for m in self.chance.sample(members, min(JUDGES, len(members)))}
-        self.hears = {m.name: [o for o in self.chance.sample(members, count + 1) if o is not m][:count]
-                      for m in members}
+        self.hears = {
+            m.name: [o for o in self.chance.sample(members, count + 1) if o is not m][:count] for m in members
+        }
         self.judges = judges
         self.listeners: dict[str, list[str]] = {m.name: [] for m in members}
         for name, hears in self.hears.items():
@@ -151,8 +170,9 @@
         at(STEP, self.step)
 
     def begin(self, member: Member) -> Node:
-        node = self.nodes[member.name] = Node(self, member, self.hears[member.name],
-                                              member.name in self.judges)
+        node = self.nodes[member.name] = Node(
+            self, member, self.hears[member.name], member.name in self.judges
+        )
         return node
 
     # Cells.
@@ -275,8 +295,15 @@
 class Canaries:
     """All runs, one after the other or side by side; and the folders."""
 
-    def __init__(self, world: World, ledger: Ledger, runs: Sequence[Run], seed: int, rate: float = 0.1,
-                 make: Make = Canary) -> None:
+    def __init__(
+        self,
+        world: World,
+        ledger: Ledger,
+        runs: Sequence[Run],
+        seed: int,
+        rate: float = 0.1,
+        make: Make = Canary,
+    ) -> None:
         """`rate`: exchanges a second at each member."""
         self.world, self.ledger, self.seed, self.rate, self.make = world, ledger, seed, rate, make
         self.kept: dict[tuple[str, str], bytes] = {}
@@ -318,7 +345,8 @@
 
     def copied(self, member: Member) -> None:
         self.copies.setdefault(member.name, []).insert(
-            0, {key: value for key, value in self.kept.items() if key[0] == member.name})
+            0, {key: value for key, value in self.kept.items() if key[0] == member.name}
+        )
 
     def woke(self, member: Member) -> None:
         for trial in self.trials:
@@ -332,8 +360,11 @@
     def healed(self) -> None:
         for trial in self.trials:
             for node in list(trial.nodes.values()):
-                if node.told_from == math.inf and trial.by is not None \
-                        and node.member.side == trial.by.side and node.member.runs:
+                if (
+                    node.told_from == math.inf
+                    and trial.by is not None
+                    and node.member.side == trial.by.side
+                    and node.member.runs
+                ):
                     node.told_from, node.grace = self.world.now, CATCH_UP[1] + GRACE
-                self.world.later(node.member, trial.chance.uniform(*CATCH_UP),
-                                 partial(trial.caught_up, node))
+                self.world.later(node.member, trial.chance.uniform(*CATCH_UP), partial(trial.caught_up, node))
--- a/rainspindle/lab/fleet/long/ledger.py
+++ b/rainspindle/lab/fleet/long/ledger.py
@@ -66,8 +66,14 @@
         self.moved((wallet, where, number), DONE, units)
         done = self.done[wallet] = self.done.get(wallet, 0) + units
         if done > self.paid.get(wallet, 0):
-            self.broken.append(Broken(now, "overspent", f"{wallet} at {where}",
-                                      f"{done} executed, {self.paid.get(wallet, 0)} paid"))
+            self.broken.append(
+                Broken(
+                    now,
+                    "overspent",
+                    f"{wallet} at {where}",
+                    f"{done} executed, {self.paid.get(wallet, 0)} paid",
+                )
+            )
 
     def balance(self, wallet: str) -> int:
         return self.paid.get(wallet, 0) - self.done.get(wallet, 0)
@@ -80,13 +86,21 @@
             by_wallet[account[0]] = by_wallet.get(account[0], 0) + units
             came, went, done = self.accounts.get(account, (0, 0, 0))
             if units > came - went - done:
-                self.broken.append(Broken(
-                    now, "created", f"{account[0]} at {account[1]}",
-                    f"account {account[2]} holds {units}: {came} came, {went} given, {done} executed"))
+                self.broken.append(
+                    Broken(
+                        now,
+                        "created",
+                        f"{account[0]} at {account[1]}",
+                        f"account {account[2]} holds {units}: {came} came, {went} given, {done} executed",
+                    )
+                )
         for wallet, units in by_wallet.items():
             if units > self.balance(wallet):
-                self.broken.append(Broken(now, "created", wallet,
-                                          f"{units} held, {self.balance(wallet)} paid and not executed"))
+                self.broken.append(
+                    Broken(
+                        now, "created", wallet, f"{units} held, {self.balance(wallet)} paid and not executed"
+                    )
+                )
         return sum(self.balance(wallet) - units for wallet, units in by_wallet.items())
 
     def cells(self, now: float, wallet: str, count: int, others: int = 0) -> None:
--- a/rainspindle/lab/fleet/long/planted.py
+++ b/rainspindle/lab/fleet/long/planted.py
@@ -127,7 +127,14 @@
 
 PLANTS = {
     "": Plant(),
-    "early": Plant(wallet=Hurried), "lifeless": Plant(wallet=Forgetful), "unasked": Plant(wallet=Quick),
-    "vouching": Plant(wallet=Vouching), "leak": Plant(wallet=Growing),
-    "endless": Plant(wallet=Endless), "unmarked": Plant(wallet=Unmarked),
-    "old-stage": Plant(canary=Believing), "stall-unseen": Plant(canary=Unaware), "deaf": Plant(canary=Deaf)}
+    "early": Plant(wallet=Hurried),
+    "lifeless": Plant(wallet=Forgetful),
+    "unasked": Plant(wallet=Quick),
+    "vouching": Plant(wallet=Vouching),
+    "leak": Plant(wallet=Growing),
+    "endless": Plant(wallet=Endless),
+    "unmarked": Plant(wallet=Unmarked),
+    "old-stage": Plant(canary=Believing),
+    "stall-unseen": Plant(canary=Unaware),
+    "deaf": Plant(canary=Deaf),
+}
--- a/rainspindle/lab/fleet/long/purses.py
+++ b/rainspindle/lab/fleet/long/purses.py
@@ -25,7 +25,7 @@
 WRITE = 0.004  # seconds that a batch takes on disk
 SLOW, SLOW_WRITE = 0.03, (0.05, 2.0)  # the part of them that takes so long
 TOLD = 10.0  # seconds after which a row has been told to others, where nothing is cut
-ROOM = 10 ** 6  # batches of one life at most
+ROOM = 10**6  # batches of one life at most
 MOST = 20_000  # cells of wallets that a member keeps
 BYSTANDERS = 3  # members that hear an unsure one, beside those that use the wallet
 Make = Callable[..., Wallet]
@@ -77,8 +77,16 @@
     def __init__(self, purse: Purse, name: str) -> None:
         self.purse, self.name, self.urged, self.planned, self.boot = purse, name, False, 0, 0
         fleet = purse.fleet
-        self.wallet = fleet.make(name, purse.member.name, purse.member.life, fleet.rules[name], self,
-                                 fleet.world.now, fleet.chance.randrange(512), purse.register)
+        self.wallet = fleet.make(
+            name,
+            purse.member.name,
+            purse.member.life,
+            fleet.rules[name],
+            self,
+            fleet.world.now,
+            fleet.chance.randrange(512),
+            purse.register,
+        )
 
     def save(self, wallet: Wallet) -> None:
         self.purse.unsaved[self.name] = self
@@ -149,8 +157,13 @@
             last = max(found)
             row, kept = found[last]
             use.boot = kept.boot
-            trust = (Trust.OLD if (name, last) in disk.old or self.register.old > self.register.found else
-                     Trust.SURE if kept.boot == member.boot else Trust.UNSURE)
+            trust = (
+                Trust.OLD
+                if (name, last) in disk.old or self.register.old > self.register.found
+                else Trust.SURE
+                if kept.boot == member.boot
+                else Trust.UNSURE
+            )
             use.wallet.load(now, row, ids, [found[a][0] for a in sorted(found) if a != last], trust)
         use.wallet.begun_at = member.started  # the program loads all at its start
         caught_up = member.started + member.catch_up
@@ -166,8 +179,11 @@
         for name, rows in list(disk.rows.items()):
             _, kept = decode_row(rows[max(rows)])
             sure = kept.boot == self.member.boot and (name, max(rows)) not in disk.old
-            silent = sure and fleet.rules[name].home == self.member.name and not any(
-                owner != self.member.name for owner, _ in fleet.board[name])
+            silent = (
+                sure
+                and fleet.rules[name].home == self.member.name
+                and not any(owner != self.member.name for owner, _ in fleet.board[name])
+            )
             if not (kept.rests or silent):
                 self.use(name)
         fleet.world.later(self.member, self.member.catch_up, self.hear_old)
@@ -177,7 +193,7 @@
         fleet, own = self.fleet, self.member.name
         swept = fleet.swept.get(own)
         if swept is not None and self.register.heard_own(swept):
-            homes = fleet.names[self.member.index::len(fleet.world.list)]
+            homes = fleet.names[self.member.index :: len(fleet.world.list)]
             for name in dict.fromkeys([*self.disk.rows, *homes]):
                 self.use(name).wallet.older_folder(fleet.world.now)
         if swept is not None or fleet.owned.get(own):
@@ -248,8 +264,14 @@
             if row is not None:
                 if not use.wallet.unsure:
                     use.boot = self.member.boot
-                self.batch.append((use, row, encode_row(row, use.boot, use.wallet.rules),
-                                   {id: account.ids[id] for id in account.ids_writing}))
+                self.batch.append(
+                    (
+                        use,
+                        row,
+                        encode_row(row, use.boot, use.wallet.rules),
+                        {id: account.ids[id] for id in account.ids_writing},
+                    )
+                )
         self.unsaved = {}
 
     def begin_batch(self) -> None:
@@ -303,15 +325,29 @@
 class Purses:
     """The wallets of all members, and the last word of each."""
 
-    def __init__(self, world: World, ledger: Ledger, wallets: int, seed: int, make: Make = Wallet,
-                 slow: float = SLOW, most: int = MOST) -> None:
+    def __init__(
+        self,
+        world: World,
+        ledger: Ledger,
+        wallets: int,
+        seed: int,
+        make: Make = Wallet,
+        slow: float = SLOW,
+        most: int = MOST,
+    ) -> None:
         """Half of the wallets have `rejoin = "new"`."""
         self.world, self.ledger, self.make, self.slow = world, ledger, make, slow
         self.chance = random.Random(f"{seed} wallets")
         self.names = [f"w{n:05}" for n in range(wallets)]
-        self.rules = {name: Rules(world.list[n % len(world.list)].name, reserve=50 if n % 5 == 0 else 0,
-                                  eager=wallets <= 200, rejoin="new" if n % 2 else "heard")
-                      for n, name in enumerate(self.names)}
+        self.rules = {
+            name: Rules(
+                world.list[n % len(world.list)].name,
+                reserve=50 if n % 5 == 0 else 0,
+                eager=wallets <= 200,
+                rejoin="new" if n % 2 else "heard",
+            )
+            for n, name in enumerate(self.names)
+        }
         self.users: dict[str, dict[str, Purse]] = {name: {} for name in self.names}
         self.board: dict[str, dict[tuple[str, str], Cell]] = {name: {} for name in self.names}
         self.owned: dict[str, dict[str, str]] = {}  # by owner: its cells on the board, and of which wallet
@@ -351,8 +387,9 @@
             self.refused += 1
             self.held_up[key] = purse, name, cell, toward
             if self.refused == 1:
-                self.ledger.broken.append(Broken(world.now, "refused", name,
-                                                 f"a cell, as {self.cells} are there already"))
+                self.ledger.broken.append(
+                    Broken(world.now, "refused", name, f"a cell, as {self.cells} are there already")
+                )
             return
         if before is None:
             self.cells += 1
@@ -373,14 +410,20 @@
             hearers = [self.purses[to]] if to in self.purses else []
         else:
             self.told_at[owner.name, name] = world.now
-            there = [*self.users[name], *sorted({self.rules[name].home, *toward, *self.holders[name]}
-                                                - self.users[name].keys())]
+            there = [
+                *self.users[name],
+                *sorted({self.rules[name].home, *toward, *self.holders[name]} - self.users[name].keys()),
+            ]
             hearers = [self.purses[m] for m in there if m != owner.name]
             if words.decode_word(value).unsure:
                 hearers += self.bystanders(purse, name)
         for hearer in hearers:
-            if not world.send(owner, hearer.member, partial(self.take, hearer, cell),
-                              to == hearer.member.name or hearer.member.name in toward):
+            if not world.send(
+                owner,
+                hearer.member,
+                partial(self.take, hearer, cell),
+                to == hearer.member.name or hearer.member.name in toward,
+            ):
                 self.missed.add(name)
 
     def size(self, cell: Cell) -> int:
@@ -430,11 +473,19 @@
 
     def bystanders(self, purse: Purse, name: str) -> list[Purse]:
         home = self.rules[name].home
-        some = [self.purses[home], *(self.purses[m.name] for m in self.chance.sample(
-            self.world.list, min(BYSTANDERS, len(self.world.list))))]
+        some = [
+            self.purses[home],
+            *(
+                self.purses[m.name]
+                for m in self.chance.sample(self.world.list, min(BYSTANDERS, len(self.world.list)))
+            ),
+        ]
         self.others[name].update(p.member.name for p in some)
-        return [p for n, p in enumerate(some) if p is not purse and p not in some[:n]
-                and p.member.name not in self.users[name]]
+        return [
+            p
+            for n, p in enumerate(some)
+            if p is not purse and p not in some[:n] and p.member.name not in self.users[name]
+        ]
 
     def replay(self, purse: Purse, name: str) -> None:
         """What it has heard of a wallet, or would have, by now."""
@@ -442,7 +493,8 @@
         for (owner, cell_name), cell in list(self.board[name].items()):
             to = cell_name.partition("/t/")[2]
             if (to and to != member.name) or not (
-                    owner == member.name or world.members[owner].side == member.side):
+                owner == member.name or world.members[owner].side == member.side
+            ):
                 continue
             earlier = self.earlier.get((owner, cell_name))
             if earlier is not None and earlier[0] > member.started + member.catch_up:
@@ -474,8 +526,9 @@
                     if member.side != owner.side or not member.alive:
                         self.missed.add(name)
                     else:
-                        self.world.later(member, self.chance.uniform(*CATCH_UP),
-                                         partial(self.take, purse, cell))
+                        self.world.later(
+                            member, self.chance.uniform(*CATCH_UP), partial(self.take, purse, cell)
+                        )
 
     # The members.
 
@@ -500,26 +553,39 @@
         """Unnoticed by files. Where an unsure member goes by what others have heard, only to rows after which
         a later one was told in time: more cannot be proved, as the design says."""
         swept = self.swept.get(member.name)
-        calm = not self.world.splits and not self.world.deaf and \
-            self.world.now - self.swept_at.get(member.name, math.inf) > TOLD
-        if swept is not None and calm and self.purses[member.name].register.number_of(
-                swept.value.partition(b" ")[2]) > copy.number:
+        calm = (
+            not self.world.splits
+            and not self.world.deaf
+            and self.world.now - self.swept_at.get(member.name, math.inf) > TOLD
+        )
+        if (
+            swept is not None
+            and calm
+            and self.purses[member.name].register.number_of(swept.value.partition(b" ")[2]) > copy.number
+        ):
             disk.rows, disk.ids, disk.number = copy.rows, copy.ids, copy.number  # the whole of it
             return
         for name, rows in copy.rows.items():
             told = self.board[name].get((member.name, words.word_cell(name)))
-            heard = told is not None and not self.world.splits and not self.world.deaf and \
-                self.world.now - self.told_at[member.name, name] > TOLD
+            heard = (
+                told is not None
+                and not self.world.splits
+                and not self.world.deaf
+                and self.world.now - self.told_at[member.name, name] > TOLD
+            )
             last = max(rows)
-            if self.rules[name].rejoin == "new" or (heard and told is not None and (
-                    words.decode_word(told.value).account, words.decode_word(told.value).row) > (
-                        last, decode_row(rows[last])[0].number)):
+            if self.rules[name].rejoin == "new" or (
+                heard
+                and told is not None
+                and (words.decode_word(told.value).account, words.decode_word(told.value).row)
+                > (last, decode_row(rows[last])[0].number)
+            ):
                 disk.rows[name] = rows
                 disk.ids[name] = copy.ids.get(name, {})
 
     def new_books(self, home: Member) -> None:
         """What staff do where a home's folder is lost, or top-ups are refused."""
-        for name in self.names[home.index::len(self.world.list)]:
+        for name in self.names[home.index :: len(self.world.list)]:
             self.other_books(name)
 
     def other_books(self, name: str) -> None:
--- a/rainspindle/lab/fleet/long/run.py
+++ b/rainspindle/lab/fleet/long/run.py
@@ -47,9 +47,15 @@
 def plan(members: int, wallets: int, canaries: int, days: int, seed: int, bursts: float = 0.4) -> Plan:
     chance = random.Random(f"{seed} runs")
     count = RUNS * canaries
-    runs = tuple(Run(int((n + 0.5) * days / count) * DAY + RUSH[0] + chance.uniform(60.0, 600.0),
-                     n % canaries, chance.choice((0.004, 0.004, 0.2, 1.0)), chance.uniform(40.0, 160.0))
-                 for n in range(count))
+    runs = tuple(
+        Run(
+            int((n + 0.5) * days / count) * DAY + RUSH[0] + chance.uniform(60.0, 600.0),
+            n % canaries,
+            chance.choice((0.004, 0.004, 0.2, 1.0)),
+            chance.uniform(40.0, 160.0),
+        )
+        for n in range(count)
+    )
     made = Plan(members, wallets, canaries, days, seed, bursts, (), runs)
     return msgspec.structs.replace(made, schedule=draw(made))
 
@@ -70,8 +76,9 @@
     for day in range(plan.days):
         if day % 2:
             order = chance.sample(names, len(names))
-            found.append(Rolling(day * DAY + RUSH[0] + 30.0, tuple(order), 0.9 * RUSH[1] / len(names),
-                                 day % 4 == 3))
+            found.append(
+                Rolling(day * DAY + RUSH[0] + 30.0, tuple(order), 0.9 * RUSH[1] / len(names), day % 4 == 3)
+            )
         else:
             found.append(Weather(when(), chance.uniform(60.0, 1800.0), loss=chance.uniform(0.05, 0.4)))
             part = some(0.25)
@@ -85,13 +92,25 @@
             found.append(Kill(when(), some(0.01), chance.choice((1.0, 10.0, 300.0))))
         for how in HOWS:
             at = when()
-            found.append(Folder(at, some(0.005), how, chance.uniform(1.0, 60.0),
-                                min(chance.choice((60.0, 600.0, 40_000.0)), at)))
+            found.append(
+                Folder(
+                    at,
+                    some(0.005),
+                    how,
+                    chance.uniform(1.0, 60.0),
+                    min(chance.choice((60.0, 600.0, 40_000.0)), at),
+                )
+            )
     for run in plan.runs:
         abort = run.at + BEFORE + run.abort
         found.append(Split(abort - chance.uniform(1.0, 60.0), (some(0.125),), chance.uniform(5.0, 120.0)))
-        found.append(Stall(abort - chance.uniform(0.3, 2.0), some(0.1),
-                           chance.uniform(*chance.choice(((2.0, 4.9), (5.0, 20.0))))))
+        found.append(
+            Stall(
+                abort - chance.uniform(0.3, 2.0),
+                some(0.1),
+                chance.uniform(*chance.choice(((2.0, 4.9), (5.0, 20.0)))),
+            )
+        )
         found.append(Kill(abort - chance.uniform(0.3, 5.0), some(0.1), chance.uniform(1.0, 20.0)))
     return tuple(sorted(found, key=lambda fault: fault.at))
 
@@ -110,8 +129,9 @@
 Report = Callable[[dict[str, Any]], None]
 
 
-def play(plan: Plan, planted: str = "", report: Report = lambda figures: None, first: bool = False,
-         steps: int = 1) -> Outcome:
+def play(
+    plan: Plan, planted: str = "", report: Report = lambda figures: None, first: bool = False, steps: int = 1
+) -> Outcome:
     """`first`: ends at the first thing that is broken. `report` is given figures `steps` times a day."""
     world, ledger, plant = World(plan.names, plan.seed), Ledger(), PLANTS[planted]
     purses = Purses(world, ledger, plan.wallets, plan.seed, plant.wallet, plan.slow, plan.most)
@@ -145,29 +165,53 @@
             yield day * DAY + RUSH[0] + n * LOOKS
 
 
-def figures(plan: Plan, world: World, ledger: Ledger, purses: Purses, canaries: Canaries, gone: int
-            ) -> dict[str, Any]:
+def figures(
+    plan: Plan, world: World, ledger: Ledger, purses: Purses, canaries: Canaries, gone: int
+) -> dict[str, Any]:
     """Ever, but where it says now. Bytes a member and second: of cells that changed, each heard once."""
     uses = [len(purse.uses) for purse in purses.purses.values()]
     paid, done = sum(ledger.paid.values()), sum(ledger.done.values())
     return {
-        "day": round(world.now / DAY, 2), "asked": ledger.asked, "debits": ledger.debits, "executed": done,
-        "paid": paid, "gone_now": gone, "held_now": paid - done - gone,
+        "day": round(world.now / DAY, 2),
+        "asked": ledger.asked,
+        "debits": ledger.debits,
+        "executed": done,
+        "paid": paid,
+        "gone_now": gone,
+        "held_now": paid - done - gone,
         "overspent": sum(b.what in ("overspent", "created") for b in ledger.broken),
         "past_abort": sum(b.what in ("past its abort", "before its start") for b in ledger.broken),
-        "broken": len(ledger.broken), "first_broken": str(ledger.broken[0]) if ledger.broken else "",
-        "to_new": ledger.to_new, "to_old": ledger.to_old, "late": round(ledger.late, 2),
-        "late_cut": round(ledger.late_cut, 2), "runs": canaries.count,
-        "cells_now": purses.cells, "cells_most": purses.cells_most, "cell_bytes_now": purses.bytes,
-        "refused": purses.refused, "swept_now": len(purses.swept),
-        "told": purses.told + canaries.told, "told_bytes": purses.told_bytes + canaries.told_bytes,
-        "in_use_a_member_now": round(sum(uses) / len(uses), 2), "rows_a_member_now": round(sum(
-            len(rows) for p in purses.purses.values() for rows in p.disk.rows.values()) / plan.members, 2),
-        "row_bytes_a_member_now": round(sum(len(value) for p in purses.purses.values()
-                                            for rows in p.disk.rows.values() for value in rows.values()
-                                            ) / plan.members),
+        "broken": len(ledger.broken),
+        "first_broken": str(ledger.broken[0]) if ledger.broken else "",
+        "to_new": ledger.to_new,
+        "to_old": ledger.to_old,
+        "late": round(ledger.late, 2),
+        "late_cut": round(ledger.late_cut, 2),
+        "runs": canaries.count,
+        "cells_now": purses.cells,
+        "cells_most": purses.cells_most,
+        "cell_bytes_now": purses.bytes,
+        "refused": purses.refused,
+        "swept_now": len(purses.swept),
+        "told": purses.told + canaries.told,
+        "told_bytes": purses.told_bytes + canaries.told_bytes,
+        "in_use_a_member_now": round(sum(uses) / len(uses), 2),
+        "rows_a_member_now": round(
+            sum(len(rows) for p in purses.purses.values() for rows in p.disk.rows.values()) / plan.members, 2
+        ),
+        "row_bytes_a_member_now": round(
+            sum(
+                len(value)
+                for p in purses.purses.values()
+                for rows in p.disk.rows.values()
+                for value in rows.values()
+            )
+            / plan.members
+        ),
         "rss_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
-        "befell": dict(world.befell), "events": {**purses.events, **canaries.events}}
+        "befell": dict(world.befell),
+        "events": {**purses.events, **canaries.events},
+    }
 
 
 # Shrinking.
@@ -177,8 +221,7 @@
     return any(b.what == what for b in play(plan, planted, first=True).ledger.broken)
 
 
-def shrunk(plan: Plan, planted: str = "",
-           log: Callable[[str], None] = lambda line: None) -> tuple[Plan, str]:
+def shrunk(plan: Plan, planted: str = "", log: Callable[[str], None] = lambda line: None) -> tuple[Plan, str]:
     """The least that still breaks the same thing: runs, days, wallets, the faults and their names."""
     broken = play(plan, planted, first=True).ledger.broken
     if not broken:
@@ -188,13 +231,23 @@
 
     def ok(tried: Plan) -> bool:
         return fails(tried, planted, what)
+
     last = int(broken[0].at / DAY) + 1
-    plan = smaller(plan, ok, [replaced(plan, days=min(last, plan.days), schedule=tuple(
-        f for f in plan.schedule if f.at < broken[0].at), runs=tuple(
-            r for r in plan.runs if r.at < broken[0].at))])
+    plan = smaller(
+        plan,
+        ok,
+        [
+            replaced(
+                plan,
+                days=min(last, plan.days),
+                schedule=tuple(f for f in plan.schedule if f.at < broken[0].at),
+                runs=tuple(r for r in plan.runs if r.at < broken[0].at),
+            )
+        ],
+    )
     plan = smaller(plan, ok, [replaced(plan, runs=())])
     for n in reversed(range(len(plan.runs))):
-        plan = smaller(plan, ok, [replaced(plan, runs=plan.runs[:n] + plan.runs[n + 1:])])
+        plan = smaller(plan, ok, [replaced(plan, runs=plan.runs[:n] + plan.runs[n + 1 :])])
     plan = smaller(plan, ok, [replaced(plan, schedule=())])
     if plan.schedule:
         plan = replaced(plan, schedule=shrink(plan.schedule, lambda s: ok(replaced(plan, schedule=s))))
@@ -216,4 +269,3 @@
 def from_values(values: Any) -> Plan:
     """Raises msgspec.ValidationError, which names the place."""
     return msgspec.convert(values, Plan)
-
--- a/rainspindle/lab/fleet/long/traffic.py
+++ b/rainspindle/lab/fleet/long/traffic.py
@@ -47,8 +47,10 @@
         if world.now + DAY <= self.until + 1.0:
             for _ in range(int(load.bursts + chance.random())):
                 begin, length = RUSH if chance.random() < load.rush else (0.0, DAY)
-                world.at(begin + length * chance.random(), partial(
-                    self.burst, name, random.Random(chance.random()), places))
+                world.at(
+                    begin + length * chance.random(),
+                    partial(self.burst, name, random.Random(chance.random()), places),
+                )
             world.at(DAY, partial(self.day, name, chance, places))
 
     def burst(self, name: str, chance: random.Random, places: list[Member]) -> None:
@@ -68,8 +70,9 @@
             self.again(name, chance)
         self.step(name, chance, at, rates, price, steps)
 
-    def step(self, name: str, chance: random.Random, at: list[Member], rates: list[float], price: int,
-             left: int) -> None:
+    def step(
+        self, name: str, chance: random.Random, at: list[Member], rates: list[float], price: int, left: int
+    ) -> None:
         for member, rate in zip(at, rates, strict=True):
             if not member.runs or (member.leaving and chance.random() < 0.5):
                 continue
@@ -89,8 +92,9 @@
         self.ledger.debits += done
         back = sum(chance.random() < REJECTED for _ in range(done))
         if back:
-            self.world.later(purse.member, chance.uniform(0.01, ANSWER), partial(
-                self.credit, wallet, number, back * price))
+            self.world.later(
+                purse.member, chance.uniform(0.01, ANSWER), partial(self.credit, wallet, number, back * price)
+            )
         self.ledger.execute(now, name, purse.member.name, number, (done - back) * price)
 
     def credit(self, wallet: Wallet, number: int, units: int) -> None:
--- a/rainspindle/lab/fleet/long/world.py
+++ b/rainspindle/lab/fleet/long/world.py
@@ -40,14 +40,26 @@
 
     def woke(self, member: Member) -> None:
         """It goes on, and what came meanwhile is not read yet."""
+
     def healed(self) -> None:
         """Those that did not reach each other do now, or others do not."""
 
 
-
 class Member:
-    __slots__ = ("alive", "boot", "catch_up", "changed_at", "index", "late", "leaving", "life", "name",
-                 "side", "stalled", "started")
+    __slots__ = (
+        "alive",
+        "boot",
+        "catch_up",
+        "changed_at",
+        "index",
+        "late",
+        "leaving",
+        "life",
+        "name",
+        "side",
+        "stalled",
+        "started",
+    )
 
     def __init__(self, name: str, index: int) -> None:
         self.name, self.index = name, index
@@ -97,8 +109,9 @@
     def reaches(self, a: Member, b: Member) -> bool:
         if a.side != b.side or not (a.alive and b.alive):
             return False
-        return not self.deaf or not any(a.name in sources and b.name in targets
-                                        for _, sources, targets in self.deaf)
+        return not self.deaf or not any(
+            a.name in sources and b.name in targets for _, sources, targets in self.deaf
+        )
 
     def believes(self, a: Member, b: Member) -> bool:
         """Whether `a` takes `b` for alive: late by what it takes to find out."""
@@ -166,8 +179,12 @@
                 self.kill(member)
                 self.at(fault.back, partial(self.start, member, fault.how))
             elif isinstance(fault, Rolling):
-                self.at(n * fault.every, partial(self.begin, Kill(0.0, (name,), STARTS) if fault.killed
-                                                 else Restart(0.0, (name,))))
+                self.at(
+                    n * fault.every,
+                    partial(
+                        self.begin, Kill(0.0, (name,), STARTS) if fault.killed else Restart(0.0, (name,))
+                    ),
+                )
             else:
                 assert isinstance(fault, Restart | Leave)
                 self.leave(member, isinstance(fault, Restart))
--- a/rainspindle/lab/fleet/members_figures.py
+++ b/rainspindle/lab/fleet/members_figures.py
@@ -95,8 +95,12 @@
 
     def wrong(process: object, before: Member | None, after: Member) -> None:
         victim = world.processes[after.name]
-        if (after.standing.value == "dead" and victim.running and victim.paused_until < world.now - 1.0
-                and world.now - taken.get(after.name, -99.0) > 10.0):
+        if (
+            after.standing.value == "dead"
+            and victim.running
+            and victim.paused_until < world.now - 1.0
+            and world.now - taken.get(after.name, -99.0) > 10.0
+        ):
             taken[after.name] = world.now
             result.wrong += 1
 
@@ -150,6 +154,7 @@
 
 # Single cases.
 
+
 def start_together(size: int) -> str:
     world = World(3)
     world.fleet(size, over=0.2)
@@ -237,6 +242,7 @@
 
 # The page.
 
+
 def jobs() -> Iterator[Job]:
     """What is dear in CPU is left out of the baselines: four million heartbeats a second, and the like."""
     for size in SIZES:
@@ -258,29 +264,44 @@
     job = result.job
     faults = "stalls" if job.pauses else f"{job.loss:.0%} lost"
     hours = result.span / 3600
-    known = (f"{median(result.each):.1f} / {percentile(result.each, 99):.1f}", (
-        f"{median(result.everywhere):.1f} / {max(result.everywhere):.1f}" if result.everywhere else "-"))
-    return (f"| {job.size:,} | {faults} | {known[0]} | {known[1]} | {result.wrong / hours:,.0f} "
-            f"({result.wrong} in {result.span:,.0f} s) | {result.datagrams:.1f} / {result.most:.1f} | "
-            f"{result.sent_bytes:,.0f} | {result.cpu:.2%} |")
+    known = (
+        f"{median(result.each):.1f} / {percentile(result.each, 99):.1f}",
+        (f"{median(result.everywhere):.1f} / {max(result.everywhere):.1f}" if result.everywhere else "-"),
+    )
+    return (
+        f"| {job.size:,} | {faults} | {known[0]} | {known[1]} | {result.wrong / hours:,.0f} "
+        f"({result.wrong} in {result.span:,.0f} s) | {result.datagrams:.1f} / {result.most:.1f} | "
+        f"{result.sent_bytes:,.0f} | {result.cpu:.2%} |"
+    )
 
 
 def page(results: list[Result], cases: dict[str, str]) -> str:
     lines = [
-        "# Members: figures", "",
+        "# Members: figures",
+        "",
         "In virtual time, by `python -m rainspindle.lab.fleet.figures members FILE`: the classes that run,",
         "on a network of 0.2 to 2 ms of delay. Crashes: seconds until a survivor takes the member for dead,",
         "over all crashes and survivors (median / 99th), and until all do (median / worst). Wrong burials:",
         "members that were there and that at least one other took for dead, an hour over the whole fleet; a",
         "member counts again after 10 s. Stalls: each second one in a hundred members stands still for 1 to",
         "8 s. Datagrams and bytes are what a member sends a second (mean / the one that sends most). CPU is",
-        "a part of one core for one member, with the virtual network's part in it.", ""]
+        "a part of one core for one member, with the virtual network's part in it.",
+        "",
+    ]
     for way in WAYS:
-        lines += [f"## {way[0].upper()}{way[1:]}", "",
-                  "| members | faults | a crash is known to one (s) | to all (s) | wrong burials an hour | "
-                  "datagrams/s | bytes/s | CPU |", "| ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: |"]
-        lines += [row(r) for r in sorted((r for r in results if r.job.way == way),
-                                         key=lambda r: (r.job.size, r.job.pauses, r.job.loss))]
+        lines += [
+            f"## {way[0].upper()}{way[1:]}",
+            "",
+            "| members | faults | a crash is known to one (s) | to all (s) | wrong burials an hour | "
+            "datagrams/s | bytes/s | CPU |",
+            "| ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: |",
+        ]
+        lines += [
+            row(r)
+            for r in sorted(
+                (r for r in results if r.job.way == way), key=lambda r: (r.job.size, r.job.pauses, r.job.loss)
+            )
+        ]
         lines.append("")
     lines += ["## Single cases", "", "| case | |", "| --- | --- |"]
     lines += [f"| {name} | {told} |" for name, told in cases.items()]
--- a/rainspindle/lab/fleet/mixed.py
+++ b/rainspindle/lab/fleet/mixed.py
@@ -58,8 +58,9 @@
         self.process, self.parts = process, parts
         steps = tuple(parts.terms.Step(part, 5.0, 3) for part in (0.2, 0.5))
         terms = parts.terms.Terms("c", "x", steps, long=60.0, short=10.0, budget=0.3, each_effect=0)
-        self.canary = parts.canary.Canary(process.world.now, terms, process.name, process.life, self,
-                                          process.folder.get("canary"))
+        self.canary = parts.canary.Canary(
+            process.world.now, terms, process.name, process.life, self, process.folder.get("canary")
+        )
         process.cells.on_change("canary/", self.heard)
         self.due, self.stirred = -math.inf, True  # as the program's ticker: when it asks, or after news
 
@@ -69,8 +70,9 @@
             self.canary.heard_state(now, cell.owner, cell.value)
         elif cell.owner != self.process.name:
             seen = self.process.cells.read(cell.owner, cell.name)
-            self.canary.heard_counts(now, cell.owner, cell.life, cell.sequence, cell.value,
-                                     seen.heard if seen else now)
+            self.canary.heard_counts(
+                now, cell.owner, cell.life, cell.sequence, cell.value, seen.heard if seen else now
+            )
 
     def tick(self, now: float) -> float:
         if self.stirred or now >= self.due:
@@ -104,12 +106,15 @@
         self.due, now = -math.inf, process.world.now
         self.rules = parts.wallet.Rules(home)
         self.wallet = parts.wallet.Wallet("w", process.name, process.life, self.rules, self, now)
-        rows = {account: parts.rows.decode_row(value)[0]
-                for account, value in process.folder.setdefault("rows", {}).items()}
+        rows = {
+            account: parts.rows.decode_row(value)[0]
+            for account, value in process.folder.setdefault("rows", {}).items()
+        }
         ids = dict(process.folder.setdefault("ids", {}))
         last = max(rows, default=None)
-        self.wallet.load(now, rows.pop(last, None), ids, [rows[a] for a in sorted(rows)],
-                         parts.account.Trust.SURE)
+        self.wallet.load(
+            now, rows.pop(last, None), ids, [rows[a] for a in sorted(rows)], parts.account.Trust.SURE
+        )
         process.cells.on_change("wallet/", self.heard)
 
     def heard(self, now: float, cell: Any) -> None:
@@ -158,8 +163,11 @@
         self.process.wake()
 
     def alive(self) -> Iterable[str]:
-        return [m.name for m in self.process.engine.members()
-                if m.name != self.process.name and m.standing.value == "alive"]
+        return [
+            m.name
+            for m in self.process.engine.members()
+            if m.name != self.process.name and m.standing.value == "alive"
+        ]
 
     def log(self, event: str, **fields: object) -> None:
         self.process.log(event, **fields)
@@ -188,9 +196,17 @@
     def make(self, process: Process) -> Engine:
         parts = self.parts[process.name]
         process.cells = parts.cells.Cells(process.name, process.life)
-        engine = parts.swim.Members(process.name, process.life, process.address, "virtual", process.seeds,
-                                    process, random.Random(self.world.chance.random()), self.world.now,
-                                    process.cells)
+        engine = parts.swim.Members(
+            process.name,
+            process.life,
+            process.address,
+            "virtual",
+            process.seeds,
+            process,
+            random.Random(self.world.chance.random()),
+            self.world.now,
+            process.cells,
+        )
         engine.wake = process.wake
         made: Engine = engine
         return made
@@ -252,8 +268,11 @@
 
     def abort(self, parts: Parts) -> None:
         """At a member of this build that nothing keeps from the others."""
-        names = [n for n in self.names if self.parts[n] is parts and self.awake(n)
-                 and self.world.now > self.troubled[n] + HEARD]
+        names = [
+            n
+            for n in self.names
+            if self.parts[n] is parts and self.awake(n) and self.world.now > self.troubled[n] + HEARD
+        ]
         name = self.chance.choice(names)
         if not self.app(name)[0].canary.state.run:
             self.broken.append(f"{self.world.now:.1f} s: {name} of the {parts.name} build knows of no run")
@@ -369,21 +388,32 @@
         bad = [event for event in self.events if "unreadable" in event or "another release" in event]
         self.broken += [f"{self.events[event]} times {event}" for event in bad]
         self.broken += [f"{what}: {count}" for what, count in self.drops.items() if count]
-        return {"hours": round(self.world.now / 3600, 2), "broken": self.broken[:20], "rolled": self.rolled,
-                "befell": dict(self.befell), "aborts": self.aborts, "abort_lag_s": round(self.lag, 3),
-                "to_new": self.to_new, "executed": self.executed, "topped": self.topped,
-                "datagrams": self.sent,
-                "cpu_s": round(time.process_time() - begun, 1)}
+        return {
+            "hours": round(self.world.now / 3600, 2),
+            "broken": self.broken[:20],
+            "rolled": self.rolled,
+            "befell": dict(self.befell),
+            "aborts": self.aborts,
+            "abort_lag_s": round(self.lag, 3),
+            "to_new": self.to_new,
+            "executed": self.executed,
+            "topped": self.topped,
+            "datagrams": self.sent,
+            "cpu_s": round(time.process_time() - begun, 1),
+        }
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser("python -m rainspindle.lab.fleet.mixed",
-                                     description="Half a fleet one release behind, in virtual time.")
+    parser = argparse.ArgumentParser(
+        "python -m rainspindle.lab.fleet.mixed",
+        description="Half a fleet one release behind, in virtual time.",
+    )
     parser.add_argument("--hours", type=float, default=24.0)
     parser.add_argument("--members", type=int, default=8)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--minutes", type=float, default=math.inf,
-                        help="of the processor's time, after which it ends")
+    parser.add_argument(
+        "--minutes", type=float, default=math.inf, help="of the processor's time, after which it ends"
+    )
     add_older(parser)
     options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory(prefix="rainspindle-mixed-") as folder:
--- a/rainspindle/lab/fleet/network.py
+++ b/rainspindle/lab/fleet/network.py
@@ -122,6 +122,7 @@
             for gate in self.gates.values():
                 gate.close()
             self.loop.stopped = True
+
         if self.thread.is_alive():
             self.ask(stop)
             self.thread.join(PATIENCE)
@@ -144,16 +145,19 @@
                 done.set_result(do())
             except Exception as fault:
                 done.set_exception(fault)
+
         self.calls.waiting.append(call)
         self.calls.teller.send(b"\0")
         return done.result(PATIENCE)
 
     def add(self, name: str, listen: Address) -> Address:
         """The address by which others are to know the member that listens at `listen`."""
+
         def add() -> Address:
             gate = self.gates[name] = Gate(self, name, listen)
             self.senders[listen] = gate
             return gate.address
+
         if name in self.gates or listen in self.senders:
             raise ValueError(f"{name} or {listen} is there already")
         return self.ask(add)
@@ -172,16 +176,19 @@
 
     def change(self, do: Callable[[], None]) -> None:
         """What was sent before the change goes by what held then."""
+
         def change() -> None:
             for gate in self.gates.values():
                 gate.read_some(MOST_HELD)
             do()
+
         self.ask(change)
 
     def counts(self) -> dict[tuple[str, str], Count]:
         """By sender and receiver, from the start on."""
-        return self.ask(lambda: {
-            link: Count(c.sent, c.bytes, c.lost, c.doubled) for link, c in self.links.counts.items()})
+        return self.ask(
+            lambda: {link: Count(c.sent, c.bytes, c.lost, c.doubled) for link, c in self.links.counts.items()}
+        )
 
     def recent(self) -> list[tuple[str, str, bytes]]:
         """Sender, receiver and datagram of those that came last, the oldest first."""
@@ -189,11 +196,13 @@
 
     def replay(self, source: str, target: str) -> int:
         """Sends the receiver once more what it was last sent by this member; how many datagrams."""
+
         def replay() -> int:
             found = [data for s, t, data in self.tapped if (s, t) == (source, target)]
             for data in found:
                 self.send(self.gates[source], self.gates[target], data)
             return len(found)
+
         return self.ask(replay)
 
     # In its own thread.
--- a/rainspindle/lab/fleet/odd.py
+++ b/rainspindle/lab/fleet/odd.py
@@ -32,6 +32,7 @@
     import msgspec
 
     from ...protocol import members as wire
+
     ours = wire.encode
 
     def encode(draft: Any) -> bytes:
@@ -41,6 +42,7 @@
             news.append({"since": 1})
         data = msgspec.msgpack.encode(whole)
         return data if len(data) <= wire.MOST else ours(draft)
+
     wire.encode = encode
 
 
@@ -49,22 +51,26 @@
 
     def debit(self: Wallet, now: float, price: int, binding: bool) -> bool:
         return True
+
     Wallet.debit = debit  # type: ignore[method-assign]
 
 
 def deaf_canary() -> None:
     from ...decisions.canary.canary import Canary
     from ...decisions.canary.state import State
+
     learns = Canary.learn
 
     def learn(self: Canary, now: float, other: State, note: str = "") -> None:
         if not other.aborted or note == "called":
             learns(self, now, other, note)
+
     Canary.learn = learn  # type: ignore[method-assign]
 
 
 def bad_disk() -> None:
     from ...store.generations import DiskFiles
+
     write, sync = DiskFiles.write, DiskFiles.sync
 
     def now(files: DiskFiles) -> str:
@@ -77,7 +83,7 @@
         if now(files) == "read-only":
             raise OSError(errno.EROFS, os.strerror(errno.EROFS))
         if now(files) == "full":
-            write(files, name, data[:len(data) // 2])
+            write(files, name, data[: len(data) // 2])
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         write(files, name, data)
 
@@ -85,13 +91,17 @@
         while now(files) == "stalled":
             time.sleep(0.02)
         sync(files, name)
+
     DiskFiles.write = bad_write  # type: ignore[method-assign,assignment]
     DiskFiles.sync = bad_sync  # type: ignore[method-assign,assignment]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
-    "next-release": next_release, "free-wallet": free_wallet, "deaf-canary": deaf_canary,
-    "bad-disk": bad_disk}
+    "next-release": next_release,
+    "free-wallet": free_wallet,
+    "deaf-canary": deaf_canary,
+    "bad-disk": bad_disk,
+}
 
 if __name__ == "__main__":
     for name in sys.argv[1].split(","):
@@ -100,4 +110,5 @@
         else:
             PLANTS[name]()
     from ...program.main import main  # after all: names bound at import would keep what was right
+
     sys.exit(main(sys.argv[2:]))
--- a/rainspindle/lab/fleet/pairs.py
+++ b/rainspindle/lab/fleet/pairs.py
@@ -37,16 +37,35 @@
 
 LEAVES, END = 4.0, 6.0  # seconds at which the first gateway is brought to the other build; of the traffic
 SITES: dict[str, Any] = {
-    "name": "pairs", "length": END, "settle": 2.6, "sites": {}, "lateness": 5.0, "rules": {"tolerance": 2.0},
-    "fleet": {"zones": ["a", "b"], "kinds": [{"count": 6}]}, "sidecars": {"count": 2, "skew": 0.0},
-    "clients": {"rate": 60.0, "keys": 200}, "links": {"cross": {"delay": 0.004, "loss": 0.002}},
+    "name": "pairs",
+    "length": END,
+    "settle": 2.6,
+    "sites": {},
+    "lateness": 5.0,
+    "rules": {"tolerance": 2.0},
+    "fleet": {"zones": ["a", "b"], "kinds": [{"count": 6}]},
+    "sidecars": {"count": 2, "skew": 0.0},
+    "clients": {"rate": 60.0, "keys": 200},
+    "links": {"cross": {"delay": 0.004, "loss": 0.002}},
     "traffic": [
         {"name": "save", "work": 0.02, "promised": 0.6, "expiry": 2.5},
         {"name": "submit", "work": 0.02, "promised": 0.6, "expiry": 1.5, "effect": "binding"},
-        {"name": "note", "work": 0.02, "promised": 0.6, "expiry": 1.5, "effect": "fingerprinted",
-         "memory_span": 2.0, "group": "cell", "share": 0.5}],
-    "faults": [{"kind": "silent", "at": 0.5, "length": END, "zone": "b"},
-               {"kind": "link_silent", "at": 2.0, "length": 0.6, "zone": "b"}]}
+        {
+            "name": "note",
+            "work": 0.02,
+            "promised": 0.6,
+            "expiry": 1.5,
+            "effect": "fingerprinted",
+            "memory_span": 2.0,
+            "group": "cell",
+            "share": 0.5,
+        },
+    ],
+    "faults": [
+        {"kind": "silent", "at": 0.5, "length": END, "zone": "b"},
+        {"kind": "link_silent", "at": 2.0, "length": 0.6, "zone": "b"},
+    ],
+}
 
 
 @dataclass(slots=True)
@@ -94,16 +113,23 @@
     pair = Pair([*found.told(), *(f"the lab's own fault: {fault}" for fault in found.faults)])
     told = figures(ledger, world, found)[0]
     crossed = sum(run.sidecar == 1 and world.zones[run.endpoint] == 0 for run in ledger.runs)
-    pair.figures = {"builds": by_name, "goodput": round(told["goodput"], 3), "tries": len(ledger.asked),
-                    "twice": told["executions_twice"], "crossed": crossed}
+    pair.figures = {
+        "builds": by_name,
+        "goodput": round(told["goodput"], 3),
+        "tries": len(ledger.asked),
+        "twice": told["executions_twice"],
+        "crossed": crossed,
+    }
     if run.left is None or run.left.returncode or run.sidecars[0] is run.left:
         pair.broken.append(f"s0 was not brought to the other build: {run.left and run.left.returncode}")
     pair.broken += taken_and_lost(ledger)
     for n, name in enumerate(by_name):
         log = (folder / f"s{n}.log").read_text()
-        pair.broken += [f"s{n}, first of the {name} build, logged: {line}" for line in log.splitlines()
-                        if "event=fault" in line or "Traceback" in line or (
-                            "link closed" in line and "stall" not in line)]
+        pair.broken += [
+            f"s{n}, first of the {name} build, logged: {line}"
+            for line in log.splitlines()
+            if "event=fault" in line or "Traceback" in line or ("link closed" in line and "stall" not in line)
+        ]
         pair.figures[f"links_up_s{n}"] = log.count('event="link up"')
     kinds = {0: Counter[str](), 1: Counter[str]()}
     for path in sorted(folder.glob("link-*")):
@@ -116,8 +142,11 @@
 def taken_and_lost(ledger: Ledger) -> Iterator[str]:
     """A gateway that is told to leave finishes what it has taken: what got no answer never came to it."""
     ran = {one.id for one in ledger.runs}
-    yield from (f"{asked.id} of s{asked.sidecar}, sent at {asked.sent:.3f} s, ran and was not answered"
-                for asked in ledger.asked if asked.broken and asked.id in ran)
+    yield from (
+        f"{asked.id} of s{asked.sidecar}, sent at {asked.sent:.3f} s, ran and was not answered"
+        for asked in ledger.asked
+        if asked.broken and asked.id in ran
+    )
 
 
 def frames_of(sent: bytes, teller: str, kinds: Counter[str]) -> Iterator[str]:
@@ -128,8 +157,15 @@
     except f.LinkFault as fault:
         yield f"{teller} wrote what this build cannot read: {fault}"
         return
-    kinds.update(" ".join([type(frame).__name__, *(getattr(frame, name) for name in ("kind", "state")
-                                                   if hasattr(frame, name))]) for frame in found)
+    kinds.update(
+        " ".join(
+            [
+                type(frame).__name__,
+                *(getattr(frame, name) for name in ("kind", "state") if hasattr(frame, name)),
+            ]
+        )
+        for frame in found
+    )
     if b"".join(map(f.encode, found)) + bytes(reader.buffer) != sent:
         yield f"{teller} wrote frames otherwise than this build does"
 
@@ -137,8 +173,14 @@
 def fronts(builds: Sequence[Build], seed: int, statements: int = 900, seconds: float = 9.0) -> Pair:
     """The SQL front, of one of these builds after the other."""
     told = trial(statements, 8, seconds, seed, 0.5, [build.root for build in builds])
-    pair = Pair([f"{told[name]} statements: {name}" for name in (
-        "ran_twice", "rejected_and_ran", "lost_and_ran", "finished_and_never_ran") if told[name]], told)
+    pair = Pair(
+        [
+            f"{told[name]} statements: {name}"
+            for name in ("ran_twice", "rejected_and_ran", "lost_and_ran", "finished_and_never_ran")
+            if told[name]
+        ],
+        told,
+    )
     if told["fronts"] != [0] * len(builds):
         pair.broken.append(f"fronts ended with {told['fronts']}")
     if told["statements"] != statements:
@@ -147,8 +189,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser("python -m rainspindle.lab.fleet.pairs",
-                                     description="The link between sites, and the SQL front, of two builds.")
+    parser = argparse.ArgumentParser(
+        "python -m rainspindle.lab.fleet.pairs",
+        description="The link between sites, and the SQL front, of two builds.",
+    )
     parser.add_argument("--seed", type=int, default=1)
     add_older(parser)
     options = parser.parse_args(arguments)
@@ -161,8 +205,18 @@
             begun = time.monotonic()
             pair = sites(builds, options.seed, place) if len(builds) == 2 else fronts(builds, options.seed)
             broken += len(pair.broken)
-            print(json.dumps({"seed": options.seed, "older": options.older, "broken": pair.broken[:20],
-                              **pair.figures, "wall_s": round(time.monotonic() - begun, 1)}), flush=True)
+            print(
+                json.dumps(
+                    {
+                        "seed": options.seed,
+                        "older": options.older,
+                        "broken": pair.broken[:20],
+                        **pair.figures,
+                        "wall_s": round(time.monotonic() - begun, 1),
+                    }
+                ),
+                flush=True,
+            )
     return 3 if broken else 0
 
 
--- a/rainspindle/lab/fleet/player.py
+++ b/rainspindle/lab/fleet/player.py
@@ -69,8 +69,10 @@
             elif isinstance(fault, Kill):
                 self.at(fault.at, partial(self.kill, sidecar))
                 if fault.back is not None:
-                    self.at(fault.at + fault.back, partial(
-                        self.start, sidecar, odd=f"clock={fault.clock}" if fault.clock else ""))
+                    self.at(
+                        fault.at + fault.back,
+                        partial(self.start, sidecar, odd=f"clock={fault.clock}" if fault.clock else ""),
+                    )
             elif isinstance(fault, Folder):
                 if fault.how not in ("lost", "copied"):
                     raise ValueError(f"folder {fault.how}: no machine is restarted here, see lab/fleet/long")
@@ -154,8 +156,9 @@
         return not (self.acts or self.leaving or self.starting)
 
 
-def play(fleet: Fleet, schedule: Schedule, beside: Callable[[float], None] = lambda now: None,
-         until: float = 0.0) -> Player:
+def play(
+    fleet: Fleet, schedule: Schedule, beside: Callable[[float], None] = lambda now: None, until: float = 0.0
+) -> Player:
     """Plays it from now on, to its end and `until` at least; `beside` is called all the while."""
     player, start = Player(fleet, schedule), time.monotonic()
     while (now := time.monotonic() - start) < until or not player.over:
--- a/rainspindle/lab/fleet/pressure.py
+++ b/rainspindle/lab/fleet/pressure.py
@@ -21,8 +21,12 @@
         self.drivers: list[subprocess.Popen[str]] = []
 
     def started(self, *arguments: object) -> subprocess.Popen[str]:
-        return subprocess.Popen([sys.executable, str(Path(fast.__file__)), *map(str, arguments)],
-                                stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        return subprocess.Popen(
+            [sys.executable, str(Path(fast.__file__)), *map(str, arguments)],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
 
     def drive(self, port: int, seconds: float, connections: int = 60) -> None:
         """Begins it: each connection asks again as soon as it has its answer."""
--- a/rainspindle/lab/fleet/processes.py
+++ b/rainspindle/lab/fleet/processes.py
@@ -59,8 +59,12 @@
     for name, table in tables.items():
         for one in table if isinstance(table, list) else [table]:
             lines.append(f"[[{name}]]" if isinstance(table, list) else f"[{name}]")
-            inner = {k: v for k, v in one.items() if isinstance(v, Mapping) or (
-                isinstance(v, list) and v and all(isinstance(item, Mapping) for item in v))}
+            inner = {
+                k: v
+                for k, v in one.items()
+                if isinstance(v, Mapping)
+                or (isinstance(v, list) and v and all(isinstance(item, Mapping) for item in v))
+            }
             lines += [f"{key} = {json.dumps(value)}" for key, value in one.items() if key not in inner]
             for key, value in inner.items():
                 lines.append(toml({f"{name}.{key}": value}))
@@ -69,14 +73,24 @@
 
 def quiet_config(endpoint: str = "") -> dict[str, Any]:
     """Of a sidecar that no list service tells anything; of its one endpoint, by default not there either."""
-    x = Experiment.model_validate({
-        "name": "fleet", "length": 1.0, "settle": 1.0, "fleet": {"kinds": [{"count": 1}]},
-        "clients": {"rate": 1.0},
-        "traffic": [{"name": "look", "work": 0.001, "promised": 0.2, "expiry": 0.3}]})
+    x = Experiment.model_validate(
+        {
+            "name": "fleet",
+            "length": 1.0,
+            "settle": 1.0,
+            "fleet": {"kinds": [{"count": 1}]},
+            "clients": {"rate": 1.0},
+            "traffic": [{"name": "look", "work": 0.001, "promised": 0.2, "expiry": 0.3}],
+        }
+    )
     world, nobody = World(x, x.variants[0], 1), f"127.0.0.1:{reserve_port()}"
     known = [entry(line, endpoint or nobody, x.fleet.zones, 0.0) for line in world.lines]
-    return {"discovery": nobody, "settings": world.settings(0), "limits": {"cores": 1.0, "memory_mb": 192},
-            "known": {"generation": 1, "reset": True, "instances": known}}
+    return {
+        "discovery": nobody,
+        "settings": world.settings(0),
+        "limits": {"cores": 1.0, "memory_mb": 192},
+        "known": {"generation": 1, "reset": True, "instances": known},
+    }
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,8 +120,12 @@
         self.root = ROOT  # of the build that is started; `builds.py` has others
 
     def write(self, config: Mapping[str, Any], tables: Mapping[str, Any] | None) -> None:
-        self.config = {**config, "name": self.name, "listen": f"127.0.0.1:{self.listen}",
-                       "console": f"127.0.0.1:{self.console}"}
+        self.config = {
+            **config,
+            "name": self.name,
+            "listen": f"127.0.0.1:{self.listen}",
+            "console": f"127.0.0.1:{self.console}",
+        }
         (self.folder / "config.json").write_text(json.dumps(self.config))
         self.tables = None if tables is None else dict(tables)
         if self.tables is not None:
@@ -117,8 +135,16 @@
         """The line by which it is started."""
         module = ["rainspindle.lab.fleet.odd", odd] if odd else ["rainspindle"]
         fleet = [] if self.tables is None else ["--fleet", str(self.folder / "fleet.toml")]
-        return [sys.executable, "-O", "-m", *module, "serve", "--config", str(self.folder / "config.json"),
-                *fleet]
+        return [
+            sys.executable,
+            "-O",
+            "-m",
+            *module,
+            "serve",
+            "--config",
+            str(self.folder / "config.json"),
+            *fleet,
+        ]
 
     def start(self, odd: str = "") -> None:
         """`odd`: what is odd about it, as `odd.py` names it."""
@@ -126,9 +152,14 @@
         self.starts += 1
         with (self.folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
-                self.line(odd), cwd=self.root, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL,
-                stderr=log, start_new_session=True,
-                env={**os.environ, "TMPDIR": str(self.folder / "tmp")})
+                self.line(odd),
+                cwd=self.root,
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+                stderr=log,
+                start_new_session=True,
+                env={**os.environ, "TMPDIR": str(self.folder / "tmp")},
+            )
         self.keep(self.process.pid)
 
     @property
@@ -175,12 +206,14 @@
 
     def copy_kept(self, to: Path) -> None:
         """Its folder as it is, also while its process writes and removes files there."""
+
         def copied() -> bool:
             shutil.rmtree(to, ignore_errors=True)
             with contextlib.suppress(shutil.Error):
                 shutil.copytree(self.folder / "kept", to)
                 return True
             return False
+
         wait_until(copied, PATIENCE, "a copy of what changes all the time")
 
     @property
@@ -223,22 +256,30 @@
 class Fleet:
     """Members by name, the network between them, a keeper that ends them."""
 
-    def __init__(self, folder: Path, names: Iterable[str], seed: int = 0,
-                 config: Mapping[str, Any] | None = None,
-                 tables: Callable[[str], Mapping[str, Any]] = lambda name: {}, fleet: bool = True,
-                 seeds: int = 2) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        names: Iterable[str],
+        seed: int = 0,
+        config: Mapping[str, Any] | None = None,
+        tables: Callable[[str], Mapping[str, Any]] = lambda name: {},
+        fleet: bool = True,
+        seeds: int = 2,
+    ) -> None:
         """`tables`: what a member's fleet file has beside `[members]`; `fleet`: whether there is one at all;
         `seeds`: how many of the first members are seeds of all."""
         self.folder, self.network = folder, Network(seed)
         self.keeper: subprocess.Popen[bytes] | None = None
         self.sidecars = {name: Sidecar(folder / name, name, self.keep) for name in names}
-        self.advertise = {name: self.network.add(name, ("127.0.0.1", s.members_at))
-                          for name, s in self.sidecars.items()}
+        self.advertise = {
+            name: self.network.add(name, ("127.0.0.1", s.members_at)) for name, s in self.sidecars.items()
+        }
         self.fleet, self.seeds, self.tables = fleet, list(self.sidecars)[:seeds], tables
         config = quiet_config() if config is None else config
         for number, sidecar in enumerate(self.sidecars.values()):
-            sidecar.write({**config, "seed": seed * 100_003 + number},
-                          self.file(sidecar.name) if fleet else None)
+            sidecar.write(
+                {**config, "seed": seed * 100_003 + number}, self.file(sidecar.name) if fleet else None
+            )
 
     def __getitem__(self, name: str) -> Sidecar:
         return self.sidecars[name]
@@ -246,11 +287,18 @@
     def file(self, name: str, /, seeds: Sequence[str] | None = None, **changes: Any) -> dict[str, Any]:
         """A member's fleet file."""
         sidecar = self.sidecars[name]
-        return {"members": {
-            "name": name, "fleet": "lab", "listen": f"127.0.0.1:{sidecar.members_at}",
-            "advertise": self.seen_at(name),
-            "seeds": [self.seen_at(other) for other in seeds or self.seeds if other != name],
-            "folder": str(sidecar.folder / "kept"), **changes}, **self.tables(name)}
+        return {
+            "members": {
+                "name": name,
+                "fleet": "lab",
+                "listen": f"127.0.0.1:{sidecar.members_at}",
+                "advertise": self.seen_at(name),
+                "seeds": [self.seen_at(other) for other in seeds or self.seeds if other != name],
+                "folder": str(sidecar.folder / "kept"),
+                **changes,
+            },
+            **self.tables(name),
+        }
 
     def seen_at(self, name: str) -> str:
         """The address by which the others know a member."""
@@ -260,8 +308,9 @@
     def keep(self, number: int) -> None:
         """Tells the keeper of a process, or by a negative number that it has been waited for."""
         if self.keeper is None:
-            self.keeper = subprocess.Popen([sys.executable, "-m", "rainspindle.lab.sockets.keeper"],
-                                           stdin=subprocess.PIPE, cwd=ROOT)
+            self.keeper = subprocess.Popen(
+                [sys.executable, "-m", "rainspindle.lab.sockets.keeper"], stdin=subprocess.PIPE, cwd=ROOT
+            )
         assert self.keeper.stdin is not None
         self.keeper.stdin.write(b"%d\n" % number)
         self.keeper.stdin.flush()
@@ -272,8 +321,9 @@
         self.network.start()
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, fault: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+    ) -> None:
         try:
             for sidecar in self.sidecars.values():
                 if sidecar.process is not None:
@@ -334,8 +384,10 @@
 
     def agree(self, states: Mapping[str, str], *viewers: str) -> bool:
         """Whether all viewers, or all, hold exactly these states of these names."""
-        return all({n: m["state"] for n, m in view.items() if n in states} == dict(states)
-                   for view in self.views(*viewers).values())
+        return all(
+            {n: m["state"] for n, m in view.items() if n in states} == dict(states)
+            for view in self.views(*viewers).values()
+        )
 
     def await_agreed(self, states: Mapping[str, str], deadline: float, *viewers: str) -> float:
         """Seconds until they do. Raises NotInTime, with who says what else."""
@@ -343,10 +395,14 @@
 
         def others() -> str:
             views = self.views(*viewers)
-            wrong = [f"{viewer} says {name} {view.get(name, {}).get('state', 'unknown')}"
-                     for viewer, view in views.items() for name, state in states.items()
-                     if view.get(name, {}).get("state") != state]
+            wrong = [
+                f"{viewer} says {name} {view.get(name, {}).get('state', 'unknown')}"
+                for viewer, view in views.items()
+                for name, state in states.items()
+                if view.get(name, {}).get("state") != state
+            ]
             return f"agreed on {dict(states)}; {len(wrong)} differ: {'; '.join(wrong[:8])}"
+
         wait_until(lambda: self.agree(states, *viewers), deadline, others)
         return time.monotonic() - begun
 
--- a/rainspindle/lab/fleet/restarts.py
+++ b/rainspindle/lab/fleet/restarts.py
@@ -40,9 +40,10 @@
 BAD = {"e0": "silent", "e1": "failing", "e2": "slow"}
 ENDPOINTS = 12
 PROMISED, EXPIRY = 0.3, 1.5
-TYPES = ({"name": "read", "effect": "read_like", "promised-time": PROMISED * 1000, "expiry": EXPIRY * 1000},
-         {"name": "submit", "effect": "non_idempotent", "promised-time": PROMISED * 1000,
-          "expiry": EXPIRY * 1000})
+TYPES = (
+    {"name": "read", "effect": "read_like", "promised-time": PROMISED * 1000, "expiry": EXPIRY * 1000},
+    {"name": "submit", "effect": "non_idempotent", "promised-time": PROMISED * 1000, "expiry": EXPIRY * 1000},
+)
 WARM, LOOKED_AT = 12.0, 10.0  # seconds
 CYCLE = 7.0  # seconds from one trial to the next: repeats end it at moments that are spread over one
 KEYS = 4000
@@ -69,16 +70,22 @@
 def config(servers: dict[str, Endpoint]) -> dict[str, Any]:
     base = quiet_config()
     lines = [server.listed(started_ms=1000) for server in servers.values()]
-    return {**base, "settings": {**base["settings"], "traffic-types": list(TYPES)},
-            "known": {"generation": 1, "reset": True, "instances": lines}}
+    return {
+        **base,
+        "settings": {**base["settings"], "traffic-types": list(TYPES)},
+        "known": {"generation": 1, "reset": True, "instances": lines},
+    }
 
 
 def move_back(kept: Path, seconds: float) -> None:
     """The newest record in a member's folder was written so long before it was."""
     disk = Generations(DiskFiles(kept), NAME, KIND, VERSION, LEAST, MOST, "lab")
     record = forms.decode_record(disk.read().payload)
-    disk.write(forms.encode_record(msgspec.structs.replace(
-        record, wall=record.wall - seconds, boot_at=record.boot_at - seconds)))
+    disk.write(
+        forms.encode_record(
+            msgspec.structs.replace(record, wall=record.wall - seconds, boot_at=record.boot_at - seconds)
+        )
+    )
 
 
 @dataclass
@@ -108,9 +115,15 @@
         while not self.over.wait(max(0.0, begun + n / self.rate - time.monotonic())):
             sent, status, kind = time.monotonic(), 0, "submit" if n % 3 == 0 else "read"
             try:
-                connection.request("GET", "/", headers={
-                    "X-Request-ID": f"{self.port}-{n}", "X-Priority-Class": kind,
-                    "Cookie": f"user=k{n * 7919 % KEYS}"})
+                connection.request(
+                    "GET",
+                    "/",
+                    headers={
+                        "X-Request-ID": f"{self.port}-{n}",
+                        "X-Priority-Class": kind,
+                        "Cookie": f"user=k{n * 7919 % KEYS}",
+                    },
+                )
                 answer = connection.getresponse()
                 answer.read()
                 status = answer.status
@@ -147,14 +160,25 @@
     return lambda name: {**keep, **({"evidence": {}} if evidence else {})}
 
 
-def once(way: str, end: str, rate: float, evidence: bool = False, phase: float = 0.0, aged: float = 300.0,
-         say: Callable[[str], None] = lambda text: None) -> Met:
-    with tempfile.TemporaryDirectory() as folder, endpoints() as servers, \
-            Fleet(Path(folder), NAMES, 1, config(servers), tables(way, evidence)) as fleet:
+def once(
+    way: str,
+    end: str,
+    rate: float,
+    evidence: bool = False,
+    phase: float = 0.0,
+    aged: float = 300.0,
+    say: Callable[[str], None] = lambda text: None,
+) -> Met:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        endpoints() as servers,
+        Fleet(Path(folder), NAMES, 1, config(servers), tables(way, evidence)) as fleet,
+    ):
         fleet.start()
         fleet.all_alive()
-        clients = {name: Clients(s.listen, rate if name == "a" else rate / 2)
-                   for name, s in fleet.sidecars.items()}
+        clients = {
+            name: Clients(s.listen, rate if name == "a" else rate / 2) for name, s in fleet.sidecars.items()
+        }
         for each in clients.values():
             each.start()
         try:
@@ -183,12 +207,21 @@
         def met_at(name: str) -> tuple[int, int, int]:
             """Asked, failed, late, from the first exchange on that found the door open."""
             mine = [x for x in clients[name].asked if opened <= x[0] < opened + LOOKED_AT]
-            return (len(mine), sum(s != 200 for _, _, s, _ in mine),
-                    sum(s == 200 and e - b > PROMISED for b, e, s, _ in mine))
+            return (
+                len(mine),
+                sum(s != 200 for _, _, s, _ in mine),
+                sum(s == 200 and e - b > PROMISED for b, e, s, _ in mine),
+            )
+
         others = [met_at(name) for name in NAMES[1:]]
-        met = Met(way, end, *met_at("a"), opened - begun,
-                  {k: len(taken[k]) for k in ("folder", "members") if k in taken},
-                  1000 * sum(failed + late for _, failed, late in others) / sum(n for n, _, _ in others))
+        met = Met(
+            way,
+            end,
+            *met_at("a"),
+            opened - begun,
+            {k: len(taken[k]) for k in ("folder", "members") if k in taken},
+            1000 * sum(failed + late for _, failed, late in others) / sum(n for n, _, _ in others),
+        )
         faults = [line for s in fleet.sidecars.values() for line in s.faults()]
         if faults:
             raise AssertionError(faults[:3])
@@ -197,29 +230,51 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m rainspindle.lab.fleet.restarts", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python -m rainspindle.lab.fleet.restarts",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("--repeats", type=int, default=5, help="of each way (default 5)")
-    parser.add_argument("--rate", type=float, default=100.0,
-                        help="exchanges a second at the one that is restarted; half of it at the others")
+    parser.add_argument(
+        "--rate",
+        type=float,
+        default=100.0,
+        help="exchanges a second at the one that is restarted; half of it at the others",
+    )
     parser.add_argument("--evidence", action="store_true", help="with [evidence] at all, in each way")
     parser.add_argument("--aged", type=float, default=300.0, help="seconds, of the way `aged` (default 300)")
     parser.add_argument("--ways", default=",".join(WAYS))
     parser.add_argument("--ends", default=",".join(ENDS))
     given = parser.parse_args()
-    met = [once(way, end, given.rate, given.evidence, n / given.repeats, given.aged,
-                lambda text: print(text, file=sys.stderr, flush=True))
-           for n in range(given.repeats) for end in given.ends.split(",") for way in given.ways.split(",")]
-    print("| ended by | way | failed or late of 1,000 | spread | failed | late | at the others | "
-          "s until it could serve |")
+    met = [
+        once(
+            way,
+            end,
+            given.rate,
+            given.evidence,
+            n / given.repeats,
+            given.aged,
+            lambda text: print(text, file=sys.stderr, flush=True),
+        )
+        for n in range(given.repeats)
+        for end in given.ends.split(",")
+        for way in given.ways.split(",")
+    ]
+    print(
+        "| ended by | way | failed or late of 1,000 | spread | failed | late | at the others | "
+        "s until it could serve |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for end in given.ends.split(","):
         for way in given.ways.split(","):
             rows = [m for m in met if (m.way, m.end) == (way, end)]
             parts = sorted(1000 * m.bad / max(1, m.asked) for m in rows)
-            print(f"| {end} | {way} | {median(parts):.1f} | {parts[0]:.1f} to {parts[-1]:.1f} | "
-                  f"{median(m.failed for m in rows)} | {median(m.late for m in rows)} | "
-                  f"{median(m.beside for m in rows):.1f} | {median(m.shut for m in rows):.2f} |")
+            print(
+                f"| {end} | {way} | {median(parts):.1f} | {parts[0]:.1f} to {parts[-1]:.1f} | "
+                f"{median(m.failed for m in rows)} | {median(m.late for m in rows)} | "
+                f"{median(m.beside for m in rows):.1f} | {median(m.shut for m in rows):.2f} |"
+            )
     return 0
 
 
--- a/rainspindle/lab/fleet/rolling.py
+++ b/rainspindle/lab/fleet/rolling.py
@@ -47,8 +47,15 @@
 CANARIES = {"answers": (0, 1), "later": (2, 3)}  # endpoints of each
 LEFT_OUT, ORDERED = 9, 0.5  # the endpoint that staff leave out; seconds within which that is in force
 # Log lines that say that one build could not go on from what the other sent or kept.
-LOST = ("unreadable", "cannot be read", "another release's message", "life cannot be kept",
-        "not the one that was written last", "configuration refused", "fleet file refused")
+LOST = (
+    "unreadable",
+    "cannot be read",
+    "another release's message",
+    "life cannot be kept",
+    "not the one that was written last",
+    "configuration refused",
+    "fleet file refused",
+)
 
 
 def more_tables(build: Build) -> dict[str, Any]:
@@ -65,9 +72,11 @@
     rest = [name for name in members if name not in half]
     side = [*chance.sample(half, len(half) // 2), *chance.sample(rest, len(rest) // 2)]
     other = [name for name in members if name not in side]
-    return (Split(0.0, (tuple(sorted(side)), tuple(sorted(other))), 3.0),
-            Kill(chance.uniform(0.3, 1.5), (chance.choice(rest),), 4.0),
-            Stall(chance.uniform(0.3, 1.5), (chance.choice(half),), 2.0))
+    return (
+        Split(0.0, (tuple(sorted(side)), tuple(sorted(other))), 3.0),
+        Kill(chance.uniform(0.3, 1.5), (chance.choice(rest),), 4.0),
+        Stall(chance.uniform(0.3, 1.5), (chance.choice(half),), 2.0),
+    )
 
 
 class RollingRun(DayRun):
@@ -80,8 +89,10 @@
         self.builds = dict.fromkeys(members, old)
         chance = random.Random(f"{world.seed} rolling")
         self.home = chance.choice(members)
-        calls = [Call(0.2, "POST", "/-/wallets/north/top-up?id=first&amount=500", (self.home,)),
-                 Call(0.5, "POST", "/-/canaries/answers/start", tuple(members))]
+        calls = [
+            Call(0.2, "POST", "/-/wallets/north/top-up?id=first&amount=500", (self.home,)),
+            Call(0.5, "POST", "/-/canaries/answers/start", tuple(members)),
+        ]
         calls += [Call(0.4, "POST", f"/-/endpoints/e{LEFT_OUT}/disable", (name,)) for name in members]
         super().__init__(world, folder, Plan((), tuple(calls), self.tables_of))
         self.order = chance.sample(members, len(members))
@@ -93,13 +104,28 @@
             sidecar.root = old.root
 
     def tables_of(self, name: str) -> dict[str, Any]:
-        wallet = {"name": "north", "home": self.home, "tenant": 0, "match": list(PRICES), "prices": PRICES,
-                  "reserve": 30}
-        canaries = [{
-            "name": canary, "endpoints": [f"e{n}" for n in endpoints], "budget": 0.2, "long": 10.0,
-            "short": 2.0, "stages": [{"part": 0.1, "time": 1.0, "exchanges": 10},
-                                     {"part": 0.4, "time": 3600.0, "exchanges": 50}]}
-            for canary, endpoints in CANARIES.items()]
+        wallet = {
+            "name": "north",
+            "home": self.home,
+            "tenant": 0,
+            "match": list(PRICES),
+            "prices": PRICES,
+            "reserve": 30,
+        }
+        canaries = [
+            {
+                "name": canary,
+                "endpoints": [f"e{n}" for n in endpoints],
+                "budget": 0.2,
+                "long": 10.0,
+                "short": 2.0,
+                "stages": [
+                    {"part": 0.1, "time": 1.0, "exchanges": 10},
+                    {"part": 0.4, "time": 3600.0, "exchanges": 50},
+                ],
+            }
+            for canary, endpoints in CANARIES.items()
+        ]
         return {"wallet": [wallet], "canary": canaries, **more_tables(self.builds[name])}
 
     # The run.
@@ -129,7 +155,7 @@
 
     def script(self) -> Iterator[None]:
         members = self.order
-        half, rest = members[:len(members) // 2], members[len(members) // 2:]
+        half, rest = members[: len(members) // 2], members[len(members) // 2 :]
         yield from self.wait(LEAD)
         yield from self.bring(half, self.new)
         began = self.now
@@ -226,8 +252,9 @@
         yield from self.wait(IN_FORCE + 0.5)
 
     def top_up(self, id: str) -> Iterator[None]:
-        self.call(Call(self.now, "POST", f"/-/wallets/north/top-up?id={id}&amount={TOP_UPS[id]}",
-                       (self.home,)))
+        self.call(
+            Call(self.now, "POST", f"/-/wallets/north/top-up?id={id}&amount={TOP_UPS[id]}", (self.home,))
+        )
         yield
 
     # What is looked at beside the ledgers.
@@ -245,8 +272,11 @@
         for sidecar in self.fleet.sidecars.values():
             with contextlib.suppress(OSError, KeyError):
                 drops = sidecar.call("GET", "/-/members").body["drops"]
-                self.beside += [f"{sidecar.name} of the {self.builds[sidecar.name].name} build: {what}"
-                                f" {drops[what]}" for what in ("unreadable", "other_release") if drops[what]]
+                self.beside += [
+                    f"{sidecar.name} of the {self.builds[sidecar.name].name} build: {what} {drops[what]}"
+                    for what in ("unreadable", "other_release")
+                    if drops[what]
+                ]
 
     def kept_faults(self) -> Iterator[str]:
         """What the older build has not gone on from that it was handed back."""
@@ -270,33 +300,40 @@
         return {one["name"]: one["state"] for one in told} == dict.fromkeys(CANARIES, "aborted")
 
 
-def play(world: World, folder: Path, old: Build, half: float = 0.0, new: Build = THIS
-         ) -> tuple[Day, RollingRun]:
+def play(
+    world: World, folder: Path, old: Build, half: float = 0.0, new: Build = THIS
+) -> tuple[Day, RollingRun]:
     """Raises SocketsFault where the lab itself failed."""
     run = RollingRun(world, folder, old, half, new)
     ledger = run.play_rolling()
-    run.plan = replace(run.plan, schedule=tuple(run.played),
-                       calls=tuple(call for call in run.plan.calls if "/-/canaries/" not in call.path))
+    run.plan = replace(
+        run.plan,
+        schedule=tuple(run.played),
+        calls=tuple(call for call in run.plan.calls if "/-/canaries/" not in call.path),
+    )
     day = judged(run, ledger)
     for canary, endpoints in CANARIES.items():
         called = [one for one in run.called if f"/-/canaries/{canary}/" in one.call.path]
         told = called, run.player.away, run.plan.schedule, endpoints
         if max((one.call.at for one in called), default=0.0) < world.x.length:  # while there was traffic
-            day.broken += [f"canary {canary}: {line}"
-                           for line in judge_canary(ledger, *told, late=world.x.rules.tolerance)]
-            day.figures.update((f"{canary}_{what}", round(lag, 3))
-                               for what, lag in canary_lags(ledger, *told))
+            day.broken += [
+                f"canary {canary}: {line}"
+                for line in judge_canary(ledger, *told, late=world.x.rules.tolerance)
+            ]
+            day.figures.update(
+                (f"{canary}_{what}", round(lag, 3)) for what, lag in canary_lags(ledger, *told)
+            )
     day.broken += left_out_faults(run.fleet.sidecars, run.called, ledger, world.x.rules.tolerance)
     day.figures.pop("cpu_s", None)
     return day, run
 
 
-def left_out_faults(members: Iterable[str], called: Sequence[Called], ledger: Ledger, late: float = 0.0
-                    ) -> Iterator[str]:
+def left_out_faults(
+    members: Iterable[str], called: Sequence[Called], ledger: Ledger, late: float = 0.0
+) -> Iterator[str]:
     """Nothing goes to an endpoint that staff have left out, through whatever build the order was kept."""
     since = {one.member: one.at for one in called if one.call.path.endswith("/disable")}
-    yield from (f"{name} was not told to leave e{LEFT_OUT} out" for name in members
-                if name not in since)
+    yield from (f"{name} was not told to leave e{LEFT_OUT} out" for name in members if name not in since)
     for one in ledger.runs:
         if one.endpoint == LEFT_OUT and one.first > since.get(f"s{one.sidecar}", 0.0) + ORDERED + late:
             yield f"{one.id} of s{one.sidecar} came to e{LEFT_OUT}, which is left out, at {one.first:.3f} s"
@@ -313,16 +350,22 @@
 
     def world(self, seed: int) -> World:
         x = experiment.load(FILE)
-        x = x.model_copy(update={
-            "rules": x.rules.model_copy(update={"tolerance": self.late}), "length": self.length,
-            "sidecars": x.sidecars.model_copy(update={"count": self.members}),
-            "clients": x.clients.model_copy(update={"rate": self.rate})})
+        x = x.model_copy(
+            update={
+                "rules": x.rules.model_copy(update={"tolerance": self.late}),
+                "length": self.length,
+                "sidecars": x.sidecars.model_copy(update={"count": self.members}),
+                "clients": x.clients.model_copy(update={"rate": self.rate}),
+            }
+        )
         return World(x, x.variants[0], seed)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser("python -m rainspindle.lab.fleet.rolling",
-                                     description="Roll a fleet from an older build to this one and back.")
+    parser = argparse.ArgumentParser(
+        "python -m rainspindle.lab.fleet.rolling",
+        description="Roll a fleet from an older build to this one and back.",
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--members", type=int, default=5)
     parser.add_argument("--length", type=float, default=0.0, help="of the traffic in seconds")
@@ -331,17 +374,29 @@
     parser.add_argument("--folder", type=Path, help="where files and logs are kept; default: nowhere")
     add_older(parser)
     options = parser.parse_args(arguments)
-    size = Size(options.members, 12.0 * options.members, options.length or 35.0 + 5.0 * options.members
-                + options.half)
+    size = Size(
+        options.members, 12.0 * options.members, options.length or 35.0 + 5.0 * options.members + options.half
+    )
     with tempfile.TemporaryDirectory(prefix="rainspindle-rolling-") as folder:
         place = options.folder or Path(folder)
         build = given(options, place / "build")
         day, run = play(size.world(options.seed), place, build, options.half, build if options.same else THIS)
-    print(json.dumps({
-        "seed": options.seed, "older": options.older, "members": options.members, "half": options.half,
-        "same": options.same, "broken": day.broken[:20],
-        "schedule": faults.to_values(run.plan.schedule), "figures": day.figures, "cells": sorted(run.cells),
-        "kinds": sorted(run.kinds)}))
+    print(
+        json.dumps(
+            {
+                "seed": options.seed,
+                "older": options.older,
+                "members": options.members,
+                "half": options.half,
+                "same": options.same,
+                "broken": day.broken[:20],
+                "schedule": faults.to_values(run.plan.schedule),
+                "figures": day.figures,
+                "cells": sorted(run.cells),
+                "kinds": sorted(run.kinds),
+            }
+        )
+    )
     return 3 if day.broken else 0
 
 
--- a/rainspindle/lab/fleet/schedule.py
+++ b/rainspindle/lab/fleet/schedule.py
@@ -129,12 +129,14 @@
     return fault.at + (getattr(fault, "length", None) or 0.0)
 
 
-def draw(seed: int, names: Sequence[str], length: float, count: int,
-         stall: tuple[float, float] = STALL) -> Schedule:
+def draw(
+    seed: int, names: Sequence[str], length: float, count: int, stall: tuple[float, float] = STALL
+) -> Schedule:
     """`count` faults of every kind over `length` seconds, all over by then."""
     chance = random.Random(f"{seed} schedule")
-    return tuple(sorted((one(chance, list(names), length, stall) for _ in range(count)),
-                        key=lambda fault: fault.at))
+    return tuple(
+        sorted((one(chance, list(names), length, stall) for _ in range(count)), key=lambda fault: fault.at)
+    )
 
 
 def one(chance: random.Random, names: list[str], length: float, stall: tuple[float, float]) -> Fault:
@@ -144,8 +146,14 @@
     others = tuple(n for n in names if n not in some)
     kind = chance.choice(("weather", "cut", "split", "stall", "kill", "restart"))
     if kind == "weather":
-        return Weather(at, lasts, loss=chance.uniform(0.0, 0.5), delay=chance.uniform(0.0, 0.2),
-                       jitter=chance.uniform(0.0, 0.3), doubled=chance.uniform(0.0, 0.3))
+        return Weather(
+            at,
+            lasts,
+            loss=chance.uniform(0.0, 0.5),
+            delay=chance.uniform(0.0, 0.2),
+            jitter=chance.uniform(0.0, 0.3),
+            doubled=chance.uniform(0.0, 0.3),
+        )
     if kind == "cut":
         return Cut(at, some, others, lasts) if chance.random() < 0.5 else Cut(at, others, some, lasts)
     if kind == "split":
@@ -168,7 +176,7 @@
     while len(schedule) > 1:
         size = -(-len(schedule) // parts)
         for begin in range(0, len(schedule), size):
-            fewer = schedule[:begin] + schedule[begin + size:]
+            fewer = schedule[:begin] + schedule[begin + size :]
             if fewer and fails(fewer):
                 schedule, parts = fewer, max(parts - 1, 2)
                 break
@@ -179,7 +187,7 @@
     n = 0
     while n < len(schedule):
         for smaller in with_less(schedule[n]):
-            if fails(tried := (*schedule[:n], smaller, *schedule[n + 1:])):
+            if fails(tried := (*schedule[:n], smaller, *schedule[n + 1 :])):
                 schedule = tried
                 break
         else:
@@ -191,8 +199,10 @@
     """The fault with one name, or one kind of weather, less."""
     if isinstance(fault, Weather):
         for kind in ("loss", "delay", "jitter", "doubled"):
-            if getattr(fault, kind) and sum(bool(getattr(fault, k)) for k in (
-                    "loss", "delay", "jitter", "doubled")) > 1:
+            if (
+                getattr(fault, kind)
+                and sum(bool(getattr(fault, k)) for k in ("loss", "delay", "jitter", "doubled")) > 1
+            ):
                 yield msgspec.structs.replace(fault, **{kind: 0.0})
     for field in ("sources", "targets", "names"):
         names = getattr(fault, field, ())
--- a/rainspindle/lab/fleet/starters.py
+++ b/rainspindle/lab/fleet/starters.py
@@ -45,16 +45,33 @@
     def __init__(self, process: Process, wait: float, size: int) -> None:
         world, host, now = process.world, Nobody(), process.world.now
         self.balancer = Balancer(
-            host, 1, now, peers=size, zone=0,
-            types=[TrafficType(Effect.RETRIABLE, Group.ALL, 0.6, 2.0, 0.15, 1.0)], max_forwards=4,
-            parallel=False, may_call_off=True, max_hold_off=1.0, asks_list=True, ask_within=10.0,
-            use_shares=True, cross_price=0.0, budget=ColdBudget(2.5, 3.0, 0.15, 24.0))
+            host,
+            1,
+            now,
+            peers=size,
+            zone=0,
+            types=[TrafficType(Effect.RETRIABLE, Group.ALL, 0.6, 2.0, 0.15, 1.0)],
+            max_forwards=4,
+            parallel=False,
+            may_call_off=True,
+            max_hold_off=1.0,
+            asks_list=True,
+            ask_within=10.0,
+            use_shares=True,
+            cross_price=0.0,
+            budget=ColdBudget(2.5, 3.0, 0.15, 24.0),
+        )
         self.balancer.list_changed(now, LINES, True, stale=False)
-        ground: Any = SimpleNamespace(loop=SimpleNamespace(now=lambda: world.now), members=process.members,
-                                      cells=process.cells, folder=None)
+        ground: Any = SimpleNamespace(
+            loop=SimpleNamespace(now=lambda: world.now),
+            members=process.members,
+            cells=process.cells,
+            folder=None,
+        )
         self.run = KeepRun(ground, KeepPart(wait=wait), None, bool(process.seeds))
-        core: Any = SimpleNamespace(taken=0, list_changed=lambda *of: None,
-                                    facade=SimpleNamespace(balancer=self.balancer))
+        core: Any = SimpleNamespace(
+            taken=0, list_changed=lambda *of: None, facade=SimpleNamespace(balancer=self.balancer)
+        )
         follower: Any = SimpleNamespace(decoder=SimpleNamespace(clock_offset=0.0))
         self.run.attach(core, follower)
         self.began, self.opened, self.words = now, 0.0, 0  # the words that it had at the door
@@ -89,6 +106,7 @@
         def keeping(process: Process) -> Keeping:
             made = self.all[process.name] = Keeping(process, wait, members)
             return made
+
         seeds = [world.address(1)]
         self.teller = world.start("m0", seeds, seeds[0], [keeping])
         world.run(KNOWS_AFTER + 5.0)
@@ -116,9 +134,13 @@
 
 def processes(count: int, wait: float) -> dict[str, object]:
     names = [f"m{n}" for n in range(count + 1)]
-    with tempfile.TemporaryDirectory() as folder, restarts.endpoints() as servers, \
-            Fleet(Path(folder), names, 1, restarts.config(servers), lambda name: {"keep": {"wait": wait}},
-                  seeds=1) as fleet:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        restarts.endpoints() as servers,
+        Fleet(
+            Path(folder), names, 1, restarts.config(servers), lambda name: {"keep": {"wait": wait}}, seeds=1
+        ) as fleet,
+    ):
         for name in names:
             fleet[name].write(fleet[name].config, fleet.file(name, folder=""))
         fleet.start("m0")
@@ -136,18 +158,31 @@
         starts = [fleet[name].call("GET", "/-/keep").body["start"] for name in names[1:]]
         after, seconds = fleet.network.counts(), time.monotonic() - at
         clients.stop()
-        sent = {way: sum(count.sent - (before[link].sent if link in before else 0)
-                         for link, count in after.items() if link[way == "to it"] == "m0")
-                for way in ("by it", "to it")}
-        return {"processes": count, "waited": spread([start["waited"] for start in starts]),
-                "with word": sum(start["words"] > 0 for start in starts),
-                "taken": sorted({tuple(start["members"]) for start in starts}),
-                "all ready after": round(ready, 2), "datagrams": sent, "within": round(seconds, 1)}
+        sent = {
+            way: sum(
+                count.sent - (before[link].sent if link in before else 0)
+                for link, count in after.items()
+                if link[way == "to it"] == "m0"
+            )
+            for way in ("by it", "to it")
+        }
+        return {
+            "processes": count,
+            "waited": spread([start["waited"] for start in starts]),
+            "with word": sum(start["words"] > 0 for start in starts),
+            "taken": sorted({tuple(start["members"]) for start in starts}),
+            "all ready after": round(ready, 2),
+            "datagrams": sent,
+            "within": round(seconds, 1),
+        }
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m rainspindle.lab.fleet.starters", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python -m rainspindle.lab.fleet.starters",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("--members", type=int, default=0, help="in virtual time")
     parser.add_argument("--processes", type=int, default=0, help="that start, beside a teller")
     parser.add_argument("--wait", type=float, default=1.0)
@@ -156,10 +191,18 @@
     given = parser.parse_args()
     if given.members:
         herd = Herd(given.members, given.seed, given.wait, given.over)
-        print(json.dumps({
-            "members": given.members, "door": spread(herd.doors), "shut": herd.shut,
-            "told": herd.told, "told at the door": herd.at_the_door,
-            "datagrams by the teller in each second": herd.sent}))
+        print(
+            json.dumps(
+                {
+                    "members": given.members,
+                    "door": spread(herd.doors),
+                    "shut": herd.shut,
+                    "told": herd.told,
+                    "told at the door": herd.at_the_door,
+                    "datagrams by the teller in each second": herd.sent,
+                }
+            )
+        )
     if given.processes:
         print(json.dumps(processes(given.processes, given.wait)))
     return 0
--- a/rainspindle/lab/fleet/times.py
+++ b/rainspindle/lab/fleet/times.py
@@ -98,8 +98,10 @@
             fleet[names[-1]].kill()
             fleet.await_agreed({names[-1]: "dead"}, PATIENCE, *names[:-1])
             time.sleep(0.2)
-            yield from (("two of them under full load: a crash known", seconds)
-                        for seconds in told(watch, begun, "dead", names[-1:]))
+            yield from (
+                ("two of them under full load: a crash known", seconds)
+                for seconds in told(watch, begun, "dead", names[-1:])
+            )
             pressure.done()
 
 
@@ -113,8 +115,19 @@
     with tempfile.TemporaryDirectory(prefix="rainspindle-times-") as folder:
         for what, seconds in measured(options.members, options.seed, options.rounds, Path(folder)):
             found.setdefault(what, []).append(seconds)
-    print(json.dumps({what: {"count": len(all), "median": round(sorted(all)[len(all) // 2], 3),
-                             "most": round(max(all), 3)} for what, all in found.items()}, indent=1))
+    print(
+        json.dumps(
+            {
+                what: {
+                    "count": len(all),
+                    "median": round(sorted(all)[len(all) // 2], 3),
+                    "most": round(max(all), 3),
+                }
+                for what, all in found.items()
+            },
+            indent=1,
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/rainspindle/lab/fleet/virtual.py
+++ b/rainspindle/lab/fleet/virtual.py
@@ -192,16 +192,27 @@
     def address(self, n: int) -> Address:
         return f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}", PORT
 
-    def start(self, name: str, seeds: Iterable[Address] = (), address: Address | None = None,
-              apps: Iterable[Callable[[Process], App]] = ()) -> Process:
+    def start(
+        self,
+        name: str,
+        seeds: Iterable[Address] = (),
+        address: Address | None = None,
+        apps: Iterable[Callable[[Process], App]] = (),
+    ) -> Process:
         """A process of this name; one that was killed before comes back with a later life, by its clock."""
         before = self.processes.get(name)
         if address is None:
             address = before.address if before else self.address(len(self.processes) + 1)
         clock = EPOCH + self.now + self.clocks.get(name, 0.0)
         life = int(clock * 1000) << 12 | self.chance.randrange(4096)
-        process = Process(self, name, address, life, list(seeds) or (before.seeds if before else []),
-                          self.folders.setdefault(name, {}))
+        process = Process(
+            self,
+            name,
+            address,
+            life,
+            list(seeds) or (before.seeds if before else []),
+            self.folders.setdefault(name, {}),
+        )
         process.cells = Cells(name, life)
         process.engine = self.make(process)
         self.processes[name] = self.at_address[address] = process
@@ -210,13 +221,24 @@
         return process
 
     def make_members(self, process: Process) -> Engine:
-        members = Members(process.name, process.life, process.address, "virtual", process.seeds, process,
-                          random.Random(self.chance.random()), self.now, process.cells, self.tuning)
+        members = Members(
+            process.name,
+            process.life,
+            process.address,
+            "virtual",
+            process.seeds,
+            process,
+            random.Random(self.chance.random()),
+            self.now,
+            process.cells,
+            self.tuning,
+        )
         members.wake = process.wake
         return members
 
-    def fleet(self, size: int, seeds: int = 3, over: float = 0.0,
-              apps: Iterable[Callable[[Process], App]] = ()) -> list[Process]:
+    def fleet(
+        self, size: int, seeds: int = 3, over: float = 0.0, apps: Iterable[Callable[[Process], App]] = ()
+    ) -> list[Process]:
         """Starts `size` members within `over` seconds, the first few of them seeds of all."""
         addresses = [self.address(n + 1) for n in range(min(seeds, size))]
         made = tuple(apps)
@@ -270,7 +292,8 @@
         if self.loss and chance.random() < self.loss:
             return
         if self.lossy and chance.random() < 1 - (1 - self.lossy.get(sender.name, 0.0)) * (
-                1 - self.lossy.get(process.name, 0.0)):
+            1 - self.lossy.get(process.name, 0.0)
+        ):
             return
         copies = 2 if self.doubled and chance.random() < self.doubled else 1
         for _ in range(copies):
--- a/rainspindle/lab/fleet/wallets.py
+++ b/rainspindle/lab/fleet/wallets.py
@@ -46,6 +46,7 @@
         class Server(socketserver.ThreadingMixIn, http.server.HTTPServer):
             daemon_threads = True
             request_queue_size = 64
+
         self.server = Server(("127.0.0.1", 0), Handler)
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
@@ -53,15 +54,34 @@
 def settings() -> dict[str, Any]:
     """Of a deployment in which nothing but the wallet turns anybody away."""
     return {
-        "contract": {"answer-slack": 20.0, "ask-within": 10000.0, "cold": 0.0, "cold-from": 1.0,
-                     "fall-multiple": 2.5, "stop-sending-within": 500.0, "tip-after": 3000.0},
-        "discovery": "on_request", "failure-domains": ["north"], "peers-total": 1, "zone": 0,
-        "policy-limits": {"cancel": True, "conn-idle": 30000.0, "connect-timeout": 250.0, "max-forwards": 4,
-                          "max-retry-after": 2000.0, "parallel-tries": False, "retry-after": True},
+        "contract": {
+            "answer-slack": 20.0,
+            "ask-within": 10000.0,
+            "cold": 0.0,
+            "cold-from": 1.0,
+            "fall-multiple": 2.5,
+            "stop-sending-within": 500.0,
+            "tip-after": 3000.0,
+        },
+        "discovery": "on_request",
+        "failure-domains": ["north"],
+        "peers-total": 1,
+        "zone": 0,
+        "policy-limits": {
+            "cancel": True,
+            "conn-idle": 30000.0,
+            "connect-timeout": 250.0,
+            "max-forwards": 4,
+            "max-retry-after": 2000.0,
+            "parallel-tries": False,
+            "retry-after": True,
+        },
         "tenants": [{"allowance-per-s": 10000.0}],
         "traffic-types": [
             {"name": "look", "effect": "read_like", "promised-time": 600.0, "expiry": 2500.0},
-            {"name": "book", "effect": "non_idempotent", "promised-time": 600.0, "expiry": 1500.0}]}
+            {"name": "book", "effect": "non_idempotent", "promised-time": 600.0, "expiry": 1500.0},
+        ],
+    }
 
 
 class Clients:
@@ -70,8 +90,9 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self.ended, self.quiet = fleet, threading.Event(), set[str]()
         self.answers: dict[str, list[tuple[float, int]]] = {name: [] for name in fleet.sidecars}
-        self.threads = [threading.Thread(target=self.ask, args=(name,), daemon=True)
-                        for name in fleet.sidecars]
+        self.threads = [
+            threading.Thread(target=self.ask, args=(name,), daemon=True) for name in fleet.sidecars
+        ]
         for thread in self.threads:
             thread.start()
 
@@ -83,10 +104,18 @@
             count += 1
             try:
                 connection = connection or http.client.HTTPConnection(
-                    "127.0.0.1", self.fleet[name].listen, timeout=3.0)
-                connection.request("GET", "/", headers={
-                    "X-Request-ID": f"{name}-{count}", "X-Priority-Class": "look", "X-Attrs": "billing=0",
-                    "X-Timeout-Ms": "2000"})
+                    "127.0.0.1", self.fleet[name].listen, timeout=3.0
+                )
+                connection.request(
+                    "GET",
+                    "/",
+                    headers={
+                        "X-Request-ID": f"{name}-{count}",
+                        "X-Priority-Class": "look",
+                        "X-Attrs": "billing=0",
+                        "X-Timeout-Ms": "2000",
+                    },
+                )
                 answer = connection.getresponse()
                 answer.read()
                 self.answers[name].append((time.monotonic(), answer.status))
@@ -114,11 +143,15 @@
 
     def top_up(self, id: str, amount: int, at: str = "a") -> None:
         """Repeated until it is entered, as staff do."""
+
         def entered() -> bool:
             with suppress(OSError):
-                return self.fleet[at].call(
-                    "POST", f"/-/wallets/north/top-up?id={id}&amount={amount}").status == 200
+                return (
+                    self.fleet[at].call("POST", f"/-/wallets/north/top-up?id={id}&amount={amount}").status
+                    == 200
+                )
             return False
+
         self.topped[id] = amount
         wait_until(entered, PATIENCE, f"the top-up {id}")
 
@@ -140,13 +173,17 @@
         def over() -> bool:
             self.audit()
             return time.monotonic() >= until and bool(so())
+
         wait_until(over, PATIENCE, "so")
 
     def spend_all(self, left: float) -> None:
         """Until so many units are left at most, and on until nobody is served any more for a second and a
         half."""
-        wait_until(lambda: self.audit() <= left, PATIENCE,
-                   lambda: f"{left:g} left; {[self.audit(), *map(self.shown, self.fleet.sidecars)]}")
+        wait_until(
+            lambda: self.audit() <= left,
+            PATIENCE,
+            lambda: f"{left:g} left; {[self.audit(), *map(self.shown, self.fleet.sidecars)]}",
+        )
         last, since = -1, time.monotonic()
         while time.monotonic() - since < 1.5:
             if len(self.endpoints.executed) != last:
@@ -164,12 +201,26 @@
     endpoints = Endpoints()
     names = "abcdefgh"[:count]
     table = {"name": "north", "home": "a", "tenant": 0, "piece": PIECE, "come_back": 0.5, **changes}
-    config = {"discovery": "127.0.0.1:9", "settings": settings(), "limits": {"cores": 1.0, "memory_mb": 192},
-              "known": {"generation": 1, "reset": True, "instances": [
-                  {
-                      "instanceId": "e0", "hostPort": f"127.0.0.1:{endpoints.server.server_address[1]}",
-                      "zone": "north", "cell": 0, "lifecycle": "SERVING", "weight": 1.0,
-                      "startedAtMs": 0.0}]}}
+    config = {
+        "discovery": "127.0.0.1:9",
+        "settings": settings(),
+        "limits": {"cores": 1.0, "memory_mb": 192},
+        "known": {
+            "generation": 1,
+            "reset": True,
+            "instances": [
+                {
+                    "instanceId": "e0",
+                    "hostPort": f"127.0.0.1:{endpoints.server.server_address[1]}",
+                    "zone": "north",
+                    "cell": 0,
+                    "lifecycle": "SERVING",
+                    "weight": 1.0,
+                    "startedAtMs": 0.0,
+                }
+            ],
+        },
+    }
     with Fleet(folder, names, 1, config, lambda name: {"wallet": [table]}) as fleet:
         fleet.start()
         fleet.all_alive()
@@ -210,14 +261,22 @@
 def main() -> None:
     count, repeats = (int(n) for n in sys.argv[1:3]) if len(sys.argv) > 2 else (8, 5)
     rows = [measured(count, 240 * count) for _ in range(repeats)]
-    sys.stdout.write(f"| {count} processes, {repeats} runs | median | least | most |\n"
-                     "| --- | --- | --- | --- |\n")
-    for title, values in zip((
-            "part of the balance executed at the first pause", "in the end",
-            "seconds from the last unit to all paused", "from a top-up's call to an exchange served at each"),
-            zip(*rows, strict=True), strict=True):
-        sys.stdout.write(f"| {title} | {statistics.median(values):.3f} | {min(values):.3f} |"
-                         f" {max(values):.3f} |\n")
+    sys.stdout.write(
+        f"| {count} processes, {repeats} runs | median | least | most |\n| --- | --- | --- | --- |\n"
+    )
+    for title, values in zip(
+        (
+            "part of the balance executed at the first pause",
+            "in the end",
+            "seconds from the last unit to all paused",
+            "from a top-up's call to an exchange served at each",
+        ),
+        zip(*rows, strict=True),
+        strict=True,
+    ):
+        sys.stdout.write(
+            f"| {title} | {statistics.median(values):.3f} | {min(values):.3f} | {max(values):.3f} |\n"
+        )
 
 
 if __name__ == "__main__":
--- a/rainspindle/lab/fleet/watch.py
+++ b/rainspindle/lab/fleet/watch.py
@@ -31,8 +31,9 @@
     threads: list[threading.Thread] = field(default_factory=list)
 
     def __enter__(self) -> Watch:
-        self.threads = [threading.Thread(target=self.look, args=(s,), daemon=True)
-                        for s in self.fleet.sidecars.values()]
+        self.threads = [
+            threading.Thread(target=self.look, args=(s,), daemon=True) for s in self.fleet.sidecars.values()
+        ]
         for thread in self.threads:
             thread.start()
         return self
--- a/rainspindle/lab/listing_load.py
+++ b/rainspindle/lab/listing_load.py
@@ -43,8 +43,9 @@
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, fault: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+    ) -> None:
         with self.changed:
             self.down = True
             self.changed.notify_all()
@@ -67,8 +68,9 @@
         """It is restarted and counts from 1."""
         with self.changed:
             self.version = 1
-            self.entries = {id: (1, entry) for id, (_, entry) in self.entries.items()
-                            if entry["lifecycle"] != "DELETED"}
+            self.entries = {
+                id: (1, entry) for id, (_, entry) in self.entries.items() if entry["lifecycle"] != "DELETED"
+            }
             self.changed.notify_all()
 
     def switch(self, **to: bool) -> None:
@@ -92,8 +94,11 @@
                 self.changed.wait_for(lambda: self.down or self.silent or self.version != index, wait)
             if not taken or self.down or self.silent:
                 return None
-            lines = [entry for version, entry in self.entries.values()
-                     if (entry["lifecycle"] != "DELETED" if index is None else version > index)]
+            lines = [
+                entry
+                for version, entry in self.entries.values()
+                if (entry["lifecycle"] != "DELETED" if index is None else version > index)
+            ]
             return orjson.dumps({"generation": self.version, "reset": index is None, "instances": lines})
 
 
@@ -103,12 +108,14 @@
 
     def do_GET(self) -> None:
         query = parse_qs(urlsplit(self.path).query)
-        body = self.server.answer(int(query["index"][0]) if "index" in query else None,
-                                  int(query.get("wait", ["0"])[0]) / 1000)
+        body = self.server.answer(
+            int(query["index"][0]) if "index" in query else None, int(query.get("wait", ["0"])[0]) / 1000
+        )
         status = 503 if body is None else 200
         with contextlib.suppress(OSError):
-            self.wfile.write(b"HTTP/1.1 %d Told\r\nContent-Length: %d\r\n\r\n%b"
-                             % (status, len(body or b""), body or b""))
+            self.wfile.write(
+                b"HTTP/1.1 %d Told\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body or b""), body or b"")
+            )
 
     def log_message(self, format: str, *args: Any) -> None:
         """Its ledger is `calls`."""
--- a/rainspindle/lab/listing_net.py
+++ b/rainspindle/lab/listing_net.py
@@ -32,8 +32,10 @@
 
 
 def encoded(lines: Sequence[Listed]) -> dict[str, bytes]:
-    return {line.id: b"" if line.state is State.GONE else words.encode_line(line, ("10.0.0.1", 80), 0.0)
-            for line in lines}
+    return {
+        line.id: b"" if line.state is State.GONE else words.encode_line(line, ("10.0.0.1", 80), 0.0)
+        for line in lines
+    }
 
 
 class Delays:
@@ -109,6 +111,7 @@
                 self.net.later(self.stopped_until - self.net.now, then)
             else:
                 do()
+
         return then
 
     def tick(self) -> None:
@@ -198,8 +201,13 @@
             net.later(ANSWER, self.living(partial(self.answered, whole, known)))
             return
         asks = self.relay is not None and self.relay.asker
-        wait = self.relay.period if asks and self.relay is not None else Follower.drawn_wait(
-            min(Follower.WATCH_PART * net.ask_within, Follower.MOST_WATCH), net.random.random())
+        wait = (
+            self.relay.period
+            if asks and self.relay is not None
+            else Follower.drawn_wait(
+                min(Follower.WATCH_PART * net.ask_within, Follower.MOST_WATCH), net.random.random()
+            )
+        )
         news = registry.next_at(known)
         ends = min(now + wait, news if news is not None else math.inf, registry.next_outage(now) or math.inf)
         net.later(ends - now + ANSWER, self.living(partial(self.answered, False, known)))
@@ -221,8 +229,11 @@
             return
         self.calling, self.fails, self.hearsay, self.own_told = 0, 0, False, now
         before, self.version = self.version, told
-        self.now_has({id: data for id, data in lines.items() if data} if whole
-                     else words.changed(self.lines, list(lines.items())))
+        self.now_has(
+            {id: data for id, data in lines.items() if data}
+            if whole
+            else words.changed(self.lines, list(lines.items()))
+        )
         if self.relay is not None:
             self.relay.told(now, told, whole, lines)
         rest = 0.0 if before != told else Follower.REST
@@ -339,8 +350,12 @@
         if group not in self.views:
             split = self.now > self.cut_at + self.death_time[0]
             self.views[group] = [
-                name for name in self.names if self.now < self.dead_at.get(name, math.inf)
-                and self.nodes[name].run and (not split or self.group.get(name, 0) == group)]
+                name
+                for name in self.names
+                if self.now < self.dead_at.get(name, math.inf)
+                and self.nodes[name].run
+                and (not split or self.group.get(name, 0) == group)
+            ]
         return self.views[group]
 
     def spread(self, node: Node, name: str, value: bytes) -> None:
@@ -354,16 +369,21 @@
         node.cells[node.name, name], node.orders[node.name, name] = value, order
         group = self.group.get(node.name, 0)
         for other in self.nodes.values():
-            if other is node or not other.up or other.name in self.mute \
-                    or self.group.get(other.name, 0) != group:
+            if (
+                other is node
+                or not other.up
+                or other.name in self.mute
+                or self.group.get(other.name, 0) != group
+            ):
                 continue
             delay = self.delays.next(self.now)
             if self.random.random() < self.loss:
                 delay += self.random.uniform(0.5, 3.0)
             self.later(delay, partial(self.deliver, node.name, other, other.run, name, value, order))
 
-    def deliver(self, owner: str, other: Node, run: int, name: str, value: bytes,
-                order: tuple[int, int]) -> None:
+    def deliver(
+        self, owner: str, other: Node, run: int, name: str, value: bytes, order: tuple[int, int]
+    ) -> None:
         if other.up and other.run == run and self.group.get(owner, 0) == self.group.get(other.name, 0):
             other.hear(owner, name, value, order)
 
@@ -422,12 +442,18 @@
         changes = []
         for n in chance.sample(range(60), 36):
             at = 20.0 + chance.random() * 7.0
-            changes += [Change(at, listed(n, State.DRAINING)), Change(at + 1.5, listed(n, State.GONE)),
-                        Change(at + 1.5, listed(n + 60, started=at + 1.5))]
+            changes += [
+                Change(at, listed(n, State.DRAINING)),
+                Change(at + 1.5, listed(n, State.GONE)),
+                Change(at + 1.5, listed(n + 60, started=at + 1.5)),
+            ]
         return changes
     # One endpoint drains each 5 s, and is back 2.5 s later.
-    return [Change(5.0 * k + late + 0.01 * chance.random(), listed(k % 60, state))
-            for k in range(1, int(length / 5)) for late, state in ((0.0, State.DRAINING), (2.5, State.READY))]
+    return [
+        Change(5.0 * k + late + 0.01 * chance.random(), listed(k % 60, state))
+        for k in range(1, int(length / 5))
+        for late, state in ((0.0, State.DRAINING), (2.5, State.READY))
+    ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -446,14 +472,18 @@
 
     def row(self) -> str:
         how = "relayed" if self.relayed else "alone"
-        return (f"| {self.scene} | {self.size:,} | {how} | {self.seed} | {self.calls:.1f} | {self.most:,} | "
-                f"{self.median:.2f} / {self.late:.2f} / {self.worst:.2f} | {self.messages:.1f} | "
-                f"{'' if math.isnan(self.bare) else f'{self.bare:.1f}'} |")
+        return (
+            f"| {self.scene} | {self.size:,} | {how} | {self.seed} | {self.calls:.1f} | {self.most:,} | "
+            f"{self.median:.2f} / {self.late:.2f} / {self.worst:.2f} | {self.messages:.1f} | "
+            f"{'' if math.isnan(self.bare) else f'{self.bare:.1f}'} |"
+        )
 
 
-HEADING = ("| scene | sidecars | | seed | calls/s | in the fullest second | a change is known after (s) | "
-           "cells written/s | nine in ten newcomers have a list after (s) |\n"
-           "| --- | ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: |")
+HEADING = (
+    "| scene | sidecars | | seed | calls/s | in the fullest second | a change is known after (s) | "
+    "cells written/s | nine in ten newcomers have a list after (s) |\n"
+    "| --- | ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: |"
+)
 
 
 def play(scene: str, size: int, relayed: bool, seed: int, length: float = 0.0) -> Figures:
@@ -487,14 +517,24 @@
     # Known by the end, or counted as known then: the last changes are given time.
     late = sorted(net.lateness(0.0 if herd else began, length - 10.0))
     bare = sorted(min(node.listed_at, net.now) - node.started for node in net.nodes.values() if node.run > 1)
-    return Figures(scene, size, relayed, seed, len(calls) / (length - began), max(seconds),
-                   late[len(late) // 2], late[int(len(late) * 0.99)], late[-1],
-                   (net.messages - cells) / (length - began),
-                   bare[int(len(bare) * 0.9)] if net.bare else math.nan)
-
-
-def all_plays(sizes: Sequence[int], scenes: Sequence[str], seeds: Sequence[int],
-              ways: Sequence[str]) -> Iterator[Figures]:
+    return Figures(
+        scene,
+        size,
+        relayed,
+        seed,
+        len(calls) / (length - began),
+        max(seconds),
+        late[len(late) // 2],
+        late[int(len(late) * 0.99)],
+        late[-1],
+        (net.messages - cells) / (length - began),
+        bare[int(len(bare) * 0.9)] if net.bare else math.nan,
+    )
+
+
+def all_plays(
+    sizes: Sequence[int], scenes: Sequence[str], seeds: Sequence[int], ways: Sequence[str]
+) -> Iterator[Figures]:
     for scene in scenes:
         for size in sizes:
             for way in ways:
@@ -510,8 +550,12 @@
     parser.add_argument("--ways", default="alone,relayed")
     asked = parser.parse_args()
     print(HEADING, flush=True)
-    for figures in all_plays([int(n) for n in asked.sizes.split(",")], asked.scenes.split(","),
-                             [int(n) for n in asked.seeds.split(",")], asked.ways.split(",")):
+    for figures in all_plays(
+        [int(n) for n in asked.sizes.split(",")],
+        asked.scenes.split(","),
+        [int(n) for n in asked.seeds.split(",")],
+        asked.ways.split(","),
+    ):
         print(figures.row(), flush=True)
 
 
--- a/rainspindle/lab/models/clients.py
+++ b/rainspindle/lab/models/clients.py
@@ -33,9 +33,14 @@
     """All first tries of a run, in order of time. Arrivals are Poisson, their rate multiplied in bursts."""
     c = x.clients
     edges = sorted({0.0, x.length, *(min(t, x.length) for b in c.bursts for t in (b.at, b.at + b.length))})
-    due = np.sort(np.concatenate([
-        rng.uniform(low, high, rng.poisson(c.rate * times_at(c, (low + high) / 2) * (high - low)))
-        for low, high in itertools.pairwise(edges)]))
+    due = np.sort(
+        np.concatenate(
+            [
+                rng.uniform(low, high, rng.poisson(c.rate * times_at(c, (low + high) / 2) * (high - low)))
+                for low, high in itertools.pairwise(edges)
+            ]
+        )
+    )
     n = len(due)
     parts = zipf(x.sidecars.count, x.sidecars.skew)
     sidecars = rng.choice(x.sidecars.count, n, p=rng.permutation(parts))
@@ -48,9 +53,19 @@
         work[mine] = draw_work(t, int(mine.sum()), rng)
     give_up = rng.uniform(*c.give_up, n)
     honours = rng.random(n) < c.honour
-    return [Operation(i, int(sidecars[i]), float(due[i]), int(types[i]),
-                      "" if keys is None else f"k{keys[i]}", float(work[i]),
-                      float(give_up[i]) * x.traffic[types[i]].expiry, bool(honours[i])) for i in range(n)]
+    return [
+        Operation(
+            i,
+            int(sidecars[i]),
+            float(due[i]),
+            int(types[i]),
+            "" if keys is None else f"k{keys[i]}",
+            float(work[i]),
+            float(give_up[i]) * x.traffic[types[i]].expiry,
+            bool(honours[i]),
+        )
+        for i in range(n)
+    ]
 
 
 def times_at(c: Clients, at: float) -> float:
@@ -75,8 +90,9 @@
     return np.asarray(least * (1 + rng.pareto(shape, n)))
 
 
-def next_try(c: Clients, t: Traffic, op: Operation, tries: int, answer: str, hold_off: float,
-             chance: float) -> float | None:
+def next_try(
+    c: Clients, t: Traffic, op: Operation, tries: int, answer: str, hold_off: float, chance: float
+) -> float | None:
     """Seconds until the client's next try, None for no further one.
 
     `answer` is rejected, terminated, broken (no answer will come) or left (the client gave up). Only a
@@ -87,5 +103,3 @@
     if c.backoff == "exponential":
         wait *= 0.5 + chance
     return max(wait, hold_off) if op.honours else wait
-
-
--- a/rainspindle/lab/models/endpoint.py
+++ b/rainspindle/lab/models/endpoint.py
@@ -40,8 +40,16 @@
 
     Each job in work has a core, which works at `rate`. Waiting ones are first in, first out."""
 
-    def __init__(self, number: int, zone: int, kind: Kind, speed: float, rules: Rules,
-                 chance: Callable[[], float], mean_work: float) -> None:
+    def __init__(
+        self,
+        number: int,
+        zone: int,
+        kind: Kind,
+        speed: float,
+        rules: Rules,
+        chance: Callable[[], float],
+        mean_work: float,
+    ) -> None:
         self.number, self.zone, self.kind, self.speed, self.rules = number, zone, kind, speed, rules
         self.chance, self.mean_work = chance, mean_work
         self.starts: list[Start] = [Start(number, 0, 0.0, cold=False)]
@@ -197,9 +205,10 @@
         if rate <= 0:
             return math.inf
         # A cold endpoint grows quicker meanwhile: it is looked at again often enough.
-        return self.settled + min(max(min(job.left for job in self.working), 0.0) / rate,
-                                  0.25 if self.started > -math.inf and self.capacity(self.settled) < 1
-                                  else math.inf)
+        return self.settled + min(
+            max(min(job.left for job in self.working), 0.0) / rate,
+            0.25 if self.started > -math.inf and self.capacity(self.settled) < 1 else math.inf,
+        )
 
     def begin(self, now: float) -> None:
         while self.queue and len(self.working) < self.kind.cores:
@@ -247,4 +256,3 @@
         job.run.how, job.run.ended = how, now
         if tell:
             job.ended(job)
-
--- a/rainspindle/lab/models/registry.py
+++ b/rainspindle/lab/models/registry.py
@@ -39,8 +39,9 @@
 class Registry:
     """Versions count the changes that have become visible; `outages` are spans in which calls fail."""
 
-    def __init__(self, lines: list[Listed], changes: list[Change],
-                 outages: list[tuple[float, float]]) -> None:
+    def __init__(
+        self, lines: list[Listed], changes: list[Change], outages: list[tuple[float, float]]
+    ) -> None:
         self.first = {line.id: line for line in lines}
         self.changes = sorted(changes, key=lambda c: c.at)
         self.times = [c.at for c in self.changes]
@@ -61,10 +62,10 @@
 
     def whole(self, version: int) -> list[Listed]:
         lines = dict(self.first)
-        for change in self.changes[:version - 1]:
+        for change in self.changes[: version - 1]:
             lines[change.line.id] = change.line
         return [line for line in lines.values() if line.state is not State.GONE]
 
     def since(self, version: int, now: float) -> list[Listed]:
         """The lines that changed after this version, each as it reads now."""
-        return list({c.line.id: c.line for c in self.changes[version - 1:self.version(now) - 1]}.values())
+        return list({c.line.id: c.line for c in self.changes[version - 1 : self.version(now) - 1]}.values())
--- a/rainspindle/lab/mysql/database.py
+++ b/rainspindle/lab/mysql/database.py
@@ -75,7 +75,8 @@
 
     def status(self) -> Status:
         return (Status.IN_TRANSACTION if self.saved is not None else Status(0)) | (
-            Status.AUTOCOMMIT if self.autocommit else Status(0))
+            Status.AUTOCOMMIT if self.autocommit else Status(0)
+        )
 
 
 @dataclass(slots=True)
@@ -99,8 +100,14 @@
     answer
     silent, reset or half."""
 
-    def __init__(self, loop: Loop, store: Store, users: dict[str, bytes], plugin: str = auth.CACHING,
-                 most_prepared: int = 1000) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        store: Store,
+        users: dict[str, bytes],
+        plugin: str = auth.CACHING,
+        most_prepared: int = 1000,
+    ) -> None:
         self.loop, self.store, self.users, self.plugin = loop, store, users, plugin
         self.most_prepared = most_prepared
         self.latency = 0.0
@@ -137,6 +144,7 @@
         def gone() -> None:
             self.connections.discard(connection)
             connection.close()
+
         self.loop.spawn(self.serve(connection), gone)
 
     def serve(self, connection: Connection) -> Coroutine[None]:
@@ -225,8 +233,9 @@
                 statements = [s for s in BETWEEN.split(body.decode()) if s.strip()]
                 sequence = 1
                 for n, one in enumerate(statements):
-                    sequence = yield from self.run(connection, session, one, sequence,
-                                                   more=n + 1 < len(statements), binary=False)
+                    sequence = yield from self.run(
+                        connection, session, one, sequence, more=n + 1 < len(statements), binary=False
+                    )
                 return
             elif command is Command.EXECUTE:
                 yield from self.execute(connection, session, body)
@@ -286,8 +295,9 @@
             connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             raise Broken("as ordered")
 
-    def run(self, connection: Connection, session: Session, sql: str, sequence: int, more: bool, binary: bool
-            ) -> Coroutine[int]:
+    def run(
+        self, connection: Connection, session: Session, sql: str, sequence: int, more: bool, binary: bool
+    ) -> Coroutine[int]:
         """Runs one statement and writes its answer; gives the number of the next packet."""
         sql = sql.strip()
         self.phase(connection, sql, "before")
@@ -312,8 +322,16 @@
             return sequence + 1
         return (yield from self.rows(connection, session, sql, result, sequence, status, binary))
 
-    def rows(self, connection: Connection, session: Session, sql: str, result: Result, sequence: int,
-             status: Status, binary: bool) -> Coroutine[int]:
+    def rows(
+        self,
+        connection: Connection,
+        session: Session,
+        sql: str,
+        result: Result,
+        sequence: int,
+        status: Status,
+        binary: bool,
+    ) -> Coroutine[int]:
         old = not session.can & Can.DEPRECATE_EOF
         out = bytearray(packets(lenenc(len(result.columns)), sequence))
         sequence += 1
@@ -395,8 +413,12 @@
             values = dict(zip(names, literals(found[3]), strict=True))
             self.store.ids[found[1]] += 1
             session.insert_id = self.store.ids[found[1]]
-            rows.append(tuple(str(session.insert_id) if c == "id" and c not in values else values.get(c)
-                              for c in columns))
+            rows.append(
+                tuple(
+                    str(session.insert_id) if c == "id" and c not in values else values.get(c)
+                    for c in columns
+                )
+            )
             return Ok(1, session.insert_id)
         if found := UPDATE.match(sql):
             columns, rows = self.table(session, found[1])
@@ -404,7 +426,7 @@
             new, wanted, changed = literal(found[3]), literal(found[5]), 0
             for n, row in enumerate(rows):
                 if row[where] == wanted:
-                    rows[n] = (*row[:at], new, *row[at + 1:])
+                    rows[n] = (*row[:at], new, *row[at + 1 :])
                     changed += 1
             return Ok(changed)
         if found := DELETE.match(sql):
@@ -433,9 +455,14 @@
 
     def value(self, session: Session, item: str) -> Value:
         name = item.upper()
-        known = {"LAST_INSERT_ID()": str(session.insert_id), "DATABASE()": session.database or None,
-                 "USER()": session.user, "CONNECTION_ID()": str(self.port), "@@AUTOCOMMIT":
-                 str(int(session.autocommit)), "@@VERSION_COMMENT": "stand-in"}
+        known = {
+            "LAST_INSERT_ID()": str(session.insert_id),
+            "DATABASE()": session.database or None,
+            "USER()": session.user,
+            "CONNECTION_ID()": str(self.port),
+            "@@AUTOCOMMIT": str(int(session.autocommit)),
+            "@@VERSION_COMMENT": "stand-in",
+        }
         if name in known:
             return known[name]
         if item.startswith("@"):
@@ -457,8 +484,10 @@
 
 
 def literals(text: str) -> list[Value]:
-    return [None if m[3] else m[2] if m[2] is not None else m[1].replace("''", "'").replace("\\\\", "\\")
-            for m in TOKEN.finditer(text)]
+    return [
+        None if m[3] else m[2] if m[2] is not None else m[1].replace("''", "'").replace("\\\\", "\\")
+        for m in TOKEN.finditer(text)
+    ]
 
 
 def literal(text: str) -> Value:
--- a/rainspindle/lab/mysql/trial.py
+++ b/rainspindle/lab/mysql/trial.py
@@ -69,7 +69,8 @@
             else:
                 phase, how = rng.choice(("before", "after")), rng.choice(("silent", "reset"))
                 stand.fault = lambda sql, at, phase=phase, how=how: (  # type: ignore[misc]
-                    how if at == phase and rng.random() < 0.5 else "")
+                    how if at == phase and rng.random() < 0.5 else ""
+                )
             while loop.now() < until:
                 yield until
             stand.fault, stand.latency = lambda sql, phase: "", WORK
@@ -79,6 +80,7 @@
     def begin(order: dict[str, Any]) -> None:
         for stand in stands:
             loop.spawn(trouble(stand, random.Random(rng.random())))
+
     Orders(loop, begin)
     loop.run()
     print(json.dumps(dict(Counter(m[1] for d in stands for sql in d.executed if (m := ID.search(sql))))))
@@ -115,8 +117,14 @@
         try:
             if self.connection is None:
                 self.connection = pymysql.connect(
-                    host="127.0.0.1", port=self.rng.choice(self.ports), user=USER, password=PASSWORD,
-                    autocommit=None, read_timeout=2 * EXPIRY, connect_timeout=2)
+                    host="127.0.0.1",
+                    port=self.rng.choice(self.ports),
+                    user=USER,
+                    password=PASSWORD,
+                    autocommit=None,
+                    read_timeout=2 * EXPIRY,
+                    connect_timeout=2,
+                )
             with self.connection.cursor() as cursor:
                 cursor.execute(sql)
             return "finished"
@@ -131,13 +139,18 @@
             return "lost"
 
 
-def trial(statements: int, clients: int, seconds: float, seed: int, reads: float,
-          fronts: Sequence[Path] = (ROOT,)) -> dict[str, Any]:
+def trial(
+    statements: int, clients: int, seconds: float, seed: int, reads: float, fronts: Sequence[Path] = (ROOT,)
+) -> dict[str, Any]:
     """`fronts`: roots of the builds whose fronts serve one after the other, each a successor beside the one
     before; with none, clients draw a server themselves."""
-    stands = subprocess.Popen([sys.executable, "-m", __spec__.name, "--databases", "--seed", str(seed),
-                               "--seconds", str(seconds)], cwd=ROOT, stdin=subprocess.PIPE,
-                              stdout=subprocess.PIPE, text=True)
+    stands = subprocess.Popen(
+        [sys.executable, "-m", __spec__.name, "--databases", "--seed", str(seed), "--seconds", str(seconds)],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     assert stands.stdin is not None and stands.stdout is not None
     ports = json.loads(stands.stdout.readline())
     with tempfile.TemporaryDirectory(prefix="rainspindle-mysql-") as folder:
@@ -148,8 +161,16 @@
             stands.stdin.write("{}\n")
             stands.stdin.flush()
             parts = [list(range(n, statements, clients)) for n in range(clients)]
-            threads = [Client([serving.port] if fronts else ports, part, seconds / max(len(part), 1),
-                              seed * 1000 + n, reads) for n, part in enumerate(parts)]
+            threads = [
+                Client(
+                    [serving.port] if fronts else ports,
+                    part,
+                    seconds / max(len(part), 1),
+                    seed * 1000 + n,
+                    reads,
+                )
+                for n, part in enumerate(parts)
+            ]
             for thread in threads:
                 thread.start()
             for root in fronts[1:]:
@@ -165,7 +186,8 @@
     times = np.array([t for thread in threads for t in thread.times])
     finished = np.array([end == "finished" for thread in threads for end in thread.ends.values()])
     return {
-        "statements": len(ends), "ends": dict(Counter(ends.values())),
+        "statements": len(ends),
+        "ends": dict(Counter(ends.values())),
         "reads": dict(sum((thread.read_ends for thread in threads), Counter[str]())),
         "in_time": float((finished & (times <= PROMISED)).mean()),
         "ran_twice": sum(count > 1 for count in ran.values()),
@@ -173,8 +195,10 @@
         "lost_and_ran": sum(ends[id] == "lost" for id in ran),
         "finished_and_never_ran": sum(end == "finished" and id not in ran for id, end in ends.items()),
         "p50_ms": round(1000 * float(np.quantile(times, 0.5)), 2),
-        "p99_ms": round(1000 * float(np.quantile(times, 0.99)), 2), "longest_s": round(float(times.max()), 2),
-        "fronts": serving.statuses}
+        "p99_ms": round(1000 * float(np.quantile(times, 0.99)), 2),
+        "longest_s": round(float(times.max()), 2),
+        "fronts": serving.statuses,
+    }
 
 
 class Fronts:
@@ -191,33 +215,79 @@
             f'[mysql]\nlisten = "127.0.0.1:{self.port}"\nplatform = "platform.json"\ndefault = "submit"\n'
             '[[users]]\nname = "anna"\npassword = "anna.password"\n'
             '[[rules]]\nkinds = ["insert"]\ntraffic_type = "submit"\nkey = "column:k"\n'
-            '[[rules]]\nkinds = ["select"]\ntraffic_type = "read"\nkey = "none"\n')
+            '[[rules]]\nkinds = ["select"]\ntraffic_type = "read"\nkey = "none"\n'
+        )
 
     def platform(self, console: int) -> dict[str, Any]:
-        types = [{"name": name, "effect": effect, "promised-time": PROMISED * 1000, "expiry": EXPIRY * 1000}
-                 for name, effect in (("submit", "non_idempotent"), ("read", "read_like"))]
-        known = [{"instanceId": f"e{n}", "hostPort": f"127.0.0.1:{p}", "zone": "a", "cell": 0, "weight": 1.0,
-                  "lifecycle": "SERVING", "startedAtMs": 0} for n, p in enumerate(self.ports)]
+        types = [
+            {"name": name, "effect": effect, "promised-time": PROMISED * 1000, "expiry": EXPIRY * 1000}
+            for name, effect in (("submit", "non_idempotent"), ("read", "read_like"))
+        ]
+        known = [
+            {
+                "instanceId": f"e{n}",
+                "hostPort": f"127.0.0.1:{p}",
+                "zone": "a",
+                "cell": 0,
+                "weight": 1.0,
+                "lifecycle": "SERVING",
+                "startedAtMs": 0,
+            }
+            for n, p in enumerate(self.ports)
+        ]
         return {
-            "name": "trial", "listen": "127.0.0.1:0", "console": f"127.0.0.1:{console}",
-            "discovery": "127.0.0.1:9", "seed": self.seed, "limits": {"cores": 1.0, "sockets": 1024},
+            "name": "trial",
+            "listen": "127.0.0.1:0",
+            "console": f"127.0.0.1:{console}",
+            "discovery": "127.0.0.1:9",
+            "seed": self.seed,
+            "limits": {"cores": 1.0, "sockets": 1024},
             "known": {"generation": 1, "reset": True, "instances": known},
             "settings": {
-                "contract": {"ask-within": 10000, "cold": 1000, "cold-from": 0.5, "fall-multiple": 4.0,
-                             "stop-sending-within": 500, "tip-after": 3000},
-                "discovery": "on_request", "failure-domains": ["a"], "peers-total": 1, "zone": 0,
-                "policy-limits": {"cancel": True, "conn-idle": 30000, "connect-timeout": 250,
-                                  "max-forwards": 4, "max-retry-after": 2000, "parallel-tries": False,
-                                  "retry-after": True},
-                "traffic-types": types}}
+                "contract": {
+                    "ask-within": 10000,
+                    "cold": 1000,
+                    "cold-from": 0.5,
+                    "fall-multiple": 4.0,
+                    "stop-sending-within": 500,
+                    "tip-after": 3000,
+                },
+                "discovery": "on_request",
+                "failure-domains": ["a"],
+                "peers-total": 1,
+                "zone": 0,
+                "policy-limits": {
+                    "cancel": True,
+                    "conn-idle": 30000,
+                    "connect-timeout": 250,
+                    "max-forwards": 4,
+                    "max-retry-after": 2000,
+                    "parallel-tries": False,
+                    "retry-after": True,
+                },
+                "traffic-types": types,
+            },
+        }
 
     def start(self, root: Path) -> None:
         """The front of the build at `root`, beside the one before if there is one, until it can serve."""
         console = reserve_port()
         (self.folder / "platform.json").write_text(json.dumps(self.platform(console)))
         self.process = process = subprocess.Popen(
-            [sys.executable, "-O", "-m", "rainspindle", "mysql", "--config", str(self.folder / "mysql.toml"),
-             "--log-level", "error"], cwd=root, env={**os.environ, "TMPDIR": str(self.folder)})
+            [
+                sys.executable,
+                "-O",
+                "-m",
+                "rainspindle",
+                "mysql",
+                "--config",
+                str(self.folder / "mysql.toml"),
+                "--log-level",
+                "error",
+            ],
+            cwd=root,
+            env={**os.environ, "TMPDIR": str(self.folder)},
+        )
         until = time.monotonic() + PATIENCE
         while time.monotonic() < until and process.poll() is None:
             connection = HTTPConnection("127.0.0.1", console, timeout=1.0)
@@ -248,8 +318,9 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--statements", type=int, default=20000)
     parser.add_argument("--clients", type=int, default=16)
     parser.add_argument("--seconds", type=float, default=80.0)
@@ -261,15 +332,19 @@
     if o.databases:
         databases(o.seed, o.seconds)
         return 0
-    found = {name: trial(o.statements, o.clients, o.seconds, o.seed, o.reads, fronts)
-             for name, fronts in (("front", (ROOT,)), ("random server", ()))}
+    found = {
+        name: trial(o.statements, o.clients, o.seconds, o.seed, o.reads, fronts)
+        for name, fronts in (("front", (ROOT,)), ("random server", ()))
+    }
     if o.json:
         print(json.dumps(found))
     for name, figures in found.items() if not o.json else ():
         print(name, figures)
     front = found["front"]
-    print(f"ran_twice={front['ran_twice']} rejected_and_ran={front['rejected_and_ran']} "
-          f"finished_and_never_ran={front['finished_and_never_ran']} in_time={front['in_time']:.4f}")
+    print(
+        f"ran_twice={front['ran_twice']} rejected_and_ran={front['rejected_and_ran']} "
+        f"finished_and_never_ran={front['finished_and_never_ran']} in_time={front['in_time']:.4f}"
+    )
     return 3 if front["ran_twice"] or front["rejected_and_ran"] or front["finished_and_never_ran"] else 0
 
 
--- a/rainspindle/lab/policies.py
+++ b/rainspindle/lab/policies.py
@@ -28,8 +28,9 @@
 class Baseline:
     LIST_PAUSE = 0.5
 
-    def __init__(self, host: Host, seed: int, policy: str, types: list[TrafficType], max_forwards: int,
-                 hold_off: float) -> None:
+    def __init__(
+        self, host: Host, seed: int, policy: str, types: list[TrafficType], max_forwards: int, hold_off: float
+    ) -> None:
         self.host, self.types, self.max_forwards, self.hold_off = host, types, max_forwards, hold_off
         self.random = random.Random(seed)
         self.choose: Callable[[Asking, list[str]], str] = getattr(self, policy)
@@ -65,8 +66,7 @@
         self.renew()
 
     def renew(self) -> None:
-        self.ready = sorted(id for id, line in self.lines.items()
-                            if line.state is State.READY)
+        self.ready = sorted(id for id, line in self.lines.items() if line.state is State.READY)
 
     def body_spent(self, now: float, id: int) -> None:
         """The lab's bodies are short."""
@@ -80,9 +80,17 @@
     def woken(self, now: float, token: str) -> None:
         self.host.watch_list()
 
-    def exchange_arrived(self, now: float, id: int, type_index: int, key: str | None,
-                         expires_at: float, repeat: bool = False, coming: bool = False,
-                         tenant: int | None = None) -> None:
+    def exchange_arrived(
+        self,
+        now: float,
+        id: int,
+        type_index: int,
+        key: str | None,
+        expires_at: float,
+        repeat: bool = False,
+        coming: bool = False,
+        tenant: int | None = None,
+    ) -> None:
         kind = self.types[type_index]
         x = Asking(kind, key or str(self.random.random()), now + kind.promised_time, expires_at)
         self.asking[id] = x
@@ -109,8 +117,9 @@
     def answer_started(self, now: float, id: int, number: int, elapsed: float) -> None:
         """The lab's answers come whole."""
 
-    def forward_ended(self, now: float, id: int, number: int, over: bool, outcome: Outcome,
-                      lag: float = 0.0) -> None:
+    def forward_ended(
+        self, now: float, id: int, number: int, over: bool, outcome: Outcome, lag: float = 0.0
+    ) -> None:
         endpoint = self.forwards.pop((id, number))
         self.out[endpoint] -= 1
         x = self.asking.get(id)
@@ -132,6 +141,7 @@
                     self.host.call_off(id, number)
 
 
-def make_baseline(host: Host, policy: str, seed: int, types: list[TrafficType], max_forwards: int,
-                  hold_off: float) -> Baseline:
+def make_baseline(
+    host: Host, policy: str, seed: int, types: list[TrafficType], max_forwards: int, hold_off: float
+) -> Baseline:
     return Baseline(host, seed, "random_" if policy == "random" else policy, types, max_forwards, hold_off)
--- a/rainspindle/lab/relayed.py
+++ b/rainspindle/lab/relayed.py
@@ -68,8 +68,10 @@
         self.run.ledger.met.append(Met("cell", owner.node.number, -1, now))
         for other in self.parts.values():
             if other is not owner and now >= other.knows_at:
-                self.run.clock.at(now + self.delays.next(now), other.node.living(
-                    partial(other.came, owner.name, name, self.count, value)))
+                self.run.clock.at(
+                    now + self.delays.next(now),
+                    other.node.living(partial(other.came, owner.name, name, self.count, value)),
+                )
 
     def decoded(self, value: bytes) -> Head:
         if value not in self.heads:
@@ -185,8 +187,9 @@
 
 
 def encoded(lines: Sequence[Listed]) -> dict[str, bytes]:
-    return {line.id: b"" if line.state is State.GONE else words.encode_line(line, None, 0.0)
-            for line in lines}
+    return {
+        line.id: b"" if line.state is State.GONE else words.encode_line(line, None, 0.0) for line in lines
+    }
 
 
 def line_gone(line: Listed) -> Listed:
--- a/rainspindle/lab/runs.py
+++ b/rainspindle/lab/runs.py
@@ -39,8 +39,9 @@
     measured: dict[str, Any] = field(default_factory=dict)  # of this machine; differs from run to run
 
 
-def play(x: Experiment, mode: str, variant: str, seed: int,
-         on_second: OnSecond = lambda second: None) -> Played:
+def play(
+    x: Experiment, mode: str, variant: str, seed: int, on_second: OnSecond = lambda second: None
+) -> Played:
     world, begun = World(x, x.variant(variant), seed), time.monotonic()
     played = Played(variant, seed, shaded=world.shaded())
     if mode == "virtual":
@@ -52,6 +53,7 @@
     else:
         from .sockets.run import SocketsFault
         from .sockets.run import play as play_sockets
+
         tolerance = x.rules.tolerance
         try:
             ledger, played.measured = play_sockets(world, on_second)
@@ -67,8 +69,10 @@
         late = float(np.quantile(ledger.lateness, 0.99))
         played.measured["lateness_p99_ms"] = round(1000 * late, 3)
         if late > x.lateness:
-            played.faults.append(f"the load generator ran late: {1000 * late:.1f} ms at its 99% quantile, "
-                                 f"{1000 * x.lateness:.1f} ms are allowed")
+            played.faults.append(
+                f"the load generator ran late: {1000 * late:.1f} ms at its 99% quantile, "
+                f"{1000 * x.lateness:.1f} ms are allowed"
+            )
     return played
 
 
@@ -80,8 +84,7 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def play_all(x: Experiment, mode: str, seeds: list[int], jobs: int, on_second: OnSecond
-             ) -> Iterator[Played]:
+def play_all(x: Experiment, mode: str, seeds: list[int], jobs: int, on_second: OnSecond) -> Iterator[Played]:
     """Each run as it ends. With several jobs they end in any order."""
     todo = [(x, mode, v.name, seed) for seed in seeds for v in x.variants]
     if jobs <= 1 or len(todo) == 1:
@@ -97,8 +100,9 @@
     return 1 if mode == "sockets" else max(1, (os.cpu_count() or 1) - 1)
 
 
-def results(x: Experiment, mode: str, seeds: list[int], played: list[Played], complete: bool
-            ) -> dict[str, Any]:
+def results(
+    x: Experiment, mode: str, seeds: list[int], played: list[Played], complete: bool
+) -> dict[str, Any]:
     """All that was found, in an order that does not hang on who was done first."""
     variants: dict[str, Any] = {}
     for v in x.variants:
@@ -109,11 +113,28 @@
             "policy": v.policy,
             "mean": {f: round(statistics.fmean(s[f] for s in sound), 6) for f in counted},
             "spread": {f: [min(s[f] for s in sound), max(s[f] for s in sound)] for f in counted},
-            "runs": {str(p.seed): {"figures": p.figures, "rules": {str(r): n for r, n in p.rules.items()},
-                                   "breaks": p.breaks, "faults": p.faults, "series": p.series} for p in mine}}
+            "runs": {
+                str(p.seed): {
+                    "figures": p.figures,
+                    "rules": {str(r): n for r, n in p.rules.items()},
+                    "breaks": p.breaks,
+                    "faults": p.faults,
+                    "series": p.series,
+                }
+                for p in mine
+            },
+        }
     shaded = [list(s) for s in World(x, x.variants[0], seeds[0]).shaded()]
-    found = {"experiment": x.name, "says": x.says, "mode": mode, "seeds": seeds, "complete": complete,
-             "length_s": x.length, "shaded": shaded, "variants": variants}
+    found = {
+        "experiment": x.name,
+        "says": x.says,
+        "mode": mode,
+        "seeds": seeds,
+        "complete": complete,
+        "length_s": x.length,
+        "shaded": shaded,
+        "variants": variants,
+    }
     found["missed"] = missed(x, found)
     return found
 
@@ -131,10 +152,14 @@
             if v["mean"] and figure not in v["mean"]:
                 told.append(f"{name}.{figure} is not counted on sockets")
             elif v["mean"] and not bound.least <= v["mean"][figure] <= bound.most:
-                told.append(f"{name}.{figure} is {v['mean'][figure]}; expected "
-                            + " and ".join(f"{word} {limit:g}" for word, limit in
-                                           (("at least", bound.least), ("at most", bound.most))
-                                           if math.isfinite(limit)))
+                told.append(
+                    f"{name}.{figure} is {v['mean'][figure]}; expected "
+                    + " and ".join(
+                        f"{word} {limit:g}"
+                        for word, limit in (("at least", bound.least), ("at most", bound.most))
+                        if math.isfinite(limit)
+                    )
+                )
     return told
 
 
@@ -147,12 +172,16 @@
 
 def last_line(found: dict[str, Any]) -> str:
     """Of the first variant, and the rules that any variant of the module broke."""
-    broken = sum(sum(run["rules"].values()) for v in found["variants"].values() if v["policy"] == "module"
-                 for run in v["runs"].values())
+    broken = sum(
+        sum(run["rules"].values())
+        for v in found["variants"].values()
+        if v["policy"] == "module"
+        for run in v["runs"].values()
+    )
     mean = next(iter(found["variants"].values()))["mean"]
     if not mean:
         return f"rules_broken={broken} goodput=none p50_ms=none p99_ms=none executions_twice=none"
-    return (f"rules_broken={broken} goodput={mean['goodput']:.4f} p50_ms={mean['p50_ms']:.1f} "
-            f"p99_ms={mean['p99_ms']:.1f} executions_twice={mean['executions_twice']:g}")
-
-
+    return (
+        f"rules_broken={broken} goodput={mean['goodput']:.4f} p50_ms={mean['p50_ms']:.1f} "
+        f"p99_ms={mean['p99_ms']:.1f} executions_twice={mean['executions_twice']:g}"
+    )
--- a/rainspindle/lab/sockets/child.py
+++ b/rainspindle/lab/sockets/child.py
@@ -34,11 +34,22 @@
     def __init__(self) -> None:
         super().__init__(())
 
-    def decode(self, method: bytes, target: bytes, all_headers: Headers, body: bytes,
-               more: bool = False) -> Message:
+    def decode(
+        self, method: bytes, target: bytes, all_headers: Headers, body: bytes, more: bool = False
+    ) -> Message:
         headers = dict(all_headers)
-        return Ask(headers.get(b"x-request-id", b""), method, target, body, going_on(all_headers), 0, None,
-                   None, None, False)
+        return Ask(
+            headers.get(b"x-request-id", b""),
+            method,
+            target,
+            body,
+            going_on(all_headers),
+            0,
+            None,
+            None,
+            None,
+            False,
+        )
 
 
 class Orders:
@@ -81,7 +92,8 @@
     def fault(self, fault: BaseException) -> None:
         where = traceback.extract_tb(fault.__traceback__)[-1]
         self.ledger.notes.append(
-            f"{self.plan['role']}: {type(fault).__name__} {fault} at {where.name}:{where.lineno}")
+            f"{self.plan['role']}: {type(fault).__name__} {fault} at {where.name}:{where.lineno}"
+        )
 
     def now(self) -> float:
         """Seconds since the start of the run."""
@@ -121,11 +133,31 @@
     raw = orjson.loads(Path(path).read_bytes())
     none = float("inf")  # JSON has no infinity: what has not happened comes as null
     return Ledger(
-        [Asked(**{**a, "answers": [tuple(t) for t in a["answers"]],
-                  "left_at": none if a["left_at"] is None else a["left_at"]}) for a in raw["asked"]],
-        [Run(**{**r, "sent": -none if r["sent"] is None else r["sent"],
-                **{k: none if r[k] is None else r[k] for k in ("began", "ended")}}) for r in raw["runs"]],
-        [Start(**s) for s in raw["starts"]], [Told(**t) for t in raw["told"]], raw["lateness"], raw["notes"])
+        [
+            Asked(
+                **{
+                    **a,
+                    "answers": [tuple(t) for t in a["answers"]],
+                    "left_at": none if a["left_at"] is None else a["left_at"],
+                }
+            )
+            for a in raw["asked"]
+        ],
+        [
+            Run(
+                **{
+                    **r,
+                    "sent": -none if r["sent"] is None else r["sent"],
+                    **{k: none if r[k] is None else r[k] for k in ("began", "ended")},
+                }
+            )
+            for r in raw["runs"]
+        ],
+        [Start(**s) for s in raw["starts"]],
+        [Told(**t) for t in raw["told"]],
+        raw["lateness"],
+        raw["notes"],
+    )
 
 
 def read_request(side: Requests, connection: Connection) -> Coroutine[tuple[Ask, float] | None]:
@@ -141,6 +173,13 @@
 def entry(line: Listed, address: str, zones: list[str], unix_start: float) -> dict[str, Any]:
     """A line of the list in discovery's form; `unix_start` is the start of the run in Unix time."""
     lifecycle = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}[line.state.value]
-    return {"instanceId": line.id, "hostPort": address, "zone": zones[line.zone], "machineType": "m",
-            "cell": line.cell, "lifecycle": lifecycle, "weight": line.share,
-            "startedAtMs": 0 if line.started is None else (unix_start + line.started) * 1000}
+    return {
+        "instanceId": line.id,
+        "hostPort": address,
+        "zone": zones[line.zone],
+        "machineType": "m",
+        "cell": line.cell,
+        "lifecycle": lifecycle,
+        "weight": line.share,
+        "startedAtMs": 0 if line.started is None else (unix_start + line.started) * 1000,
+    }
--- a/rainspindle/lab/sockets/endpoints.py
+++ b/rainspindle/lab/sockets/endpoints.py
@@ -62,8 +62,9 @@
         except (Broken, Late, Unwanted):
             return
 
-    def one(self, connection: Connection, side: Requests, ask: Ask, first: float, new: bool
-            ) -> Coroutine[bool]:
+    def one(
+        self, connection: Connection, side: Requests, ask: Ask, first: float, new: bool
+    ) -> Coroutine[bool]:
         """One exchange; whether the connection goes on."""
         child, model = self.child, self.model
         what = dict(ask.headers)
@@ -80,16 +81,30 @@
         if connection.closed or not model.up:
             return False
         child.runs += 1
-        run = Run(ask.request_id.decode(), op, kind, number, model.number, model.start,
-                  f"{model.number}.{child.runs}", first - child.start, child.now(), float(work))
+        run = Run(
+            ask.request_id.decode(),
+            op,
+            kind,
+            number,
+            model.number,
+            model.start,
+            f"{model.number}.{child.runs}",
+            first - child.start,
+            child.now(),
+            float(work),
+        )
         child.ledger.runs.append(run)
         if len(self.connections) > model.kind.connections:
             run.how, run.ended = "full", child.now()
         else:
             task = self.loop.current
             assert task is not None
-            job = Job(run, what.get(b"cookie", b"").decode(), child.now() + float(
-                what.get(b"x-timeout-ms", b"60000")) / 1000, lambda _: task.wake())
+            job = Job(
+                run,
+                what.get(b"cookie", b"").decode(),
+                child.now() + float(what.get(b"x-timeout-ms", b"60000")) / 1000,
+                lambda _: task.wake(),
+            )
             connection.mine()
             model.arrive(child.now(), job, new)
             self.ticker.wake()
@@ -106,9 +121,11 @@
             yield math.inf
         if connection.closed:
             return False
-        out = {"served": side.finished(run.token.encode(), (), close=False),
-               "error": side.answer(500, b"", close=False),
-               "full": side.answer(503, b"", False, NOT_PROCESSED)}[run.how]
+        out = {
+            "served": side.finished(run.token.encode(), (), close=False),
+            "error": side.answer(500, b"", close=False),
+            "full": side.answer(503, b"", False, NOT_PROCESSED),
+        }[run.how]
         yield from connection.send(out, child.loop.now() + 10.0)
         return side.goes_on()
 
--- a/rainspindle/lab/sockets/fast.py
+++ b/rainspindle/lab/sockets/fast.py
@@ -1,9 +1,9 @@
 """The two ends of a benchmark, as cheap as they can be: an endpoint that does no work, and a driver.
 
-    fast.py echo                        prints its port; answers every exchange at once
-    fast.py drive PORT CONNECTIONS SECONDS RATE
-                                        RATE 0: each connection asks again as soon as it has its answer
-    fast.py hold PORT CONNECTIONS       opens them, asks once on each, keeps them until standard input ends
+fast.py echo                        prints its port; answers every exchange at once
+fast.py drive PORT CONNECTIONS SECONDS RATE
+                                    RATE 0: each connection asks again as soon as it has its answer
+fast.py hold PORT CONNECTIONS       opens them, asks once on each, keeps them until standard input ends
 """
 
 from __future__ import annotations
@@ -21,8 +21,10 @@
 
 
 def ask(n: int) -> bytes:
-    return (b"GET /bench HTTP/1.1\r\nHost: bench\r\nX-Request-ID: %d\r\nX-Priority-Class: look\r\n"
-            b"Cookie: user=k%d\r\nX-Timeout-Ms: 2000\r\n\r\n" % (n, n % 500))
+    return (
+        b"GET /bench HTTP/1.1\r\nHost: bench\r\nX-Request-ID: %d\r\nX-Priority-Class: look\r\n"
+        b"Cookie: user=k%d\r\nX-Timeout-Ms: 2000\r\n\r\n" % (n, n % 500)
+    )
 
 
 def echo() -> None:
@@ -102,9 +104,19 @@
     times.sort()
     late.sort()
     n = len(times)
-    print(json.dumps({"per_s": n / spent, "failed": failed, "count": n, "p50_us": 1e6 * times[n // 2],
-                      "p99_us": 1e6 * times[int(n * 0.99)], "late_p99_us": 1e6 * late[int(n * 0.99)]}),
-          flush=True)
+    print(
+        json.dumps(
+            {
+                "per_s": n / spent,
+                "failed": failed,
+                "count": n,
+                "p50_us": 1e6 * times[n // 2],
+                "p99_us": 1e6 * times[int(n * 0.99)],
+                "late_p99_us": 1e6 * late[int(n * 0.99)],
+            }
+        ),
+        flush=True,
+    )
 
 
 def hold(port: int, count: int) -> None:
--- a/rainspindle/lab/sockets/links.py
+++ b/rainspindle/lab/sockets/links.py
@@ -78,7 +78,7 @@
         """As `Connection.send`, but the connection's reader is another coroutine."""
         view = memoryview(data)
         while view and not sink.closed:
-            view = view[sink.send_some(view):] if sink.writable else view
+            view = view[sink.send_some(view) :] if sink.writable else view
             if view:
                 yield self.child.loop.now() + 0.002
 
@@ -91,12 +91,18 @@
         self.models = self.world.links()
         zones = range(len(self.world.x.fleet.zones))
         self.pairs = [(a, b) for a in zones for b in zones if a < b]
-        self.listeners = [Listener(self.loop, ("127.0.0.1", 0), partial(self.accepted, pair), lambda: False)
-                          for pair in self.pairs]
+        self.listeners = [
+            Listener(self.loop, ("127.0.0.1", 0), partial(self.accepted, pair), lambda: False)
+            for pair in self.pairs
+        ]
         self.targets: list[Address] = []
         self.joined = 0
-        self.say(addresses={f"{a} {b}": f"127.0.0.1:{n.address[1]}"
-                            for (a, b), n in zip(self.pairs, self.listeners, strict=True)})
+        self.say(
+            addresses={
+                f"{a} {b}": f"127.0.0.1:{n.address[1]}"
+                for (a, b), n in zip(self.pairs, self.listeners, strict=True)
+            }
+        )
 
     def begin(self, order: dict[str, Any]) -> None:
         self.targets = [parse_address(a) for a in order["gateways"]]
@@ -134,5 +140,6 @@
                 with contextlib.suppress(OSError):
                     near.close()
                     far.close()
+
         for work in (there.read(near), there.write(far), back.read(far), back.write(near)):
             self.loop.spawn(work, done)
--- a/rainspindle/lab/sockets/lists.py
+++ b/rainspindle/lab/sockets/lists.py
@@ -23,8 +23,10 @@
         super().__init__()
         self.addresses: dict[str, str] = {}
         self.unix_start = 0.0
-        self.listeners = [Listener(self.loop, ("127.0.0.1", 0), partial(self.accepted, n), lambda: False)
-                          for n in range(self.world.x.sidecars.count)]
+        self.listeners = [
+            Listener(self.loop, ("127.0.0.1", 0), partial(self.accepted, n), lambda: False)
+            for n in range(self.world.x.sidecars.count)
+        ]
         self.say(addresses=[f"127.0.0.1:{listener.address[1]}" for listener in self.listeners])
 
     def begin(self, order: dict[str, Any]) -> None:
@@ -54,16 +56,26 @@
                     return
                 version, whole = registry.version(now), "index" not in query
                 lines = registry.whole(version) if whole else registry.since(int(query["index"][0]), now)
-                body = orjson.dumps({"generation": version, "reset": whole, "instances": [
-                    entry(line, self.addresses[line.id[1:]], self.world.x.fleet.zones, self.unix_start)
-                    for line in lines]})
+                body = orjson.dumps(
+                    {
+                        "generation": version,
+                        "reset": whole,
+                        "instances": [
+                            entry(
+                                line, self.addresses[line.id[1:]], self.world.x.fleet.zones, self.unix_start
+                            )
+                            for line in lines
+                        ],
+                    }
+                )
                 # Told once it is written, so never later than the sidecar can know.
                 yield from connection.send(side.finished(body, (), close=False), self.loop.now() + 1.0)
                 known = {line.id: line.state.value for line in lines}
                 if whole:
                     known = {**{id: "gone" for id in registry.first}, **known}
-                self.ledger.told += [Told(sidecar, int(id[1:]), state, self.now())
-                                     for id, state in known.items()]
+                self.ledger.told += [
+                    Told(sidecar, int(id[1:]), state, self.now()) for id, state in known.items()
+                ]
                 if not side.next_cycle():
                     return
 
--- a/rainspindle/lab/sockets/load.py
+++ b/rainspindle/lab/sockets/load.py
@@ -78,11 +78,13 @@
         peer = (str(op.sidecar), address)
         binding = self.world.x.traffic[op.type].effect != "retriable"
         headers = [
-            (b"Host", b"lab"), (b"X-Request-ID", asked.id.encode()),
+            (b"Host", b"lab"),
+            (b"X-Request-ID", asked.id.encode()),
             (b"X-Priority-Class", self.world.x.traffic[op.type].name.encode()),
             (b"X-Timeout-Ms", b"%d" % max(1, 1000 * left)),
             (b"X-Lab", f"{op.id};{op.type};{op.sidecar};{op.work:.9f}".encode()),
-            (b"Idempotency-Key", op.id.encode())]
+            (b"Idempotency-Key", op.id.encode()),
+        ]
         if op.key:
             headers.append((b"Cookie", f"user={op.key}".encode()))
         tenant = self.world.x.traffic[op.type].tenant
--- a/rainspindle/lab/sockets/run.py
+++ b/rainspindle/lab/sockets/run.py
@@ -98,12 +98,25 @@
         path = self.folder / f"{name}.json"
         self.ledgers.append(path)
         with (self.folder / f"{name}.log").open("wb") as log:
-            process = subprocess.Popen([sys.executable, "-O", "-m", "rainspindle.lab.sockets", role],
-                                       stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log, cwd=ROOT)
+            process = subprocess.Popen(
+                [sys.executable, "-O", "-m", "rainspindle.lab.sockets", role],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=log,
+                cwd=ROOT,
+            )
         self.children.append(process)
-        self.tell(process, {
-            "role": role, "ledger": str(path), "seed": self.world.seed, "variant": self.world.variant.name,
-            "experiment": self.world.x.model_dump(mode="json", exclude={"expect"}), **plan})
+        self.tell(
+            process,
+            {
+                "role": role,
+                "ledger": str(path),
+                "seed": self.world.seed,
+                "variant": self.world.variant.name,
+                "experiment": self.world.x.model_dump(mode="json", exclude={"expect"}),
+                **plan,
+            },
+        )
         return process
 
     def tell(self, process: subprocess.Popen[bytes], order: dict[str, Any]) -> None:
@@ -121,8 +134,9 @@
     def keep(self, number: int) -> None:
         """Tells the keeper of a sidecar's process, or by a negative number that it is gone."""
         if self.keeper is None:
-            self.keeper = subprocess.Popen([sys.executable, "-m", "rainspindle.lab.sockets.keeper"],
-                                           stdin=subprocess.PIPE, cwd=ROOT)
+            self.keeper = subprocess.Popen(
+                [sys.executable, "-m", "rainspindle.lab.sockets.keeper"], stdin=subprocess.PIPE, cwd=ROOT
+            )
             self.children.append(self.keeper)
         assert self.keeper.stdin is not None
         self.keeper.stdin.write(b"%d\n" % number)
@@ -141,19 +155,32 @@
             line = f"exec {python} -O -m rainspindle.lab.sockets.sidecar {policy}"
         with (self.folder / f"s{n}.log").open("ab") as log:
             self.sidecars[n] = subprocess.Popen(
-                ["/bin/sh", "-c", line], cwd=self.root(n), stdout=subprocess.DEVNULL, stderr=log,
+                ["/bin/sh", "-c", line],
+                cwd=self.root(n),
+                stdout=subprocess.DEVNULL,
+                stderr=log,
                 start_new_session=True,
-                env={**os.environ, "RELAY_CONFIG": str(self.folder / f"s{n}.config.json")})
+                env={**os.environ, "RELAY_CONFIG": str(self.folder / f"s{n}.config.json")},
+            )
         self.keep(self.sidecars[n].pid)
 
     def write_config(self, n: int, discovery: str, endpoints: dict[str, str]) -> None:
         world = self.world
         lines = world.registries[n].whole(1)
         known = [entry(line, endpoints[line.id[1:]], world.x.fleet.zones, 0.0) for line in lines]
-        (self.folder / f"s{n}.config.json").write_bytes(orjson.dumps({
-            "name": f"s{n}", "listen": f"127.0.0.1:{self.ports[n]}", "discovery": discovery,
-            "seed": world.seed * 100_003 + n, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"generation": 1, "reset": True, "instances": known}, "settings": world.settings(n)}))
+        (self.folder / f"s{n}.config.json").write_bytes(
+            orjson.dumps(
+                {
+                    "name": f"s{n}",
+                    "listen": f"127.0.0.1:{self.ports[n]}",
+                    "discovery": discovery,
+                    "seed": world.seed * 100_003 + n,
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "known": {"generation": 1, "reset": True, "instances": known},
+                    "settings": world.settings(n),
+                }
+            )
+        )
 
     def write_gateway(self, n: int, proxies: dict[str, str]) -> None:
         """The file of one site's gateway. Of two sites the first dials the second."""
@@ -165,20 +192,26 @@
             key.touch(0o600)
             key.write_bytes(b"a key of the lab's own")
         others = [(name, proxies.get(f"{zone} {m}", "")) for m, name in enumerate(zones) if m != zone]
-        peers = [f"[[peers]]\nsite = {json.dumps(name)}\naddress = {json.dumps(address)}\n"
-                 for name, address in others if sites.lean]
+        peers = [
+            f"[[peers]]\nsite = {json.dumps(name)}\naddress = {json.dumps(address)}\n"
+            for name, address in others
+            if sites.lean
+        ]
         (self.folder / f"s{n}.toml").write_text(
-            f"[gateway]\nsite = {json.dumps(zones[zone])}\nlink = \"127.0.0.1:{self.link_ports[n]}\"\n"
-            f"platform = \"s{n}.config.json\"\nkeys = [\"link.key\"]\nstall = {sites.stall}\n"
-            f"[intake]\npart = {sites.part}\nfloor = {sites.floor}\n" + "".join(peers))
+            f'[gateway]\nsite = {json.dumps(zones[zone])}\nlink = "127.0.0.1:{self.link_ports[n]}"\n'
+            f'platform = "s{n}.config.json"\nkeys = ["link.key"]\nstall = {sites.stall}\n'
+            f"[intake]\npart = {sites.part}\nfloor = {sites.floor}\n" + "".join(peers)
+        )
 
     def await_ready(self, n: int, until: float) -> None:
         request = b"GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"
         while time.monotonic() < until:
             if self.sidecars[n].poll() is not None:
                 break
-            with contextlib.suppress(OSError), \
-                    socket.create_connection(("127.0.0.1", self.ports[n]), 1.0) as sock:
+            with (
+                contextlib.suppress(OSError),
+                socket.create_connection(("127.0.0.1", self.ports[n]), 1.0) as sock,
+            ):
                 sock.sendall(request)
                 if sock.recv(64).startswith(b"HTTP/1.1 200"):
                     return
@@ -236,8 +269,10 @@
     def set_up(self) -> None:
         count = len(self.world.kinds)
         groups = min(PROCESSES, count)
-        stands = [self.child("endpoints", f"endpoints{g}", mine=list(range(g, count, groups)))
-                  for g in range(groups)]
+        stands = [
+            self.child("endpoints", f"endpoints{g}", mine=list(range(g, count, groups)))
+            for g in range(groups)
+        ]
         lists, load = self.child("lists", "lists"), self.child("load", "load")
         endpoints: dict[str, str] = {}
         for g, stand in enumerate(stands):
@@ -258,9 +293,15 @@
             self.await_ready(n, until)
         self.start = time.monotonic() + 0.3
         for process in (lists, *stands, load):
-            self.tell(process, {"start": self.start, "endpoints": endpoints,
-                                "sidecars": [f"127.0.0.1:{port}" for port in self.ports],
-                                "gateways": [f"127.0.0.1:{port}" for port in self.link_ports]})
+            self.tell(
+                process,
+                {
+                    "start": self.start,
+                    "endpoints": endpoints,
+                    "sidecars": [f"127.0.0.1:{port}" for port in self.ports],
+                    "gateways": [f"127.0.0.1:{port}" for port in self.link_ports],
+                },
+            )
         self.cpu_before = {n: self.cpu(n) for n in self.sidecars}
 
     def cpu(self, n: int) -> float:
@@ -291,10 +332,16 @@
             time.sleep(max(0.0, min(0.1, self.world.end - now)))
 
     def wind_down(self) -> None:
-        self.figures["cpu_s"] = {f"s{n}": round(self.cpu(n) - before, 3)
-                                 for n, before in self.cpu_before.items() if n not in self.killed}
-        self.figures["rss_mb"] = {f"s{n}": round(psutil.Process(p.pid).memory_info().rss / 2**20, 1)
-                                  for n, p in self.sidecars.items() if p.poll() is None}
+        self.figures["cpu_s"] = {
+            f"s{n}": round(self.cpu(n) - before, 3)
+            for n, before in self.cpu_before.items()
+            if n not in self.killed
+        }
+        self.figures["rss_mb"] = {
+            f"s{n}": round(psutil.Process(p.pid).memory_info().rss / 2**20, 1)
+            for n, p in self.sidecars.items()
+            if p.poll() is None
+        }
         for process in self.children:
             try:
                 if process is not self.keeper:
--- a/rainspindle/lab/sockets/sidecar.py
+++ b/rainspindle/lab/sockets/sidecar.py
@@ -29,6 +29,7 @@
     def read() -> Config:
         config = load(None, os.environ)
         return BaselineConfig(**{name: getattr(config, name) for name in fields(Config)}, policy=sys.argv[1])
+
     Sidecar(read(), read).run()
     return 0
 
