--- a/rainspindle/lab/virtual.py
+++ b/rainspindle/lab/virtual.py
@@ -140,8 +140,15 @@
         self.started: dict[str, float | None] = {}
         self.taken = 0
         self.looks_at = math.inf
-        self.facade = Facade(now, maker(world.variant, world.settings(self.number),
-                                        world.seed * 100_003 + self.number * 101 + self.lives, now))
+        self.facade = Facade(
+            now,
+            maker(
+                world.variant,
+                world.settings(self.number),
+                world.seed * 100_003 + self.number * 101 + self.lives,
+                now,
+            ),
+        )
         self.version = self.registry.version(now)
         known = self.registry.whole(self.version)
         self.note_starts([(line.id, line.started) for line in known])
@@ -172,6 +179,7 @@
         def done() -> None:
             if self.lives == life:
                 do()
+
         return done
 
     # What the module did.
@@ -189,8 +197,9 @@
         for exchange, number in did.called_off:
             waiting = self.held.get(exchange)
             if waiting is not None and waiting.flight is not None and waiting.flight.number == number:
-                self.clock.at(self.clock.now, self.living(
-                    partial(self.end, waiting.flight, Outcome.CALLED_OFF)))
+                self.clock.at(
+                    self.clock.now, self.living(partial(self.end, waiting.flight, Outcome.CALLED_OFF))
+                )
         if did.watch:
             self.clock.at(self.clock.now, self.living(self.ask))
         if did.wake_at < self.looks_at:
@@ -229,8 +238,9 @@
             self.clock.at(now + answer, self.living(self.tell))
         else:
             news = (registry.next_at(self.version), registry.next_outage(now))
-            self.clock.at(min([until, *(t for t in news if t is not None)]),
-                          self.living(partial(self.watch, until)))
+            self.clock.at(
+                min([until, *(t for t in news if t is not None)]), self.living(partial(self.watch, until))
+            )
 
     def failed(self) -> None:
         if self.relayed is not None:
@@ -266,8 +276,9 @@
         now, op = self.clock.now, holding.op
         self.taken += 1
         self.held[self.taken] = holding
-        self.apply(self.facade.pick(now, self.taken, op.type, op.key or None, holding.expires,
-                                    holding.tries > 1))
+        self.apply(
+            self.facade.pick(now, self.taken, op.type, op.key or None, holding.expires, holding.tries > 1)
+        )
 
     def leave(self, exchange: int) -> None:
         holding = self.held[exchange]
@@ -292,8 +303,11 @@
         there, back = self.run.ways(self.zone, model.zone)
         promised = self.run.types[holding.op.type].promised
         until = min(flight.until, now + min(limits.connect_time, 0.25 * promised))
-        if model.silent or not (there.whole(now) and back.whole(now)) \
-                or (self.number == 0 and model.number in self.run.beyond):
+        if (
+            model.silent
+            or not (there.whole(now) and back.whole(now))
+            or (self.number == 0 and model.number in self.run.beyond)
+        ):
             self.clock.at(until, self.living(partial(self.end, flight, Outcome.UNCONNECTED)))
             return
         up_at = back.answer(there.arrival(now, 60))
@@ -351,8 +365,19 @@
         if not model.up or line.start != model.start:
             self.back(flight, Outcome.RESET, "")
             return
-        run = Run(holding.asked.id, op.id, op.type, self.number, model.number, model.start,
-                  f"{model.number}.{len(self.run.ledger.runs)}", now, now, op.work, sent=sent)
+        run = Run(
+            holding.asked.id,
+            op.id,
+            op.type,
+            self.number,
+            model.number,
+            model.start,
+            f"{model.number}.{len(self.run.ledger.runs)}",
+            now,
+            now,
+            op.work,
+            sent=sent,
+        )
         self.run.ledger.runs.append(run)
         flight.job = job = Job(run, op.key, flight.until, partial(self.ran, flight))
         model.arrive(now, job, new)
@@ -381,6 +406,7 @@
             def cancelled() -> None:
                 node.model.cancel(self.clock.now, job)
                 node.look()
+
             self.clock.at(there.arrival(self.clock.now, 60), cancelled)
 
     def end(self, flight: Flight, outcome: Outcome, token: str = "") -> None:
@@ -484,8 +510,13 @@
         asked = Asked(f"{op.id}.{tries}", op.id, op.type, op.sidecar, op.due, now, op.wait, expiry)
         self.ledger.asked.append(asked)
         wait = min(op.wait, expiry)
-        holding = Holding(op, asked, tries, now + wait - min(ANSWER_TIME, ANSWER_PART * wait),
-                          lambda kind, hold_off, token: self.client_told(holding, kind, hold_off, token))
+        holding = Holding(
+            op,
+            asked,
+            tries,
+            now + wait - min(ANSWER_TIME, ANSWER_PART * wait),
+            lambda kind, hold_off, token: self.client_told(holding, kind, hold_off, token),
+        )
         if not sidecar.up:
             asked.broken = True
             self.again(holding, "rejected", 0.0)  # refused: it never ran
@@ -512,7 +543,8 @@
 
     def again(self, holding: Holding, answer: str, hold_off: float) -> None:
         op = holding.op
-        delay = next_try(self.world.x.clients, self.types[op.type], op, holding.tries, answer, hold_off,
-                         self.chance())
+        delay = next_try(
+            self.world.x.clients, self.types[op.type], op, holding.tries, answer, hold_off, self.chance()
+        )
         if delay is not None:
             self.clock.at(self.clock.now + max(delay, 1e-4), partial(self.ask, op, holding.tries + 1))
--- a/rainspindle/lab/virtual_sites.py
+++ b/rainspindle/lab/virtual_sites.py
@@ -115,6 +115,7 @@
             else:
                 other.ended = True
             other.wake()
+
         self.loop.clock.at(self.last, arrive)
 
     def close(self) -> None:
@@ -140,6 +141,7 @@
         def tell(kind: str, hold_off: float, token: str) -> None:
             came.append((kind, hold_off, token))
             task.wake()
+
         id = given.body.request_id.decode()
         op, asked = run.ops[id.split(".")[0]], run.asked[id]
         holding = Holding(op, asked, 2 if given.repeat else 1, given.expires_at, tell)
@@ -180,9 +182,18 @@
         types = [traffic_type(t) for t in settings["traffic-types"]]
         self.router = SiteRouter(self.loop, core, self.sites, self.intake, types, False)
         self.link = VirtualLink(
-            self.loop, own, int((now + 10) * 1000) + 1, lambda: (KEY,), core, self.intake,
+            self.loop,
+            own,
+            int((now + 10) * 1000) + 1,
+            lambda: (KEY,),
+            core,
+            self.intake,
             tuple(t["name"] for t in settings["traffic-types"]),
-            [t.effect is Effect.RETRIABLE for t in types], sites.stall, 1, self.linked)
+            [t.effect is Effect.RETRIABLE for t in types],
+            sites.stall,
+            1,
+            self.linked,
+        )
         self.link.node = self
         # The first of two dials, so that there is one set of connections between them.
         self.link.set_peers({p: ADDRESS if own < p else None for p in peers})
@@ -255,8 +266,18 @@
 
     def one(self, sidecar: GatewayNode, life: int, holding: Holding) -> Coroutine[None]:
         op, asked = holding.op, holding.asked
-        ask = Ask(asked.id.encode(), b"POST", b"/lab", b"answer", (), op.type, op.key or None, None, None,
-                  holding.tries > 1)
+        ask = Ask(
+            asked.id.encode(),
+            b"POST",
+            b"/lab",
+            b"answer",
+            (),
+            op.type,
+            op.key or None,
+            None,
+            None,
+            holding.tries > 1,
+        )
         given = Given(op.type, op.key or None, None, holding.tries > 1, holding.expires, ask)
         final = yield from sidecar.router.run(given, lambda: asked.left_at < math.inf)
         if sidecar.lives != life:
--- a/rainspindle/lab/walletcheck.py
+++ b/rainspindle/lab/walletcheck.py
@@ -86,8 +86,18 @@
 
 
 def frozen(row: Row) -> Frozen:
-    return (row.account, row.number, row.spent, row.back, row.topped, tuple(sorted(row.given.items())),
-            tuple(sorted(row.got.items())), tuple(sorted(row.off.items())), row.rests, row.barred)
+    return (
+        row.account,
+        row.number,
+        row.spent,
+        row.back,
+        row.topped,
+        tuple(sorted(row.given.items())),
+        tuple(sorted(row.got.items())),
+        tuple(sorted(row.off.items())),
+        row.rests,
+        row.barred,
+    )
 
 
 def thawed(row: Frozen) -> Row:
@@ -100,10 +110,19 @@
 
 
 class Checker:
-    def __init__(self, size: Size, make_account: Callable[[Row, dict[str, int]], Account] = Account,
-                 make_holding: Callable[[int], Holding] = Holding, notices: bool = True,
-                 keeps_ids: bool = True, returns: bool = False, bars: bool = True,
-                 hears_last: bool = True, marks: bool = True, hasty: bool = False) -> None:
+    def __init__(
+        self,
+        size: Size,
+        make_account: Callable[[Row, dict[str, int]], Account] = Account,
+        make_holding: Callable[[int], Holding] = Holding,
+        notices: bool = True,
+        keeps_ids: bool = True,
+        returns: bool = False,
+        bars: bool = True,
+        hears_last: bool = True,
+        marks: bool = True,
+        hasty: bool = False,
+    ) -> None:
         """The rest is for planting faults: older copies are not noticed, ids of top-ups are not written down,
         a write-off gives the home what the other was last heard to hold, a home that was put back goes on
         taking top-ups. Not `hears_last`: who answers the unsure may have missed its last rows. Not `marks`:
@@ -131,9 +150,19 @@
     def life(self, holding: Holding) -> Life:
         a = holding.account
         writing = frozen(a.writing) if a.writing is not None else None
-        return Life(frozen(a.row), frozen(a.kept), writing, a.free, a.dirty, frozenset(a.ids), tuple(a.fresh),
-                    tuple(a.ids_writing), tuple(frozen(row) for row in holding.old), holding.sealing,
-                    holding.unsure)
+        return Life(
+            frozen(a.row),
+            frozen(a.kept),
+            writing,
+            a.free,
+            a.dirty,
+            frozenset(a.ids),
+            tuple(a.fresh),
+            tuple(a.ids_writing),
+            tuple(frozen(row) for row in holding.old),
+            holding.sealing,
+            holding.unsure,
+        )
 
     def with_live(self, w: World, m: int, holding: Holding) -> World:
         """What it has now, and what it tells of that."""
@@ -147,14 +176,14 @@
             told.update(("off", *off) for off in holding.account.kept.off.items())
         before = w.members[m].live
         live = replace(self.life(holding), found=before.found if before else w.members[m].disk.number)
-        members = (*w.members[:m], replace(w.members[m], live=live), *w.members[m + 1:])
+        members = (*w.members[:m], replace(w.members[m], live=live), *w.members[m + 1 :])
         return replace(w, members=members, words=w.words | told)
 
     def spend(self, w: World, what: int) -> World:
-        return replace(w, left=(*w.left[:what], w.left[what] - 1, *w.left[what + 1:]))
+        return replace(w, left=(*w.left[:what], w.left[what] - 1, *w.left[what + 1 :]))
 
     def put(self, w: World, m: int, member: Member) -> World:
-        return replace(w, members=(*w.members[:m], member, *w.members[m + 1:]))
+        return replace(w, members=(*w.members[:m], member, *w.members[m + 1 :]))
 
     # The steps.
 
@@ -176,25 +205,36 @@
             for what, disk in (("its copy", member.copy), ("an empty folder", Disk())):
                 if disk is not None and disk != member.disk and (m or disk.rows):
                     older = replace(member, life=member.life + 1, disk=disk, copy=None)
-                    yield f"{name(m)} starts by {what}", self.started(
-                        self.spend(w, COPIES), m, older, Trust.OLD if self.notices else Trust.SURE)
+                    yield (
+                        f"{name(m)} starts by {what}",
+                        self.started(
+                            self.spend(w, COPIES), m, older, Trust.OLD if self.notices else Trust.SURE
+                        ),
+                    )
 
         for what, disk in (("its volume", member.disk), ("its volume set back", member.copy)):
             if w.left[BOOTS] and disk is not None and disk.rows:
-                yield f"{name(m)}'s machine restarts with {what}", self.started(
-                    self.spend(w, BOOTS), m, replace(member, life=member.life + 1, disk=disk), Trust.UNSURE)
+                yield (
+                    f"{name(m)}'s machine restarts with {what}",
+                    self.started(
+                        self.spend(w, BOOTS),
+                        m,
+                        replace(member, life=member.life + 1, disk=disk),
+                        Trust.UNSURE,
+                    ),
+                )
 
     def started(self, w: World, m: int, member: Member, trust: Trust) -> World:
         if trust is Trust.OLD:
-            member = replace(member, disk=replace(member.disk, rows=tuple(
-                (row, True) for row, _ in member.disk.rows)))
+            member = replace(
+                member, disk=replace(member.disk, rows=tuple((row, True) for row, _ in member.disk.rows))
+            )
         rows = sorted(member.disk.rows)
         made = self.make_holding(member.life)
         ids = dict.fromkeys(member.disk.ids, 0)
         if rows:
             last, aged = rows[-1]
-            made.take(thawed(last), ids, [thawed(row) for row, _ in rows[:-1]],
-                      Trust.OLD if aged else trust)
+            made.take(thawed(last), ids, [thawed(row) for row, _ in rows[:-1]], Trust.OLD if aged else trust)
             if aged and m == 0 and self.bars:
                 made.account.row.barred = "1"
         else:
@@ -220,8 +260,10 @@
                 for side in (member, there):
                     made = self.holding(member)
                     made.account.failed()
-                    yield f"{who}'s write fails", self.with_live(
-                        self.put(self.spend(w, FAILS), m, side), m, made)
+                    yield (
+                        f"{who}'s write fails",
+                        self.with_live(self.put(self.spend(w, FAILS), m, side), m, made),
+                    )
         elif live.dirty:
             made = self.holding(member)
             made.account.stage()
@@ -232,8 +274,14 @@
             after = self.spend(w, CRASHES)
             yield f"{who} crashes", self.put(after, m, replace(member, live=None))
             if live.writing is not None:
-                yield f"{who} crashes, its write is done", self.put(after, m, replace(
-                    member, live=None, disk=self.on_disk(member, live.writing, live.ids_writing)))
+                yield (
+                    f"{who} crashes, its write is done",
+                    self.put(
+                        after,
+                        m,
+                        replace(member, live=None, disk=self.on_disk(member, live.writing, live.ids_writing)),
+                    ),
+                )
 
     def acts(self, w: World, m: int, member: Member) -> Iterator[Next]:
         live, who = member.live, name(m)
@@ -336,8 +384,10 @@
 
     def run(self, most: int = 10_000_000) -> Found:
         s = self.size
-        first = World(tuple(Member() for _ in range(s.members)),
-                      (s.gives, s.aheads, s.backs, s.crashes, s.fails, s.copies, s.offs, s.boots, s.ends))
+        first = World(
+            tuple(Member() for _ in range(s.members)),
+            (s.gives, s.aheads, s.backs, s.crashes, s.fails, s.copies, s.offs, s.boots, s.ends),
+        )
         for m in range(s.members):
             first = self.started(first, m, first.members[m], Trust.SURE)
         return explore(first, self.steps, self.violation, lambda w: w.done == sum(s.top_ups), most)
@@ -381,8 +431,12 @@
     """Tells of gifts before they are on disk."""
 
     def gifts(self, member: str) -> list[tuple[int, int, int]]:
-        return [(row.account, account, total) for row in (*self.old, self.account.row)
-                for (peer, account), total in row.given.items() if peer == member]
+        return [
+            (row.account, account, total)
+            for row in (*self.old, self.account.row)
+            for (peer, account), total in row.given.items()
+            if peer == member
+        ]
 
 
 class Lifeless(Holding):
--- a/rainspindle/lab/walletday.py
+++ b/rainspindle/lab/walletday.py
@@ -22,7 +22,7 @@
 HOP, GOSSIP, DIGEST = 0.002, (0.05, 0.6), 2.0  # seconds
 SEEN_DEAD, SEEN_ALIVE = 3.0, 0.5  # seconds until the others believe it
 WRITE = 0.004  # seconds for a batch on disk
-ROOM = 10 ** 6  # batches of one life at most
+ROOM = 10**6  # batches of one life at most
 
 
 @dataclass(slots=True)
@@ -37,8 +37,9 @@
     number: int = 0  # of the last batch
 
     def copy(self) -> Disk:
-        return Disk({a: r.copy() for a, r in self.rows.items()}, dict(self.ids), set(self.old),
-                    number=self.number)
+        return Disk(
+            {a: r.copy() for a, r in self.rows.items()}, dict(self.ids), set(self.old), number=self.number
+        )
 
 
 class Nothing(dict[tuple[str, str], tuple[int, int]]):
@@ -63,8 +64,9 @@
         self.cells = OlderCells(name, life) if name in day.older else Cells(name, life)
         self.register = Register(self.cells, day.now, day.disks[name].number, ROOM)
         self.register.pace = min(SWEEP, day.rules.rest / 5)
-        self.wallet = Wallet("w", name, life, day.rules, self, day.now,
-                             register=None if name in day.older else self.register)
+        self.wallet = Wallet(
+            "w", name, life, day.rules, self, day.now, register=None if name in day.older else self.register
+        )
         self.sweep_at = math.inf
         self.dead = self.stalled = False
         self.writing = False
@@ -80,8 +82,9 @@
         if disk.rows:
             last = max(disk.rows)
             old = [disk.rows[a].copy() for a in sorted(disk.rows) if a != last]
-            self.wallet.load(day.now, disk.rows[last].copy(), dict(disk.ids), old,
-                             Trust.OLD if last in disk.old else trust)
+            self.wallet.load(
+                day.now, disk.rows[last].copy(), dict(disk.ids), old, Trust.OLD if last in disk.old else trust
+            )
         else:
             self.wallet.load(day.now, None, dict(disk.ids), [], Trust.SURE)
 
@@ -111,6 +114,7 @@
             self.batch_done()
             self.when_awake(lambda: self.wallet.written(self.day.now))
             self.plan_sweep()
+
         self.day.at(disk.takes, done)
 
     def batch_done(self) -> None:
@@ -208,8 +212,14 @@
 
 
 class WalletDay:
-    def __init__(self, count: int, seed: int, rules: Rules | None = None, loss: float = 0.0,
-                 older: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self,
+        count: int,
+        seed: int,
+        rules: Rules | None = None,
+        loss: float = 0.0,
+        older: frozenset[str] = frozenset(),
+    ) -> None:
         """`count` members, of which the first is the home. `older`: never let their use end."""
         self.older = older
         self.rng, self.now, self.loss = random.Random(seed), 0.0, loss
@@ -279,8 +289,13 @@
     def top_up(self, id: str, amount: int, at: str | None = None) -> bool:
         """By staff, who repeat until it is entered."""
         home = self.members[at or self.rules.home]
-        if home.dead or home.stalled or home.name != self.rules.home or home.wallet.unsure \
-                or home.wallet.account.row.barred:
+        if (
+            home.dead
+            or home.stalled
+            or home.name != self.rules.home
+            or home.wallet.unsure
+            or home.wallet.account.row.barred
+        ):
             return False
         if home.wallet.top_up(self.now, id, amount):
             self.topped += amount
@@ -308,10 +323,12 @@
 
     def traffic(self, name: str, rate: float, until: float, price: int = 1, binding: float = 0.0) -> None:
         """Exchanges by a Poisson process from now on."""
+
         def one() -> None:
             if self.now < until:
                 self.members[name].exchange(price, self.rng.random() < binding)
                 self.at(self.rng.expovariate(rate), one)
+
         self.at(self.rng.expovariate(rate), one)
 
     def held(self) -> int:
--- a/rainspindle/lab/walletfigures.py
+++ b/rainspindle/lab/walletfigures.py
@@ -56,8 +56,9 @@
                 self.paused_at.setdefault(name, now)
 
 
-def played(count: int, seed: int, rates: Sequence[float], balance: int, rules: Rules | None = None
-           ) -> WalletDay:
+def played(
+    count: int, seed: int, rates: Sequence[float], balance: int, rules: Rules | None = None
+) -> WalletDay:
     day = WalletDay(count, seed, rules)
     day.run(1.0)
     for name, rate in zip(day.names, rates, strict=True):
@@ -91,9 +92,13 @@
     for seed in SEEDS:
         day = played(count, seed, load(count), balance)
         day.run(3.0)
-        until(day, lambda day=day: any(  # type: ignore[misc]
-            (since := m.wallet.paused_since) is not None and day.now - since > 0.5
-            for m in day.members.values()))
+        until(
+            day,
+            lambda day=day: any(  # type: ignore[misc]
+                (since := m.wallet.paused_since) is not None and day.now - since > 0.5
+                for m in day.members.values()
+            ),
+        )
         first.append(day.executed / balance)
         day.run(10.0)
         end.append(day.executed / balance)
@@ -120,12 +125,20 @@
     for seed in SEEDS:
         day = played(count, seed, even(count), balance, Rules("m00", alone=alone))
         day.run(10.0)
-        half = day.names[:count // 2]
+        half = day.names[: count // 2]
         other = [name for name in day.names if name not in half]
         day.cut(half, other)
         left = (balance - day.executed) / sum(even(count))
-        lasted.append(until(day, lambda day=day, other=other: all(  # type: ignore[misc]
-            name in paused(day) for name in other), 0.1, left))
+        lasted.append(
+            until(
+                day,
+                lambda day=day, other=other: all(  # type: ignore[misc]
+                    name in paused(day) for name in other
+                ),
+                0.1,
+                left,
+            )
+        )
         day.run(left - lasted[-1])
         parts.append(day.executed / balance)
     return parts, lasted
@@ -141,7 +154,8 @@
         def at(name: str, names: list[str] = names, cut: list[float] = cut) -> str:
             if not keeper:
                 return name
-            return names[0] if not cut or name in names[:count // 2] else ""
+            return names[0] if not cut or name in names[: count // 2] else ""
+
         plain = Plain(count, seed, held, at)
         plain.play(even(count), 10.0)
         cut.append(plain.now)
@@ -161,8 +175,14 @@
         day.run(20.0)
         before = dict(day.executed_at)
         day.top_up("second", balance)
-        go.append(until(day, lambda day=day, before=before: all(  # type: ignore[misc]
-            day.executed_at.get(name, 0) > before.get(name, 0) for name in day.names)))
+        go.append(
+            until(
+                day,
+                lambda day=day, before=before: all(  # type: ignore[misc]
+                    day.executed_at.get(name, 0) > before.get(name, 0) for name in day.names
+                ),
+            )
+        )
     return stop, go
 
 
@@ -197,7 +217,7 @@
     for n in range(count):
         wallet = Wallet(f"w{n}", "m00", 1, day.rules, day.members["m00"], 0.0)
         wallet.account = Account(Row(1))
-        wallet.account.free = 10 ** 9
+        wallet.account.free = 10**9
         table[n, 0] = wallet, 1
     rng, took = random.Random(1), list[float]()
     tenants = [rng.randrange(count) for _ in range(1000)]
@@ -230,34 +250,46 @@
 
 def main() -> None:
     out = sys.stdout.write
-    out("| part of the balance spent | rainspindle, first pause | in the end | equal share, first pause |"
-        " in the end | keeper |\n| --- | --- | --- | --- | --- | --- |\n")
+    out(
+        "| part of the balance spent | rainspindle, first pause | in the end | equal share, first pause |"
+        " in the end | keeper |\n| --- | --- | --- | --- | --- | --- |\n"
+    )
     for count, balance in ((5, 5_000), (20, 20_000)):
         for title, load in (("even", even), ("skewed", skewed)):
             ours, plain = connected(count, load, balance), equal(count, load, balance)
-            out(f"| {count} members, {title} traffic | {spread(ours[0])} | {spread(ours[1])} |"
-                f" {spread(plain[0])} | {spread(plain[1])} | 1.000 |\n")
-    out("\n| 20 members, cut in halves | part spent in the time that all would have lasted |"
-        " seconds until the half without the home pauses |\n| --- | --- | --- |\n")
+            out(
+                f"| {count} members, {title} traffic | {spread(ours[0])} | {spread(ours[1])} |"
+                f" {spread(plain[0])} | {spread(plain[1])} | 1.000 |\n"
+            )
+    out(
+        "\n| 20 members, cut in halves | part spent in the time that all would have lasted |"
+        " seconds until the half without the home pauses |\n| --- | --- | --- |\n"
+    )
     for alone in (60.0, 10.0):
         parts, lasted = in_a_cut(20, 20_000, alone)
         out(f"| rainspindle, `alone` = {alone:.0f} s | {spread(parts)} | {spread(lasted, '.1f')} |\n")
     out(f"| single keeper | {spread(cut_plain(20, 20_000, True))} | 0 |\n")
     out(f"| equal share for each | {spread(cut_plain(20, 20_000, False))} | at the end |\n")
-    out("\n| seconds | from the last unit to all paused | from the top-up to all at work |\n"
-        "| --- | --- | --- |\n")
+    out(
+        "\n| seconds | from the last unit to all paused | from the top-up to all at work |\n"
+        "| --- | --- | --- |\n"
+    )
     for count, balance in ((5, 2_000), (20, 8_000)):
         stop, go = times(count, balance)
         out(f"| {count} members | {spread(stop, '.2f')} | {spread(go, '.2f')} |\n")
-    out(f"| single keeper | one way to it and back, {2e3 * HOP:.0f} ms | the same |\n"
-        "| equal share | never all at once | the same |\n")
+    out(
+        f"| single keeper | one way to it and back, {2e3 * HOP:.0f} ms | the same |\n"
+        "| equal share | never all at once | the same |\n"
+    )
     out("\n| lost by one of five members, in seconds of its traffic | |\n| --- | --- |\n")
     for piece in (1, 20):
         out(f"| killed, folder kept, `piece` = {piece} | {spread(lost_by_crash(piece), '.2f')} |\n")
     for alone in (60.0, 10.0):
         out(f"| folder lost too, `alone` = {alone:.0f} s | {spread(lost_by_folder(alone), '.1f')} |\n")
-    out("| single keeper, folder kept | 0; all stand still meanwhile |\n"
-        "| equal share, folder lost | all of its share |\n")
+    out(
+        "| single keeper, folder kept | 0; all stand still meanwhile |\n"
+        "| equal share, folder lost | all of its share |\n"
+    )
     out("\n| one debit, on this machine | microseconds |\n| --- | --- |\n")
     for count in (10, 1_000, 10_000):
         out(f"| {count} wallets | {1e6 * debits(count):.2f} |\n")
--- a/rainspindle/lab/wallettable.py
+++ b/rainspindle/lab/wallettable.py
@@ -52,8 +52,9 @@
         if seat is None:
             return None
         alive = not seat.down and self.table.side.get(name) == self.table.side.get(self.own_name)
-        return Member(name, ("127.0.0.1", 1), seat.own_life, 0, Standing.ALIVE if alive else Standing.DEAD,
-                      0.0, 0.0)
+        return Member(
+            name, ("127.0.0.1", 1), seat.own_life, 0, Standing.ALIVE if alive else Standing.DEAD, 0.0, 0.0
+        )
 
     def call(self, method: str, *path: str, **query: str) -> Answer:
         answer = self.run.call(time.monotonic(), method, path, query)
@@ -73,6 +74,7 @@
 
         def one() -> Coroutine[None]:
             ends.append((yield from self.taker.run(given, lambda: False)))
+
         self.table.loop.spawn(one())
         while self.table.loop.ready and not ends:
             self.table.loop.resume(self.table.loop.ready.popleft())
@@ -140,10 +142,15 @@
     def top_up(self, name: str, id: str, amount: int, wallet: str = "north") -> None:
         def entered() -> bool:
             try:
-                return self.seats[name].call("POST", "wallets", wallet, "top-up", id=id, amount=str(amount)
-                                             ).status == 200
+                return (
+                    self.seats[name]
+                    .call("POST", "wallets", wallet, "top-up", id=id, amount=str(amount))
+                    .status
+                    == 200
+                )
             except NotReady:
                 return False
+
         self.until(entered)
 
     def kill(self, name: str) -> None:
--- a/rainspindle/lab/word.py
+++ b/rainspindle/lab/word.py
@@ -71,8 +71,9 @@
             latest = {news.owner: news for news in words.news if news.owner != node.number}
             self.coming = [(now + 0.3, news) for news in latest.values()]
         self.read = len(words.news)
-        self.evidence = Evidence(now, node.zone, self, random.Random(
-            world.seed * 100_003 + node.number * 101 + node.lives))
+        self.evidence = Evidence(
+            now, node.zone, self, random.Random(world.seed * 100_003 + node.number * 101 + node.lives)
+        )
         self.all.append(Watch(balancer, self.evidence, 0.0))
         self.next(now + words.chance.uniform(0.0, LOOK))
 
@@ -81,7 +82,7 @@
 
     def tick(self) -> None:
         now, words = self.node.clock.now, self.words
-        for news in words.news[self.read:]:
+        for news in words.news[self.read :]:
             if news.owner != self.node.number:
                 self.coming.append((news.at + words.delay(), news))
         self.read = len(words.news)
@@ -110,8 +111,15 @@
         elif self.words.liar == "back":
             told = Told(1, now, self.node.zone, 0, [Out(m, start, 0.0, True, 0.0) for m, start in known])
         else:
-            told = Told(1, now, self.node.zone, 0, [], 1_000_000,
-                        [(mark_of(f"k{n}"), 80_000) for n in range(1000, 1012)])
+            told = Told(
+                1,
+                now,
+                self.node.zone,
+                0,
+                [],
+                1_000_000,
+                [(mark_of(f"k{n}"), 80_000) for n in range(1000, 1012)],
+            )
         self.words.write(now, self.node.number, told)
 
     # The evidence's side.
--- a/rainspindle/lab/word_bytes.py
+++ b/rainspindle/lab/word_bytes.py
@@ -81,10 +81,15 @@
     print("second  cells  bytes a member, without, more  datagrams a member, without")
     for n, count in enumerate(with_.cells):
         more, less = with_.sent_bytes[n], without.sent_bytes[n]
-        print(f"{n:6d} {count:6d} {more:8.0f} {less:8.0f} {more - less:8.0f}"
-              f" {with_.datagrams[n]:8.2f} {without.datagrams[n]:8.2f}")
-    print("delays, by eighths:", *(f"{cut:.2f}" for cut in quantiles(with_.delays, n=8)),
-          f"most {max(with_.delays):.2f}, of {len(with_.delays)}")
+        print(
+            f"{n:6d} {count:6d} {more:8.0f} {less:8.0f} {more - less:8.0f}"
+            f" {with_.datagrams[n]:8.2f} {without.datagrams[n]:8.2f}"
+        )
+    print(
+        "delays, by eighths:",
+        *(f"{cut:.2f}" for cut in quantiles(with_.delays, n=8)),
+        f"most {max(with_.delays):.2f}, of {len(with_.delays)}",
+    )
 
 
 if __name__ == "__main__":
--- a/rainspindle/lab/world.py
+++ b/rainspindle/lab/world.py
@@ -62,10 +62,16 @@
             self.registries = [of_zone[zone] for zone in self.sidecar_zones]
 
     def site_registry(self, zone: int) -> Registry:
-        outages = [(f.at, f.at + f.length) for f in self.x.faults
-                   if f.kind == "list_outage" and f.zone in ("", self.x.fleet.zones[zone])]
-        return Registry([line for line in self.lines if line.zone == zone],
-                        [c for c in self.changes if c.line.zone == zone], outages)
+        outages = [
+            (f.at, f.at + f.length)
+            for f in self.x.faults
+            if f.kind == "list_outage" and f.zone in ("", self.x.fleet.zones[zone])
+        ]
+        return Registry(
+            [line for line in self.lines if line.zone == zone],
+            [c for c in self.changes if c.line.zone == zone],
+            outages,
+        )
 
     def rng(self, what: str) -> np.random.Generator:
         """A stream of its own for each matter: a further fault must not change the clients' schedule."""
@@ -79,8 +85,15 @@
         return Listed(f"e{n}", n // CELL, self.zones[n], kind.cores * sum(kind.speed) / 2, state, started)
 
     def endpoint(self, n: int) -> EndpointModel:
-        return EndpointModel(n, self.zones[n], self.kinds[n], self.speeds[n], self.x.rules,
-                             self.chance(f"endpoint {n}"), self.mean_work())
+        return EndpointModel(
+            n,
+            self.zones[n],
+            self.kinds[n],
+            self.speeds[n],
+            self.x.rules,
+            self.chance(f"endpoint {n}"),
+            self.mean_work(),
+        )
 
     def mean_work(self) -> float:
         """Of an exchange, over all traffic."""
@@ -88,18 +101,24 @@
 
     def links(self) -> dict[tuple[int, int], LinkModel]:
         zones = range(len(self.x.fleet.zones))
-        return {(a, b): LinkModel(self.x.links.same if a == b else self.x.links.cross,
-                                  self.cuts.get((a, b), []), self.chance(f"link {a} {b}"))
-                for a in zones for b in zones}
+        return {
+            (a, b): LinkModel(
+                self.x.links.same if a == b else self.x.links.cross,
+                self.cuts.get((a, b), []),
+                self.chance(f"link {a} {b}"),
+            )
+            for a in zones
+            for b in zones
+        }
 
     # Faults.
 
-    def chosen(self, fault: Fault, among: int, zones: list[int], prefix: str,
-               rng: np.random.Generator) -> list[int]:
+    def chosen(
+        self, fault: Fault, among: int, zones: list[int], prefix: str, rng: np.random.Generator
+    ) -> list[int]:
         if fault.names:
             return [int(name.removeprefix(prefix)) for name in fault.names]
-        candidates = [n for n in range(among)
-                      if not fault.zone or self.x.fleet.zones[zones[n]] == fault.zone]
+        candidates = [n for n in range(among) if not fault.zone or self.x.fleet.zones[zones[n]] == fault.zone]
         if not fault.part:
             return candidates
         count = max(1, round(fault.part * len(candidates)))
@@ -134,8 +153,9 @@
         def listed(at: float, lag: tuple[float, float], state: State, started: float | None) -> None:
             late = spec.stale_more if rng.random() < spec.stale_part else 0.0
             # A line never reads older than it did: what comes later is listed no earlier.
-            seen = max([at + float(rng.uniform(*lag)) + late, *(
-                c.at for c in self.changes if c.line.id == f"e{n}")])
+            seen = max(
+                [at + float(rng.uniform(*lag)) + late, *(c.at for c in self.changes if c.line.id == f"e{n}")]
+            )
             self.changes.append(Change(seen, self.line(n, state, started)))
 
         if f.kind in ("crash", "silent"):
@@ -157,8 +177,11 @@
                 self.acts += [Act(at, "pause", n, 1.0), Act(min(at + f.size, over), "pause", n, 0.0)]
                 at += f.every + f.size
         else:
-            what, value, normal = {"hang": ("hang", 1.0, 0.0), "slow": ("slower", f.size, 1.0),
-                                   "errors": ("err", f.size, 0.0)}[f.kind]
+            what, value, normal = {
+                "hang": ("hang", 1.0, 0.0),
+                "slow": ("slower", f.size, 1.0),
+                "errors": ("err", f.size, 0.0),
+            }[f.kind]
             self.acts += [Act(f.at, what, n, value), Act(over, what, n, normal)]
 
     def shaded(self) -> list[tuple[float, float, str]]:
@@ -172,24 +195,42 @@
         """The settings of one sidecar, as the platform's configuration has them."""
         x = self.x
         return {
-            "zone": self.sidecar_zones[sidecar], "peers-total": self.variant.peers or x.sidecars.count,
-            "discovery": "on_request", "weight-kind": "nominal", "failure-domains": list(x.fleet.zones),
+            "zone": self.sidecar_zones[sidecar],
+            "peers-total": self.variant.peers or x.sidecars.count,
+            "discovery": "on_request",
+            "weight-kind": "nominal",
+            "failure-domains": list(x.fleet.zones),
             "prices": {"cross-zone": 0.02},
-            "traffic-types": [{
-                "name": t.name, "effect": EFFECTS[t.effect], "dedup-scope": t.group,
-                "promised-time": t.promised * 1000, "expiry": t.expiry * 1000,
-                "memory-span": t.memory_span * 1000, "overdue-value": t.late_value} for t in x.traffic],
+            "traffic-types": [
+                {
+                    "name": t.name,
+                    "effect": EFFECTS[t.effect],
+                    "dedup-scope": t.group,
+                    "promised-time": t.promised * 1000,
+                    "expiry": t.expiry * 1000,
+                    "memory-span": t.memory_span * 1000,
+                    "overdue-value": t.late_value,
+                }
+                for t in x.traffic
+            ],
             "policy-limits": {
-                "max-forwards": x.limits.max_forwards, "parallel-tries": x.limits.parallel,
-                "cancel": x.limits.cancel, "retry-after": x.limits.retry_after > 0,
+                "max-forwards": x.limits.max_forwards,
+                "parallel-tries": x.limits.parallel,
+                "cancel": x.limits.cancel,
+                "retry-after": x.limits.retry_after > 0,
                 "max-retry-after": x.limits.retry_after * 1000,
-                "connect-timeout": x.limits.connect_time * 1000, "conn-idle": x.limits.idle_time * 1000},
+                "connect-timeout": x.limits.connect_time * 1000,
+                "conn-idle": x.limits.idle_time * 1000,
+            },
             "contract": {
-                "fall-multiple": x.rules.cold_multiple, "tip-after": x.rules.cold_window * 1000,
+                "fall-multiple": x.rules.cold_multiple,
+                "tip-after": x.rules.cold_window * 1000,
                 "cold-from": min(k.cold_from for k in x.fleet.kinds),
                 "cold": max(k.cold for k in x.fleet.kinds) * 1000,
                 "ask-within": x.limits.ask_within * 1000,
-                "stop-sending-within": x.rules.drain_grace * 1000}}
+                "stop-sending-within": x.rules.drain_grace * 1000,
+            },
+        }
 
 
 def play(model: EndpointModel, act: Act) -> bool:
--- a/rainspindle/logic.py
+++ b/rainspindle/logic.py
@@ -57,8 +57,14 @@
     def __init__(self) -> None:
         self.entries: dict[str, Entry[Place]] = {}
 
-    def failure(self, key: str, at: Place, retriable: bool, now: float,
-                next_untried: Callable[[list[Place]], Place | None]) -> None:
+    def failure(
+        self,
+        key: str,
+        at: Place,
+        retriable: bool,
+        now: float,
+        next_untried: Callable[[list[Place]], Place | None],
+    ) -> None:
         entry = self.entries.get(key)
         if entry is None:
             if len(self.entries) >= self.SIZE:
@@ -101,8 +107,9 @@
     def capacity(self, age: float) -> float:  # the least share of its full one at this age
         return 1.0 if age >= self.cold else self.cold_from + (1 - self.cold_from) * max(age, 0.0) / self.cold
 
-    def draw(self, age: float, warm_rate: float, times: Histogram, peers: int, chance: float
-             ) -> tuple[int, float]:
+    def draw(
+        self, age: float, warm_rate: float, times: Histogram, peers: int, chance: float
+    ) -> tuple[int, float]:
         """How many forwards this sidecar may send, and within what time. Of many sidecars each has less than
         one: it is drawn, and what is not used lapses, or all would save up one and send them together.
         Guards against an idle cold endpoint: the budget is spread, and where its own `times` prove more than
@@ -152,7 +159,7 @@
         if groups:
             self.calm = min(self.calm * 1.01 or math.inf, groups[0][1])
             slow = [n for n, (_, time) in enumerate(groups) if time > self.calm * (1 + self.SLOWER)]
-            sound = groups[:slow[0]] if slow else groups
+            sound = groups[: slow[0]] if slow else groups
             self.found = max(1.0 if slow else self.found, 1 + sound[-1][0] if sound else 1.0)
         if self.size:  # the list tells, a little later: until then no limit is known
             self.found = max(1.0, self.held / self.load) if self.load > 1 else float(self.MOST)
@@ -185,8 +192,9 @@
             self.sent.popleft()
         share, part = self.share * len(self.taken), self.LEAST + (1 - self.LEAST) * worth
         lately = sum(at > now - self.SPREAD * self.window for at in self.sent)
-        return (len(self.sent) + 1 <= self.free + share * part
-                and lately + 1 <= max(1.0, self.AT_ONCE * (self.free + share)))
+        return len(self.sent) + 1 <= self.free + share * part and lately + 1 <= max(
+            1.0, self.AT_ONCE * (self.free + share)
+        )
 
 
 @dataclass(eq=False, slots=True)
@@ -285,12 +293,31 @@
     POOLED, MOST_HELD, FASTER = 0.25, 3, 3
     BACK_RAMP = 5.0  # seconds over which an endpoint's keys come back after a good trial
 
-    def __init__(self, host: Host, seed: int, now: float, *, peers: int, zone: int, types: list[TrafficType],
-                 max_forwards: int, parallel: bool, may_call_off: bool, max_hold_off: float,
-                 asks_list: bool, ask_within: float, use_shares: bool, cross_price: float,
-                 budget: ColdBudget, further: ForwardBudget | None = None, tells: bool = False,
-                 peer_price: float = 0.0, allowances: tuple[float, ...] = (), excess_value: float = 1.0,
-                 live: bool = False) -> None:
+    def __init__(
+        self,
+        host: Host,
+        seed: int,
+        now: float,
+        *,
+        peers: int,
+        zone: int,
+        types: list[TrafficType],
+        max_forwards: int,
+        parallel: bool,
+        may_call_off: bool,
+        max_hold_off: float,
+        asks_list: bool,
+        ask_within: float,
+        use_shares: bool,
+        cross_price: float,
+        budget: ColdBudget,
+        further: ForwardBudget | None = None,
+        tells: bool = False,
+        peer_price: float = 0.0,
+        allowances: tuple[float, ...] = (),
+        excess_value: float = 1.0,
+        live: bool = False,
+    ) -> None:
         self.host, self.seed, self.zone, self.types = host, seed, zone, types
         self.max_forwards, self.parallel, self.may_call_off = max_forwards, parallel, may_call_off
         self.peers, self.max_hold_off, self.ask_within = max(peers, 1), max_hold_off, ask_within
@@ -375,16 +402,32 @@
     def grade(self, line: Listed) -> Grade:
         return self.grades.get(line.kind) or self.grades.setdefault(line.kind, Grade())
 
-    def exchange_arrived(self, now: float, id: int, type_index: int, key: str | None,
-                         expires_at: float, repeat: bool = False, coming: bool = False,
-                         tenant: int | None = None) -> None:
+    def exchange_arrived(
+        self,
+        now: float,
+        id: int,
+        type_index: int,
+        key: str | None,
+        expires_at: float,
+        repeat: bool = False,
+        coming: bool = False,
+        tenant: int | None = None,
+    ) -> None:
         kind, worth = self.types[type_index], self.types[type_index].value
         if tenant is not None and tenant < len(self.asked):
             self.asked[tenant] += 1
             worth *= self.excess_value if self.chance() < self.over[tenant] else 1.0
         x = self.exchanges[id] = Exchange(
-            id, kind, key or f"{self.chance()}", now + min(kind.promised_time, kind.expiry), expires_at,
-            repeat, bool(key), coming, drawn=self.place(worth))
+            id,
+            kind,
+            key or f"{self.chance()}",
+            now + min(kind.promised_time, kind.expiry),
+            expires_at,
+            repeat,
+            bool(key),
+            coming,
+            drawn=self.place(worth),
+        )
         if self.further:
             self.further.taken.append(now)
         self.counts[x.key] = self.counts.get(x.key, 0.0) + 1
@@ -433,8 +476,9 @@
             self.note_answer(forward, now)
             forward.endpoint.out.pop((id, number), None)  # it has done its work, however slow its client
 
-    def forward_ended(self, now: float, id: int, number: int, over: bool, outcome: Outcome,
-                      lag: float = 0.0) -> None:
+    def forward_ended(
+        self, now: float, id: int, number: int, over: bool, outcome: Outcome, lag: float = 0.0
+    ) -> None:
         forward = self.forwards.pop((id, number), None)
         if forward is None:
             return
@@ -469,8 +513,11 @@
 
     def give_up(self, x: Exchange, now: float) -> None:
         """The final answer, at once: a rejection where that is harmless, else a termination."""
-        harmless = (x.ran_where is None and not x.out) or x.type.effect is Effect.RETRIABLE or (
-            x.type.effect is Effect.FINGERPRINTED and x.type.group is Group.ALL)
+        harmless = (
+            (x.ran_where is None and not x.out)
+            or x.type.effect is Effect.RETRIABLE
+            or (x.type.effect is Effect.FINGERPRINTED and x.type.group is Group.ALL)
+        )
         if harmless:
             soon = max(self.usual, x.type.promised_time / 12)  # back after this it may still be in time
             hopeful = x.promised_at - now > 3 * soon and not x.repeat
@@ -481,16 +528,23 @@
 
     def advance(self, x: Exchange, now: float) -> bool:
         """Send the exchange on its next forward, if one is permitted, worth it and predicted in time."""
-        if x.forwards >= self.max_forwards or x.spent or now >= x.expires_at \
-                or (x.out and not self.parallel) or (x.forwards and not self.may_repeat(x, now)):
+        if (
+            x.forwards >= self.max_forwards
+            or x.spent
+            or now >= x.expires_at
+            or (x.out and not self.parallel)
+            or (x.forwards and not self.may_repeat(x, now))
+        ):
             return False
         within: Callable[[Endpoint], bool] | None = None
         if x.ran_where is not None and x.type.effect is not Effect.RETRIABLE:
             if x.type.effect is Effect.BINDING or now - x.ran_at >= x.type.memory_span:
                 return False
             ran, group = x.ran_where, x.type.group
-            within = lambda e: group is Group.ALL or (  # noqa: E731
-                e.line.zone == ran.zone if group is Group.ZONE else e.line.cell == ran.cell)
+            within = lambda e: (  # noqa: E731
+                group is Group.ALL
+                or (e.line.zone == ran.zone if group is Group.ZONE else e.line.cell == ran.cell)
+            )
         if not (picked := self.pick(x, now, within)):
             return False
         endpoint, trial = picked
@@ -539,6 +593,7 @@
                     weight = (self.grade(e.line).time or fastest) ** -self.FASTER
                 weight *= self.local_boost if e.line.zone == self.zone else 1.0
                 return -math.log((int.from_bytes(word, "big") + 1) / 2**64) / weight
+
             ranked = self.ranks[key] = sorted(self.ready, key=distance)
         return ranked
 
@@ -560,19 +615,22 @@
     def room(self, e: Endpoint, mean: float, now: float) -> bool:
         """Below the design's skip line, below its window, and within the budget if cold."""
         free, held = self.grade(e.line).free if self.tells else 0.0, self.held(e)
-        if held > self.SKIP_FACTOR * mean + (free - 1 if free else self.SKIP_PLUS) \
-                or held >= (self.MOST_HELD * free or e.window):
+        if held > self.SKIP_FACTOR * mean + (free - 1 if free else self.SKIP_PLUS) or held >= (
+            self.MOST_HELD * free or e.window
+        ):
             return False
         age = self.cold_age(e, now)
         if age is not None and now >= e.cold_until:
             # Before a rate is known, all sidecars together count on one exchange in four seconds.
             e.cold_left, lasts = self.budget.draw(
-                age, max(self.warm_rate, 0.25 / self.peers), e.latency, self.peers, self.chance())
+                age, max(self.warm_rate, 0.25 / self.peers), e.latency, self.peers, self.chance()
+            )
             e.cold_until = now + lasts
         return age is None or e.cold_left > 0
 
-    def pick(self, x: Exchange, now: float, within: Callable[[Endpoint], bool] | None
-             ) -> tuple[Endpoint, Breaker | None] | None:
+    def pick(
+        self, x: Exchange, now: float, within: Callable[[Endpoint], bool] | None
+    ) -> tuple[Endpoint, Breaker | None] | None:
         ranked, further = self.rank(x.key), bool(x.forwards)
         mean = (len(self.forwards) + self.pool.total) / len(ranked) if ranked else 0.0
         entry = self.table.entries.get(x.key)
@@ -581,19 +639,37 @@
             entry = None
 
         def open_to(e: Endpoint) -> bool:
-            return (e not in x.tried and (within is None or within(e))
-                    and not (further and e.credit < 1) and self.room(e, mean, now))
-
-        if entry and entry.due and not further and entry.first.line.state is State.READY \
-                and not entry.first.breaker and open_to(entry.first):
+            return (
+                e not in x.tried
+                and (within is None or within(e))
+                and not (further and e.credit < 1)
+                and self.room(e, mean, now)
+            )
+
+        if (
+            entry
+            and entry.due
+            and not further
+            and entry.first.line.state is State.READY
+            and not entry.first.breaker
+            and open_to(entry.first)
+        ):
             return entry.first, entry  # step 5: the key's next exchange alone is the trial
-        ranked = ([entry.current] + [e for e in ranked if e not in entry.tried]
-                  if entry and self.table.moved(entry) else self.spread(x.key, ranked))
+        ranked = (
+            [entry.current] + [e for e in ranked if e not in entry.tried]
+            if entry and self.table.moved(entry)
+            else self.spread(x.key, ranked)
+        )
         # Guards against an endpoint put back that waits for its keys: the next exchange that may goes there.
         for id, at in self.put_back.items():
             e = self.endpoints.get(id)
-            if e in ranked and e.sent_at < at and not further and open_to(e) and (
-                    x.type.effect is not Effect.BINDING or now - at > self.BACK_WAIT):
+            if (
+                e in ranked
+                and e.sent_at < at
+                and not further
+                and open_to(e)
+                and (x.type.effect is not Effect.BINDING or now - at > self.BACK_WAIT)
+            ):
                 return e, None
         left, best, best_time, promised = x.promised_at - now, None, math.inf, x.type.promised_time
         usual, drawn, looked = self.latency.low_mean(0.0, 2.0), x.drawn, 0
@@ -606,8 +682,11 @@
                 continue
             if e.breaker:
                 # Guards against an endpoint out for good where none but binding exchanges come.
-                if e.breaker.due and not further and (x.type.effect is not Effect.BINDING
-                                                      or now - e.breaker.since > self.LAST_TRIAL):
+                if (
+                    e.breaker.due
+                    and not further
+                    and (x.type.effect is not Effect.BINDING or now - e.breaker.since > self.LAST_TRIAL)
+                ):
                     return e, e.breaker
                 continue
             grade = self.grade(e.line)
@@ -667,8 +746,10 @@
         if forward.trial:
             forward.trial.failed(now)
         if not sound and x.keyed:  # without a key only the endpoint's own trip counts
+
             def next_untried(tried: list[Endpoint]) -> Endpoint | None:
                 return next((e for e in self.rank(x.key) if e not in tried and not e.breaker), None)
+
             self.table.failure(x.key, endpoint, x.type.effect is Effect.RETRIABLE, now, next_untried)
         if not endpoint.breaker and not forward.overdue:
             weight = Endpoint.FULL_PART if outcome is Outcome.FULL else not sound
@@ -685,8 +766,10 @@
         usual = sum(sum(e.failures) for e in seen) / max(1, sum(sum(e.outcomes) for e in seen))
         if endpoint.trips(usual):
             endpoint.breaker = Breaker(now)
-            self.host.log(f"{endpoint.id} out: {sum(endpoint.failures):.0f} of {sum(endpoint.outcomes)} "
-                          f"failed, last {why}, {len(endpoint.out)} outstanding")
+            self.host.log(
+                f"{endpoint.id} out: {sum(endpoint.failures):.0f} of {sum(endpoint.outcomes)} "
+                f"failed, last {why}, {len(endpoint.out)} outstanding"
+            )
 
     def restore(self, endpoint: Endpoint, now: float, latency: float) -> None:
         self.host.log(f"{endpoint.id} back: trial answered in {latency:.3f} s")
@@ -710,11 +793,20 @@
             if not forward.lost and e.answered_sent > forward.sent:
                 forward.lost = True
                 e.out.pop((x.id, forward.number), None)
-                if self.may_call_off and x.type.effect is Effect.RETRIABLE and x.forwards == 1 \
-                        and x.promised_at - now > self.slow and self.may_repeat(x, now):
+                if (
+                    self.may_call_off
+                    and x.type.effect is Effect.RETRIABLE
+                    and x.forwards == 1
+                    and x.promised_at - now > self.slow
+                    and self.may_repeat(x, now)
+                ):
                     self.host.call_off(x.id, forward.number)
-            if not forward.overdue and not e.breaker and e.answered_at < forward.sent \
-                    and (now - forward.sent) * self.able(e, now) >= overdue:
+            if (
+                not forward.overdue
+                and not e.breaker
+                and e.answered_at < forward.sent
+                and (now - forward.sent) * self.able(e, now) >= overdue
+            ):
                 forward.overdue = True
                 self.judge(e, True, now, "silent")
         if now - self.swept >= self.SWEEP:
@@ -741,8 +833,12 @@
         told = [facts.kinds for _, facts in self.pool.facts.values()]
         if any([grade.learn([t[kind] for t in told if kind in t]) for kind, grade in self.grades.items()]):
             self.ranks.clear()
-        self.host.tell_facts(Facts(tuple(self.rates), {
-            kind: (grade.calm, grade.found) for kind, grade in self.grades.items() if grade.calm}))
+        self.host.tell_facts(
+            Facts(
+                tuple(self.rates),
+                {kind: (grade.calm, grade.found) for kind, grade in self.grades.items() if grade.calm},
+            )
+        )
 
     def sweep(self, now: float) -> None:
         # Guards against a fleet that starts cold or is replaced: what warm ones did is forgotten slowly.
--- a/rainspindle/program/config.py
+++ b/rainspindle/program/config.py
@@ -102,14 +102,17 @@
     """`over_members`: messages between sidecars go over the members of a fleet, where no peers are named."""
     path = path or environment.get("RELAY_CONFIG")
     if not path:
-        raise ConfigFault("no configuration: give --config or RELAY_CONFIG",
-                          "name its file in either; README.md tells what it holds")
+        raise ConfigFault(
+            "no configuration: give --config or RELAY_CONFIG",
+            "name its file in either; README.md tells what it holds",
+        )
     raw = read(path)
     return check(path, raw, environment, over_members)
 
 
-def check(path: str, raw: dict[str, Any], environment: Mapping[str, str] = os.environ,
-          over_members: bool = False) -> Config:
+def check(
+    path: str, raw: dict[str, Any], environment: Mapping[str, str] = os.environ, over_members: bool = False
+) -> Config:
     """Raises ConfigFault, one line that names the file."""
     try:
         config = decode(raw, environment, over_members)
@@ -123,14 +126,19 @@
 
 def check_sockets(path: str, sockets: int) -> None:
     """Raises ConfigFault where the descriptors would not do for the reserve and a few connections."""
-    needs = (f"under {LEAST_SOCKETS}: {RESERVED_SOCKETS} are kept for discovery, the console, files and "
-             f"listening, {LEAST_PLACES} are the least for clients and endpoints")
+    needs = (
+        f"under {LEAST_SOCKETS}: {RESERVED_SOCKETS} are kept for discovery, the console, files and "
+        f"listening, {LEAST_PLACES} are the least for clients and endpoints"
+    )
     if sockets < LEAST_SOCKETS:
-        raise ConfigFault(f"{path}: limits.sockets is {sockets}, {needs}",
-                          f"set it to {LEAST_SOCKETS} or more")
+        raise ConfigFault(
+            f"{path}: limits.sockets is {sockets}, {needs}", f"set it to {LEAST_SOCKETS} or more"
+        )
     if usable_sockets(sockets) < LEAST_SOCKETS:
-        raise Unserved(f"the system lets this process open {usable_sockets(sockets)} descriptors, {needs}",
-                       "raise its limit of open files (RLIMIT_NOFILE, ulimit -n) to limits.sockets")
+        raise Unserved(
+            f"the system lets this process open {usable_sockets(sockets)} descriptors, {needs}",
+            "raise its limit of open files (RLIMIT_NOFILE, ulimit -n) to limits.sockets",
+        )
 
 
 def usable_sockets(sockets: int) -> int:
@@ -156,11 +164,21 @@
     limits = raw.get("limits", {})
     console = raw.get("console") or environment.get("RELAY_CONSOLE")
     config = Config(
-        told("name"), parse_address(told("listen")), parse_address(told("discovery")),
-        seed if isinstance(seed, int) else int(seed, 16), float(limits.get("cores") or 1.0),
-        int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192.0)),
-        known, decoder, settings, whole, console=parse_address(str(console)) if console else None,
-        peers=peers, deaf=deaf)
+        told("name"),
+        parse_address(told("listen")),
+        parse_address(told("discovery")),
+        seed if isinstance(seed, int) else int(seed, 16),
+        float(limits.get("cores") or 1.0),
+        int(limits.get("sockets", 1024)),
+        float(limits.get("memory_mb", 192.0)),
+        known,
+        decoder,
+        settings,
+        whole,
+        console=parse_address(str(console)) if console else None,
+        peers=peers,
+        deaf=deaf,
+    )
     config.facade(0.0)  # the settings that only the module needs
     return config
 
--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -81,8 +81,20 @@
 
     def terms(self) -> Terms:
         steps = tuple(Step(s.part, s.time, s.exchanges) for s in self.stages)
-        return Terms(self.name, self.matter, steps, self.budget, self.long, self.short, self.pause_at,
-                     self.abort_at, self.fresh, self.hold, self.alone_after, self.each_effect)
+        return Terms(
+            self.name,
+            self.matter,
+            steps,
+            self.budget,
+            self.long,
+            self.short,
+            self.pause_at,
+            self.abort_at,
+            self.fresh,
+            self.hold,
+            self.alone_after,
+            self.each_effect,
+        )
 
 
 def unfit(tables: Sequence[CanaryPart], config: Config) -> Iterator[str]:
@@ -97,16 +109,20 @@
             yield f"{at}.name: {table.name!r} names {names[table.name]} canaries"
         named = [key for key in ("endpoints", "kind", "setting") if getattr(table, key) is not None]
         if len(named) != 1:
-            yield (f"{at}: names {' and '.join(named) or 'nothing'} as new; give one of 'endpoints', 'kind', "
-                   "'setting'")
+            yield (
+                f"{at}: names {' and '.join(named) or 'nothing'} as new; give one of 'endpoints', 'kind', "
+                "'setting'"
+            )
         for id in table.endpoints or ():
             if taken.setdefault(id, n) != n:
                 yield f"{at}.endpoints: {id!r} is also in canary[{taken[id]}]"
         if table.endpoints is not None and not table.endpoints:
             yield f"{at}.endpoints: is empty"
         if table.kind is not None and table.kind not in config.settings.kinds:
-            yield (f"{at}.kind: {table.kind!r} is none of the settings' kinds: "
-                   f"{', '.join(config.settings.kinds) or 'there are none'}")
+            yield (
+                f"{at}.kind: {table.kind!r} is none of the settings' kinds: "
+                f"{', '.join(config.settings.kinds) or 'there are none'}"
+            )
         elif table.kind is not None and taken.setdefault(f"kind {table.kind}", n) != n:
             yield f"{at}.kind: {table.kind!r} is also canary[{taken[f'kind {table.kind}']}]'s"
         if table.setting is not None:
@@ -126,8 +142,10 @@
         yield f"{at}.promised_time: {setting.promised_time} ms is not from 0 to the expiry, {expiry}"
     highest = max(traffic_type(t).value for t in types.values())
     if setting.value is not None and not 0 <= setting.value <= highest:
-        yield (f"{at}.value: {setting.value} is not from 0 to {highest}, the highest of the settings: "
-               "the budget of forwards goes by that")
+        yield (
+            f"{at}.value: {setting.value} is not from 0 to {highest}, the highest of the settings: "
+            "the budget of forwards goes by that"
+        )
 
 
 def unfit_figures(at: str, table: CanaryPart) -> Iterator[str]:
@@ -136,8 +154,10 @@
     before = 0.0
     for n, stage in enumerate(table.stages):
         if not before < stage.part <= MOST_PART:
-            yield (f"{at}.stages[{n}].part: {stage.part} is not over {before} and up to {MOST_PART}: the old "
-                   "side is what the new one is judged by, and after the last stage all keys are in")
+            yield (
+                f"{at}.stages[{n}].part: {stage.part} is not over {before} and up to {MOST_PART}: the old "
+                "side is what the new one is judged by, and after the last stage all keys are in"
+            )
         before = max(before, stage.part)
         if not 0 <= stage.time < 1e7 or stage.exchanges < 1:
             yield f"{at}.stages[{n}]: wants a time of 0 s or more and an exchange or more"
@@ -157,9 +177,14 @@
         yield f"{at}.each_effect: {table.each_effect} is below 0"
 
 
-def split_core(loop: Loop, config: Config, tables: Sequence[CanaryPart],
-               make_back: Callable[[Directory], Back], on_watch: Callable[[], None],
-               on_tick: Callable[[], None]) -> SplitCore:
+def split_core(
+    loop: Loop,
+    config: Config,
+    tables: Sequence[CanaryPart],
+    make_back: Callable[[Directory], Back],
+    on_watch: Callable[[], None],
+    on_tick: Callable[[], None],
+) -> SplitCore:
     """What a sidecar has in place of its `Core` where the file names canaries."""
     settings = config.raw_settings
     limits = settings["policy-limits"]
@@ -169,15 +194,31 @@
     def facade(seed: int, of: dict[str, Any]) -> SideFacade:
         now = loop.now()
         return SideFacade(now, lambda host: make_balancer(host, seed, now, of))
+
     sides = []
     for n, table in enumerate(tables):
         if table.setting is None:
             directory = Directory()
-            sides.append(Side(table.name, taker_of_lines(table, config), facade(config.seed + 1 + n, fewer),
-                              directory, make_back(directory)))
+            sides.append(
+                Side(
+                    table.name,
+                    taker_of_lines(table, config),
+                    facade(config.seed + 1 + n, fewer),
+                    directory,
+                    make_back(directory),
+                )
+            )
     directory = Directory()
-    return SplitCore(loop, facade(config.seed, settings), config.settings, directory, make_back(directory),
-                     on_watch, on_tick, sides)
+    return SplitCore(
+        loop,
+        facade(config.seed, settings),
+        config.settings,
+        directory,
+        make_back(directory),
+        on_watch,
+        on_tick,
+        sides,
+    )
 
 
 def taker_of_lines(table: CanaryPart, config: Config) -> Callable[[Listed], bool]:
@@ -201,16 +242,22 @@
 
     def __init__(self, ground: Ground, name: str, chance: Callable[[list[str]], list[str]]) -> None:
         self.ground, self.name, self.shuffled = ground, name, chance
-        self.file = None if ground.folder is None else StoredFile(
-            str(ground.folder / f"canary-{name}.state"), KIND, VERSION, MOST_KEPT)
+        self.file = (
+            None
+            if ground.folder is None
+            else StoredFile(str(ground.folder / f"canary-{name}.state"), KIND, VERSION, MOST_KEPT)
+        )
         self.unwritten = False
 
     def tell_counts(self, now: float, value: bytes) -> None:
         self.ground.cells.write(now, f"canary/{self.name}", value)
 
     def tell_state(self, now: float, value: bytes) -> None:
-        alive = [m.name for m in self.members()
-                 if m.standing is Standing.ALIVE and m.name != self.ground.members.own_name]
+        alive = [
+            m.name
+            for m in self.members()
+            if m.standing is Standing.ALIVE and m.name != self.ground.members.own_name
+        ]
         self.ground.cells.write(now, f"canary/{self.name}/state", value, self.shuffled(alive)[:TOWARD])
 
     def kept(self) -> bytes | None:
@@ -247,17 +294,22 @@
 class CanaryRun:
     """The canaries of one sidecar."""
 
-    def __init__(self, ground: Ground, tables: Sequence[CanaryPart],
-                 shuffled: Callable[[list[str]], list[str]] = lambda names: names,
-                 wall: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self,
+        ground: Ground,
+        tables: Sequence[CanaryPart],
+        shuffled: Callable[[list[str]], list[str]] = lambda names: names,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         """`shuffled` gives the names in an order of chance."""
         self.ground, self.tables, self.wall = ground, {table.name: table for table in tables}, wall
         now = ground.loop.now()
         self.canaries: dict[str, Canary] = {}
         for table in tables:
             host = CanaryHostOf(ground, table.name, shuffled)
-            self.canaries[table.name] = Canary(now, table.terms(), ground.members.own_name,
-                                               ground.members.own_life, host, host.kept())
+            self.canaries[table.name] = Canary(
+                now, table.terms(), ground.members.own_name, ground.members.own_life, host, host.kept()
+            )
         self.core: SplitCore | None = None
         self.router: CanaryRouter | None = None
         ground.cells.on_change("canary/", self.heard)
@@ -293,8 +345,9 @@
             canary.heard_state(now, cell.owner, cell.value)
         elif not what and cell.owner != self.ground.members.own_name:
             seen = self.ground.cells.read(cell.owner, cell.name)
-            canary.heard_counts(now, cell.owner, cell.life, cell.sequence, cell.value,
-                                now if seen is None else seen.heard)
+            canary.heard_counts(
+                now, cell.owner, cell.life, cell.sequence, cell.value, now if seen is None else seen.heard
+            )
 
     def tick(self, now: float) -> float:
         if self.core is not None:
@@ -315,8 +368,11 @@
         if len(path) != 3 or path[2] not in ACTS:
             return no(404, "no such call", "POST /-/canaries/NAME/ and one of " + ", ".join(ACTS))
         if canary is None:
-            return no(404, f"no canary {path[1]!r:.80} in the file of this sidecar",
-                      "it has " + (", ".join(self.canaries) or "none"))
+            return no(
+                404,
+                f"no canary {path[1]!r:.80} in the file of this sidecar",
+                "it has " + (", ".join(self.canaries) or "none"),
+            )
         if method != "POST":
             return no(405, f"/-/canaries/{path[1]}/{path[2]} wants POST, not {method}", "call with POST")
         if path[2] == "start":
@@ -331,7 +387,8 @@
         later = [f"canary {name}" for name in sorted(self.tables.keys() ^ new.keys())]
         for name in self.tables.keys() & new.keys():
             if new[name].matter != self.tables[name].matter or not self.canaries[name].change(
-                    now, new[name].terms()):
+                now, new[name].terms()
+            ):
                 later.append(f"canary {name}")
             else:
                 self.tables[name] = new[name]
--- a/rainspindle/program/fleet/config.py
+++ b/rainspindle/program/fleet/config.py
@@ -29,8 +29,12 @@
     keep: KeepPart | None = None
 
 
-SINGLE: dict[str, Any] = {"members": MembersPart, "evidence": EvidencePart, "list": ListPart,
-                          "keep": KeepPart}
+SINGLE: dict[str, Any] = {
+    "members": MembersPart,
+    "evidence": EvidencePart,
+    "list": ListPart,
+    "keep": KeepPart,
+}
 MANY: dict[str, Any] = {"wallet": WalletPart, "canary": CanaryPart}
 
 
--- a/rainspindle/program/fleet/evidence.py
+++ b/rainspindle/program/fleet/evidence.py
@@ -39,8 +39,9 @@
 def unfit(table: EvidencePart, config: Config) -> Iterator[str]:
     """Each fault between values that are well formed, with its path."""
     if not 2 <= table.tellers <= 50:
-        yield (f"evidence.tellers: {table.tellers} is not from 2 to 50: word of one alone must warn of "
-               "nothing")
+        yield (
+            f"evidence.tellers: {table.tellers} is not from 2 to 50: word of one alone must warn of nothing"
+        )
     if not 5.0 <= table.lasts <= 120.0:
         yield f"evidence.lasts: {table.lasts:g} s is not from 5 to 120: a trial comes each 5 s"
 
@@ -53,8 +54,14 @@
         self.ground, self.table, self.clock = ground, table, wall
         self.members, self.place, self.counted_at = 1, 0, -COUNT_GAP
         self.unread = 0
-        self.evidence = Evidence(ground.loop.now(), ground.config.raw_settings["zone"], self,
-                                 random.Random(secrets.randbits(64)), table.tellers, table.lasts)
+        self.evidence = Evidence(
+            ground.loop.now(),
+            ground.config.raw_settings["zone"],
+            self,
+            random.Random(secrets.randbits(64)),
+            table.tellers,
+            table.lasts,
+        )
 
     def attach(self, core: Core, follower: Follower) -> None:
         watch(core, self, self.evidence, self.ground.config.decoder.clock_offset)
@@ -86,8 +93,11 @@
         if now - self.counted_at >= COUNT_GAP:
             self.counted_at = now
             own = self.ground.members.own_name
-            names = [m.name for m in self.ground.members.members()
-                     if m.standing in (Standing.ALIVE, Standing.SUSPECT) or m.name == own]
+            names = [
+                m.name
+                for m in self.ground.members.members()
+                if m.standing in (Standing.ALIVE, Standing.SUSPECT) or m.name == own
+            ]
             first = chance_of(own)
             self.members, self.place = len(names), sum(chance_of(name) < first for name in names)
         out = self.look(now)
@@ -116,10 +126,16 @@
                 continue
             watched, e = where
             start, words = watched.start(e), evidence.by_mark.get(mark, {})
-            found.append({"id": e.id, "out": own is not None, "warned": mark in evidence.warned,
-                          "trial_in_s": round(max(0.0, own.due - now), 1) if own else None,
-                          "told_by": sum(evidence.counts_for(now, o, h, start) for o, h in words.items()),
-                          "held_elsewhere": held.get(mark, 0)})
+            found.append(
+                {
+                    "id": e.id,
+                    "out": own is not None,
+                    "warned": mark in evidence.warned,
+                    "trial_in_s": round(max(0.0, own.due - now), 1) if own else None,
+                    "told_by": sum(evidence.counts_for(now, o, h, start) for o, h in words.items()),
+                    "held_elsewhere": held.get(mark, 0),
+                }
+            )
         return found
 
     def reload(self, now: float, tables: EvidencePart) -> list[str]:
@@ -135,8 +151,10 @@
 
     def figures(self) -> Mapping[str, object]:
         counts = self.evidence.counts
-        return {f"evidence_{name}": counts[name] for name in
-                ("told", "words", "discounted", "warnings", "spared", "hastened")}
+        return {
+            f"evidence_{name}": counts[name]
+            for name in ("told", "words", "discounted", "warnings", "spared", "hastened")
+        }
 
     # The evidence's side.
 
@@ -146,8 +164,12 @@
     def warn(self, now: float, mark: int, on: bool) -> None:
         super().warn(now, mark, on)
         where = self.find(mark)
-        log.info("others say it is dead" if on else "others say so no more", extra={"fields": {
-            "endpoint": where[1].id if where else mark, "warned": len(self.evidence.warned)}})
+        log.info(
+            "others say it is dead" if on else "others say so no more",
+            extra={
+                "fields": {"endpoint": where[1].id if where else mark, "warned": len(self.evidence.warned)}
+            },
+        )
 
     def size(self) -> int:
         return self.members
--- a/rainspindle/program/fleet/keep.py
+++ b/rainspindle/program/fleet/keep.py
@@ -81,7 +81,8 @@
         """Which start of the machine, "" where it is not told, and seconds since."""
         try:
             return Path("/proc/sys/kernel/random/boot_id").read_text().strip(), time.clock_gettime(
-                time.CLOCK_BOOTTIME)
+                time.CLOCK_BOOTTIME
+            )
         except OSError:
             return "", 0.0
 
@@ -101,8 +102,14 @@
 class Lasting:
     """The member's record: read once, before anything else stands."""
 
-    def __init__(self, folder: Path | None, member: str, fleet: str, clocks: Clocks | None = None,
-                 tag: str | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path | None,
+        member: str,
+        fleet: str,
+        clocks: Clocks | None = None,
+        tag: str | None = None,
+    ) -> None:
         self.member, self.fleet, self.clocks = member, fleet, clocks or Clocks()
         self.record: forms.Record | None = None
         self.generation, self.age, self.why = 0, math.inf, "no folder"
@@ -113,6 +120,7 @@
 
         def generations() -> Generations:
             return Generations(DiskFiles(folder), NAME, KIND, VERSION, LEAST, MOST, tag)
+
         self.writer = Writer(generations(), time.monotonic)
         # Guards against a disk that stalls at the start: it begins with nothing then, whatever comes later.
         found: list[Kept | Trouble] = []
@@ -123,11 +131,20 @@
             self.writer.generations.last = found[0].generation
         self.judge(found[0] if found else Unfit("the folder is not read in time"))
         if self.record is not None:
-            log.info("goes on from what was kept", extra={"fields": {
-                "generation": self.generation, "age": f"{self.age:.1f}", "refused": self.why or "none"}})
+            log.info(
+                "goes on from what was kept",
+                extra={
+                    "fields": {
+                        "generation": self.generation,
+                        "age": f"{self.age:.1f}",
+                        "refused": self.why or "none",
+                    }
+                },
+            )
         elif self.why:
-            log.warning("begins with nothing kept", extra={"fields": {
-                "why": self.why, "remedy": Unfit.remedy}})
+            log.warning(
+                "begins with nothing kept", extra={"fields": {"why": self.why, "remedy": Unfit.remedy}}
+            )
 
     def judge(self, kept: Kept | Trouble) -> None:
         try:
@@ -156,8 +173,11 @@
         """As if another member had told them: what others know of later wins, and the parts hear of them."""
         for cell in self.record.cells if self.record is not None else ():
             if cell.life < cells.life:
-                cells.heard(now, Cell(cells.own, cell.name, cell.life, cell.sequence, cell.value),
-                            min(self.age, OLDEST_CELL))
+                cells.heard(
+                    now,
+                    Cell(cells.own, cell.name, cell.life, cell.sequence, cell.value),
+                    min(self.age, OLDEST_CELL),
+                )
 
 
 def read(generations: Generations, found: list[Kept | Trouble]) -> None:
@@ -172,8 +192,9 @@
     core: Core
     follower: Follower
 
-    def __init__(self, ground: Ground, table: KeepPart, lasting: Lasting | None = None, seeds: bool = True
-                 ) -> None:
+    def __init__(
+        self, ground: Ground, table: KeepPart, lasting: Lasting | None = None, seeds: bool = True
+    ) -> None:
         """`seeds`: whether there is anybody to ask at a start."""
         self.ground, self.table, self.seeds = ground, table, seeds
         self.lasting = lasting or Lasting(ground.folder, ground.members.own_name, "")
@@ -205,10 +226,12 @@
             self.kept = {side: given for side, given in record.sides.items() if isinstance(given, dict)}
         listed = core.list_changed
 
-        def list_changed(lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
-                         ) -> None:
+        def list_changed(
+            lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
+        ) -> None:
             listed(lines, addresses, whole, stale)
             self.take(self.ground.loop.now())
+
         core.list_changed = list_changed  # type: ignore[method-assign]
         self.ground.cells.on_change(forms.CELL, self.word_came)
         self.take(self.begun)
@@ -217,8 +240,11 @@
         return self.core.cores if isinstance(self.core, SplitCore) else {"": self.core}
 
     def sides(self) -> dict[str, Balancer]:
-        return {side: balancer for side, core in self.cores().items()
-                if (balancer := side_balancer(core)) is not None}
+        return {
+            side: balancer
+            for side, core in self.cores().items()
+            if (balancer := side_balancer(core)) is not None
+        }
 
     def take(self, now: float) -> None:
         """What is there, for endpoints that are listed and of which nothing is known yet."""
@@ -236,8 +262,10 @@
         if record is None or not balancer.endpoints:
             return
         try:
-            here = {id: {**of, "age": self.age_of(now, record.started.get(id, 0), of)}
-                    for id, of in kept["endpoints"].items()}
+            here = {
+                id: {**of, "age": self.age_of(now, record.started.get(id, 0), of)}
+                for id, of in kept["endpoints"].items()
+            }
             age = self.lasting.age + now - self.begun
             window = 1 + Endpoint.START_WAITS * balancer.QUEUE / balancer.peers
             given = learnt.aged({**kept, "endpoints": here}, age, balancer.budget.cold, window)
@@ -245,23 +273,33 @@
                 self.own_taken.add(side)
                 given["put_back"] |= {id: now - at for id, at in balancer.put_back.items()}
                 learnt.take(balancer, now, {**given, "endpoints": {}, "keys": {}})
-            ids = [id for id in given["endpoints"]
-                   if (e := balancer.endpoints.get(id)) and e not in balancer.touched]
+            ids = [
+                id
+                for id in given["endpoints"]
+                if (e := balancer.endpoints.get(id)) and e not in balancer.touched
+            ]
             if ids:
                 self.taken["folder"] += learnt.take(balancer, now, given, ids)
                 kept["endpoints"] = {id: of for id, of in kept["endpoints"].items() if id not in ids}
         except (KeyError, TypeError, AttributeError, ValueError, IndexError) as fault:
             self.kept.pop(side, None)
-            log.warning("begins with nothing kept", extra={"fields": {
-                "side": side, "why": f"{type(fault).__name__} {fault}", "remedy": Unfit.remedy}})
+            log.warning(
+                "begins with nothing kept",
+                extra={
+                    "fields": {"side": side, "why": f"{type(fault).__name__} {fault}", "remedy": Unfit.remedy}
+                },
+            )
 
     def age_of(self, now: float, started_ms: int, of: dict[str, Any]) -> float | None:
         """How old the endpoint was at the writing, such that its start is the one that the list told then,
         whatever clocks did since."""
         if not started_ms:
             return None
-        return now - (started_ms / 1000 + self.follower.decoder.clock_offset) - (
-            self.lasting.age + now - self.begun)
+        return (
+            now
+            - (started_ms / 1000 + self.follower.decoder.clock_offset)
+            - (self.lasting.age + now - self.begun)
+        )
 
     def started_ms(self, e: Endpoint) -> int:
         started = e.line.started
@@ -278,23 +316,35 @@
             return self.opened_at
         if self.asked_at is None:
             self.asked_at = now
-        others = [m for m in self.ground.members.members()
-                  if m.name != self.ground.members.own_name and m.standing is Standing.ALIVE]
+        others = [
+            m
+            for m in self.ground.members.members()
+            if m.name != self.ground.members.own_name and m.standing is Standing.ALIVE
+        ]
         if others:
             self.met_at = min(self.met_at, now)
         words = self.heard(now)
         quiet = self.met_at + self.table.wait / 4 if others else self.asked_at + self.table.wait / 2
-        over = (not self.asks or now >= min(quiet, self.asked_at + self.table.wait)
-                or len(words) >= min(ENOUGH, len(others)) > 0)
+        over = (
+            not self.asks
+            or now >= min(quiet, self.asked_at + self.table.wait)
+            or len(words) >= min(ENOUGH, len(others)) > 0
+        )
         if not over:
             return now + LOOK
         self.opened_at = now
         self.judged, self.words = words, len(words)
         self.take(now)
-        fields = {"folder": len(self.taken["folder"]), "members": len(self.taken["members"]),
-                  "words": self.words, "waited": f"{now - self.asked_at:.2f}"}
-        log.info("begins with what was learnt" if self.taken["folder"] or self.taken["members"]
-                 else "begins anew", extra={"fields": fields})
+        fields = {
+            "folder": len(self.taken["folder"]),
+            "members": len(self.taken["members"]),
+            "words": self.words,
+            "waited": f"{now - self.asked_at:.2f}",
+        }
+        log.info(
+            "begins with what was learnt" if self.taken["folder"] or self.taken["members"] else "begins anew",
+            extra={"fields": fields},
+        )
         return now
 
     @property
@@ -380,20 +430,35 @@
             started |= {id: self.started_ms(balancer.endpoints[id]) for id in given["endpoints"]}
         view = self.ground.members
         lasting = self.lasting
-        return forms.Record(lasting.member, lasting.fleet, view.own_life, lasting.clocks.wall(), boot, at,
-                            self.own_cells(), sides, started)
+        return forms.Record(
+            lasting.member,
+            lasting.fleet,
+            view.own_life,
+            lasting.clocks.wall(),
+            boot,
+            at,
+            self.own_cells(),
+            sides,
+            started,
+        )
 
     def own_cells(self) -> list[forms.OwnCell]:
         cells = self.ground.cells
-        return [forms.OwnCell(name, seen.cell.life, seen.cell.sequence, seen.cell.value)
-                for name, seen in cells.by_owner.get(cells.own, {}).items()
-                if not name.startswith(WRITTEN_ANEW)
-                and (not name.startswith("canary/") or name.endswith("/state"))][-MOST_CELLS:]
+        return [
+            forms.OwnCell(name, seen.cell.life, seen.cell.sequence, seen.cell.value)
+            for name, seen in cells.by_owner.get(cells.own, {}).items()
+            if not name.startswith(WRITTEN_ANEW)
+            and (not name.startswith("canary/") or name.endswith("/state"))
+        ][-MOST_CELLS:]
 
     def out(self) -> list[tuple[str, float]]:
         """The endpoints that are out, and since when."""
-        return [(e.id, e.breaker.since) for balancer in self.sides().values() for e in balancer.touched
-                if e.breaker]
+        return [
+            (e.id, e.breaker.since)
+            for balancer in self.sides().values()
+            for e in balancer.touched
+            if e.breaker
+        ]
 
     def write(self, now: float, anyway: bool = False) -> None:
         """Where anything is new. A successor beside this process writes in its place."""
@@ -418,14 +483,19 @@
         if fault and not self.trouble:
             log.error("what was learnt cannot be kept", extra={"fields": Unkept(fault).fields()})
         elif self.trouble and not fault:
-            log.info("what was learnt is kept again", extra={"fields": {
-                "generation": writer.outcome.generation}})
+            log.info(
+                "what was learnt is kept again", extra={"fields": {"generation": writer.outcome.generation}}
+            )
         self.trouble = fault
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
         """One that starts is told at once, and not when states are next compared; once a second at most."""
-        if after.standing is Standing.ALIVE and after.name != self.ground.members.own_name \
-                and now >= self.begun + KNOWS_AFTER and (before is None or before.life != after.life):
+        if (
+            after.standing is Standing.ALIVE
+            and after.name != self.ground.members.own_name
+            and now >= self.begun + KNOWS_AFTER
+            and (before is None or before.life != after.life)
+        ):
             self.newcomers.append(after.name)
             self.tell_at = min(self.tell_at, self.told_at + 1.0)
             self.tell_due(now)
@@ -438,16 +508,25 @@
         self.look()
         lasting, writer = self.lasting, self.lasting.writer
         done = writer.outcome if writer is not None else None
-        return Answer(200, {
-            "generation": max(done.generation if done else 0, lasting.generation),
-            "written": None if done is None or done.at is None else round(time.monotonic() - done.at, 1),
-            "writes": done.writes if done else 0,
-            "trouble": self.trouble or None,
-            "start": {"generation": lasting.generation, "age": finite(lasting.age),
-                      "refused": lasting.why or None,
-                      "waited": round((self.opened_at or now) - (self.asked_at or now), 2),
-                      "words": self.words, "folder": self.taken["folder"], "members": self.taken["members"]},
-            "tells": bool(self.last_word)})
+        return Answer(
+            200,
+            {
+                "generation": max(done.generation if done else 0, lasting.generation),
+                "written": None if done is None or done.at is None else round(time.monotonic() - done.at, 1),
+                "writes": done.writes if done else 0,
+                "trouble": self.trouble or None,
+                "start": {
+                    "generation": lasting.generation,
+                    "age": finite(lasting.age),
+                    "refused": lasting.why or None,
+                    "waited": round((self.opened_at or now) - (self.asked_at or now), 2),
+                    "words": self.words,
+                    "folder": self.taken["folder"],
+                    "members": self.taken["members"],
+                },
+                "tells": bool(self.last_word),
+            },
+        )
 
     def reload(self, now: float, tables: KeepPart) -> list[str]:
         self.table = tables
@@ -470,11 +549,12 @@
 
     def figures(self) -> Mapping[str, object]:
         writer = self.lasting.writer
-        return {"kept": writer.outcome.writes if writer else 0, "kept_taken": len(self.taken["folder"]),
-                "told_at_start": len(self.taken["members"])}
+        return {
+            "kept": writer.outcome.writes if writer else 0,
+            "kept_taken": len(self.taken["folder"]),
+            "told_at_start": len(self.taken["members"]),
+        }
 
 
 def finite(seconds: float) -> float | None:
     return round(seconds, 1) if math.isfinite(seconds) else None
-
-
--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -63,12 +63,26 @@
         self.unread = 0
         self.tell_others: Callable[[ListChange], None] = lambda change: None
         terms = Terms(table.askers, within, seeded)
-        self.relay = Relay(ground.loop.now(), ground.members.own_name, self.run, terms, self.mark(), self,
-                           random.Random(secrets.randbits(64)))
+        self.relay = Relay(
+            ground.loop.now(),
+            ground.members.own_name,
+            self.run,
+            terms,
+            self.mark(),
+            self,
+            random.Random(secrets.randbits(64)),
+        )
         if not self.relay.on:
-            log.info("list: nothing is relayed", extra={"fields": {
-                "why": "lists are pushed" if not self.config.asks_list else
-                f"the asking period of {within:g} s is under {LEAST_ASK_WITHIN:g} s"}})
+            log.info(
+                "list: nothing is relayed",
+                extra={
+                    "fields": {
+                        "why": "lists are pushed"
+                        if not self.config.asks_list
+                        else f"the asking period of {within:g} s is under {LEAST_ASK_WITHIN:g} s"
+                    }
+                },
+            )
 
     def mark(self) -> bytes:
         """Of the service and of the terms in which its lines are read: word in others counts for nothing."""
@@ -92,6 +106,7 @@
         def heard(change: ListChange) -> None:
             before(change)
             self.sound(partial(self.told, change), None)
+
         follower.heard, follower.spared = heard, lambda: self.sound(self.spared, -math.inf)
         follower.failed = lambda: self.sound(self.failed, None)
         self.ground.cells.on_change("list/", self.heard)
@@ -125,14 +140,25 @@
 
         def ago(at: float) -> float | None:
             return round(max(now - at, 0.0), 3) if at > float("-inf") else None
+
         return {
-            "mode": relay.mode or "alone", "version": relay.version, "lines": len(relay.lines),
-            "vouched": relay.vouched, "confirmed": ago(relay.confirmed),
+            "mode": relay.mode or "alone",
+            "version": relay.version,
+            "lines": len(relay.lines),
+            "vouched": relay.vouched,
+            "confirmed": ago(relay.confirmed),
             "own": {"calls": relay.calls, "failed": relay.failures, "last": ago(relay.own_at)},
-            "askers": {name: {"version": word.head.version, "heard": ago(word.at),
-                              "failing": word.head.failing, "believed": not relay.doubted(now, name),
-                              "same_service": word.head.at == relay.at}
-                       for name, word in sorted(relay.words.items())[:64]}}
+            "askers": {
+                name: {
+                    "version": word.head.version,
+                    "heard": ago(word.at),
+                    "failing": word.head.failing,
+                    "believed": not relay.doubted(now, name),
+                    "same_service": word.head.at == relay.at,
+                }
+                for name, word in sorted(relay.words.items())[:64]
+            },
+        }
 
     def reload(self, now: float, tables: ListPart) -> list[str]:
         self.table = tables
@@ -149,8 +175,12 @@
 
     def figures(self) -> Mapping[str, object]:
         relay = self.relay
-        return {"list_mode": relay.mode or "alone", "list_own_calls": relay.calls,
-                "list_failed_calls": relay.failures, "list_by_word": relay.takes}
+        return {
+            "list_mode": relay.mode or "alone",
+            "list_own_calls": relay.calls,
+            "list_failed_calls": relay.failures,
+            "list_by_word": relay.takes,
+        }
 
     # The follower.
 
--- a/rainspindle/program/fleet/members.py
+++ b/rainspindle/program/fleet/members.py
@@ -60,9 +60,11 @@
         yield f"members.name: is {name!r:.40}; expected a name of 1 to {MOST_NAME} characters"
     if len(table.seeds) > MOST_SEEDS:
         yield f"members.seeds: {len(table.seeds)} addresses; expected {MOST_SEEDS} at most"
-    places = [("members.listen", table.listen), *(
-        [("members.advertise", table.advertise)] if table.advertise else []), *(
-        (f"members.seeds[{n}]", seed) for n, seed in enumerate(table.seeds))]
+    places = [
+        ("members.listen", table.listen),
+        *([("members.advertise", table.advertise)] if table.advertise else []),
+        *((f"members.seeds[{n}]", seed) for n, seed in enumerate(table.seeds)),
+    ]
     families = set()
     for at, text in places:
         try:
@@ -91,10 +93,18 @@
     members: Members
     ticker: Task
 
-    def __init__(self, loop: Loop, table: MembersPart, config: Config,
-                 changed: Callable[[float, Member | None, Member], None] = lambda now, before, after: None,
-                 successor: Callable[[], bool] = lambda: False, shared: bool = False,
-                 tuning: Tuning | None = None, seed: int | None = None, above: int = 0) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        table: MembersPart,
+        config: Config,
+        changed: Callable[[float, Member | None, Member], None] = lambda now, before, after: None,
+        successor: Callable[[], bool] = lambda: False,
+        shared: bool = False,
+        tuning: Tuning | None = None,
+        seed: int | None = None,
+        above: int = 0,
+    ) -> None:
         """`changed` is told of each change of a member; `successor` whether a later process of this sidecar
         runs beside this one, which needs `shared`: both listen at one address then. The life is `above` that
         one, kept elsewhere. Raises Unbound."""
@@ -102,8 +112,11 @@
         self.loop, self.table, self.on_changed = loop, table, changed
         self.own = table.name or config.name
         self.folder = Path(table.folder) if table.folder else None
-        self.file = StoredFile(str(self.folder / "members.life"), LIFE_KIND, LIFE_VERSION, MOST_LIFE) \
-            if self.folder else None
+        self.file = (
+            StoredFile(str(self.folder / "members.life"), LIFE_KIND, LIFE_VERSION, MOST_LIFE)
+            if self.folder
+            else None
+        )
         self.listen, self.shared = parse_address(table.listen), shared
         now = loop.now()
         self.wire = self.bound()
@@ -111,13 +124,34 @@
         chance = random.Random(seed if seed is not None else secrets.randbits(64))
         life = self.new_life(above)
         self.cells = Cells(self.own, life)
-        self.members = Members(self.own, life, advertise, table.fleet, self.seeds(table), self, chance, now,
-                               self.cells, tuning, successor)
+        self.members = Members(
+            self.own,
+            life,
+            advertise,
+            table.fleet,
+            self.seeds(table),
+            self,
+            chance,
+            now,
+            self.cells,
+            tuning,
+            successor,
+        )
         self.ticker = loop.spawn(loop.lasting(self.ticking), urgent=True)
         self.members.wake = self.ticker.wake
-        log.info("members", extra={"fields": {
-            "name": self.own, "fleet": table.fleet, "listen": address_text(self.wire.address),
-            "advertise": address_text(advertise), "life": life, "seeds": len(self.members.seeds)}})
+        log.info(
+            "members",
+            extra={
+                "fields": {
+                    "name": self.own,
+                    "fleet": table.fleet,
+                    "listen": address_text(self.wire.address),
+                    "advertise": address_text(advertise),
+                    "life": life,
+                    "seeds": len(self.members.seeds),
+                }
+            },
+        )
 
     def bound(self) -> Wire:
         try:
@@ -149,8 +183,9 @@
             try:
                 self.file.write(b"%d" % life, "new")
             except OSError as fault:
-                self.log("members: the life cannot be kept", why=fault.strerror or str(fault),
-                         goes_by="the clock")
+                self.log(
+                    "members: the life cannot be kept", why=fault.strerror or str(fault), goes_by="the clock"
+                )
 
     # Host to the members.
 
@@ -209,8 +244,11 @@
 
     def reload(self, table: MembersPart) -> list[str]:
         """Takes over new seeds; the keys that need a restart."""
-        later = [f"members.{key}" for key in ("name", "fleet", "listen", "advertise", "folder")
-                 if getattr(table, key) != getattr(self.table, key)]
+        later = [
+            f"members.{key}"
+            for key in ("name", "fleet", "listen", "advertise", "folder")
+            if getattr(table, key) != getattr(self.table, key)
+        ]
         self.table = table
         self.members.reseed(self.seeds(table))
         return later
@@ -231,9 +269,16 @@
         now, members = self.loop.now(), self.members
         return {
             "self": self.own,
-            "members": [{"name": m.name, "state": m.standing.value, "life": m.life,
-                         "heard": round(max(now - m.heard, 0.0), 3) if m.name != self.own else 0.0,
-                         "address": address_text(m.address)} for m in members.members()],
+            "members": [
+                {
+                    "name": m.name,
+                    "state": m.standing.value,
+                    "life": m.life,
+                    "heard": round(max(now - m.heard, 0.0), 3) if m.name != self.own else 0.0,
+                    "address": address_text(m.address),
+                }
+                for m in members.members()
+            ],
             "fleet": self.table.fleet,
             "drops": members.counts.drops(),
             "faults": self.faults(),
@@ -243,12 +288,16 @@
         members = self.members
         faults = []
         if members.twin:
-            faults.append(f"another process at {members.twin} has this name too; give each its own name"
-                          + (", this one keeps quiet until then" if members.outnamed else ""))
+            faults.append(
+                f"another process at {members.twin} has this name too; give each its own name"
+                + (", this one keeps quiet until then" if members.outnamed else "")
+            )
         if members.handed_over:
             faults.append("the process of this sidecar beside this one has the name")
         return faults
 
     def figures(self) -> Mapping[str, object]:
-        return {f"members_{name}" if name != "members" else name: value
-                for name, value in self.members.figures().items()}
+        return {
+            f"members_{name}" if name != "members" else name: value
+            for name, value in self.members.figures().items()
+        }
--- a/rainspindle/program/fleet/run.py
+++ b/rainspindle/program/fleet/run.py
@@ -32,8 +32,14 @@
 class Fleet:
     """One sidecar's part of its fleet, from its start to its end."""
 
-    def __init__(self, loop: Loop, config: Config, fleet: FleetConfig, load: Callable[[Config], FleetConfig],
-                 successor: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        config: Config,
+        fleet: FleetConfig,
+        load: Callable[[Config], FleetConfig],
+        successor: Callable[[], bool],
+    ) -> None:
         """`load` reads the file again. Raises Trouble where an address or a folder cannot be had."""
         self.loop, self.config, self.fleet, self.load = loop, config, fleet, load
         self.parts: list[Part] = []
@@ -41,14 +47,20 @@
         self.leaving_at = math.inf
         table = fleet.file.members
         kept = Lasting(fleet.folder, table.name or config.name, table.fleet) if fleet.file.keep else None
-        self.members = MembersRun(loop, table, config, self.member_changed, successor,
-                                  shared=config.console is not None, above=kept.life if kept else 0)
+        self.members = MembersRun(
+            loop,
+            table,
+            config,
+            self.member_changed,
+            successor,
+            shared=config.console is not None,
+            above=kept.life if kept else 0,
+        )
         if kept is not None:
             kept.give_cells(self.members.cells, loop.now())
         ground = Ground(loop, config, self.members.view(), self.members.cells, fleet.folder)
         chance = random.Random(secrets.randbits(64))
-        self.canaries = CanaryRun(ground, fleet.file.canary,
-                                  lambda names: chance.sample(names, len(names)))
+        self.canaries = CanaryRun(ground, fleet.file.canary, lambda names: chance.sample(names, len(names)))
         self.wallets = WalletRun(ground, fleet.file.wallet) if fleet.file.wallet else None
         file = fleet.file
         self.evidence = EvidenceRun(ground, file.evidence) if file.evidence else None
@@ -60,16 +72,27 @@
 
     # The exchanges' way.
 
-    def make_core(self, make_back: Callable[[Directory], Back], on_watch: Callable[[], None],
-                  on_tick: Callable[[], None]) -> Core:
+    def make_core(
+        self,
+        make_back: Callable[[Directory], Back],
+        on_watch: Callable[[], None],
+        on_tick: Callable[[], None],
+    ) -> Core:
         """One core, or one for each side where a canary has endpoints."""
         config = self.config
         if self.fleet.file.canary:
             self.core = split_core(self.loop, config, self.fleet.file.canary, make_back, on_watch, on_tick)
         else:
             directory = Directory()
-            self.core = Core(self.loop, config.facade(self.loop.now()), config.settings, directory,
-                             make_back(directory), on_watch, on_tick)
+            self.core = Core(
+                self.loop,
+                config.facade(self.loop.now()),
+                config.settings,
+                directory,
+                make_back(directory),
+                on_watch,
+                on_tick,
+            )
         return self.core
 
     def taker(self, core: Core) -> Taker:
@@ -114,8 +137,11 @@
         if call.path[0] == "members":
             if len(call.path) > 1:
                 return no(404, "no such call", "ask GET /-/members")
-            return Answer(200, self.members.body()) if call.method in ("GET", "HEAD") else no(
-                405, f"/-/members wants GET, not {call.method}", "ask with GET")
+            return (
+                Answer(200, self.members.body())
+                if call.method in ("GET", "HEAD")
+                else no(405, f"/-/members wants GET, not {call.method}", "ask with GET")
+            )
         try:
             for part in self.parts:
                 answer = part.call(self.loop.now(), call.method, call.path, call.query)
@@ -124,8 +150,11 @@
                     return answer
         except Trouble as fault:
             return no(409, str(fault), fault.remedy)
-        return no(404, f"the fleet file of this sidecar has no {call.path[0]}",
-                  f"name them in {self.fleet.path} and restart")
+        return no(
+            404,
+            f"the fleet file of this sidecar has no {call.path[0]}",
+            f"name them in {self.fleet.path} and restart",
+        )
 
     def reload(self, config: Config) -> None:
         """SIGHUP: the file is read again."""
@@ -133,8 +162,10 @@
             new = self.load(config)
         except ConfigFault as fault:
             for line in str(fault).splitlines():
-                log.error("fleet file refused, the old one stays",
-                          extra={"fields": {"why": line, "remedy": fault.remedy}})
+                log.error(
+                    "fleet file refused, the old one stays",
+                    extra={"fields": {"why": line, "remedy": fault.remedy}},
+                )
             return
         now, later = self.loop.now(), self.members.reload(new.file.members)
         later += self.canaries.reload(now, new.file.canary)
--- a/rainspindle/program/fleet/wallet.py
+++ b/rainspindle/program/fleet/wallet.py
@@ -38,7 +38,7 @@
 NAME = re.compile(rf"[A-Za-z0-9][A-Za-z0-9_.-]{{0,{words.MOST_NAME - 1}}}")
 ID = re.compile(r"[!-~]{1,100}")
 MOST_WALLETS, MOST_EAGER = 100_000, 200  # up to the latter each member holds a piece of each from the start
-MOST_UNITS = 10 ** 15
+MOST_UNITS = 10**15
 BATCH = 2_000  # rows in one transaction at most
 STALLED = 2.0  # seconds that a write may take before it is told
 AGAIN = 1.0  # seconds after which a write that failed is tried again
@@ -74,8 +74,10 @@
     """Top-ups and write-offs go to the one home."""
 
     def __init__(self, wallet: str, home: str) -> None:
-        super().__init__(f"top-ups and write-offs of {wallet} are taken at {home} alone",
-                         f"make the same call, with the same id, at the console of {home}")
+        super().__init__(
+            f"top-ups and write-offs of {wallet} are taken at {home} alone",
+            f"make the same call, with the same id, at the console of {home}",
+        )
 
 
 class NotReady(WalletTrouble):
@@ -90,8 +92,10 @@
         yield "wallet: expected a list of tables, [[wallet]]"
         return
     if tables and folder is None:
-        yield ("members.folder: missing; wallets need a folder of this member alone that outlasts it and the "
-               "machine's restarts: name one, or take the wallets out of this member's file")
+        yield (
+            "members.folder: missing; wallets need a folder of this member alone that outlasts it and the "
+            "machine's restarts: name one, or take the wallets out of this member's file"
+        )
     if len(tables) > MOST_WALLETS:
         yield f"wallet: {len(tables)} tables; {MOST_WALLETS} at most"
         return
@@ -124,11 +128,15 @@
                 if name not in types:
                     yield f"{at}.{key}: {name!r:.40} is no traffic type; there are {', '.join(types)}"
         for key, value, low, high in (
-                ("price", part.price, 0, MOST_UNITS), ("reserve", part.reserve, 0, MOST_UNITS),
-                ("piece", part.piece, 1, MOST_UNITS), ("alone", part.alone, 1.0, 86_400.0),
-                ("come_back", part.come_back, 0.1, 3_600.0), ("repeat", part.repeat, 0.0, 3_600.0),
-                ("rest", part.rest, 1.0, 86_400.0),
-                *((f"prices.{name}", price, 0, MOST_UNITS) for name, price in part.prices.items())):
+            ("price", part.price, 0, MOST_UNITS),
+            ("reserve", part.reserve, 0, MOST_UNITS),
+            ("piece", part.piece, 1, MOST_UNITS),
+            ("alone", part.alone, 1.0, 86_400.0),
+            ("come_back", part.come_back, 0.1, 3_600.0),
+            ("repeat", part.repeat, 0.0, 3_600.0),
+            ("rest", part.rest, 1.0, 86_400.0),
+            *((f"prices.{name}", price, 0, MOST_UNITS) for name, price in part.prices.items()),
+        ):
             if not low <= value <= high:
                 yield f"{at}.{key}: is {value}; expected {low} to {high}"
         for name in part.match or types:
@@ -139,26 +147,57 @@
 
 def rules_of(part: WalletPart, types: Sequence[str], eager: bool) -> Rules:
     prices = [part.prices.get(name, part.price) for name in part.match or types]
-    return Rules(part.home, part.piece, part.reserve, part.alone, part.come_back, max(min(prices), 1),
-                 max(*prices, 1), eager if part.eager is None else part.eager, part.books, part.rejoin,
-                 part.rest)
+    return Rules(
+        part.home,
+        part.piece,
+        part.reserve,
+        part.alone,
+        part.come_back,
+        max(min(prices), 1),
+        max(*prices, 1),
+        eager if part.eager is None else part.eager,
+        part.books,
+        part.rejoin,
+        part.rest,
+    )
 
 
 def encode_row(row: Row, boot: int, rules: Rules) -> bytes:
-    return words.encode(KeptRow(
-        words.VERSION, row.account, row.number, row.spent, row.back, row.topped,
-        [(*who, total) for who, total in row.given.items()],
-        [(*who, total) for who, total in row.got.items()],
-        list(row.off.items()), row.barred, boot, rules.home, rules.books, row.rests))
+    return words.encode(
+        KeptRow(
+            words.VERSION,
+            row.account,
+            row.number,
+            row.spent,
+            row.back,
+            row.topped,
+            [(*who, total) for who, total in row.given.items()],
+            [(*who, total) for who, total in row.got.items()],
+            list(row.off.items()),
+            row.barred,
+            boot,
+            rules.home,
+            rules.books,
+            row.rests,
+        )
+    )
 
 
 def decode_row(value: bytes) -> tuple[Row, KeptRow]:
     """And all that was kept with it. Raises UnreadableWord."""
     kept = words.decode_kept(value)
-    return Row(kept.account, kept.row, kept.spent, kept.back, kept.topped,
-               {(name, account): total for name, account, total in kept.given},
-               {(name, account): total for name, account, total in kept.got},
-               dict(kept.off), kept.barred, kept.rests), kept
+    return Row(
+        kept.account,
+        kept.row,
+        kept.spent,
+        kept.back,
+        kept.topped,
+        {(name, account): total for name, account, total in kept.given},
+        {(name, account): total for name, account, total in kept.got},
+        dict(kept.off),
+        kept.barred,
+        kept.rests,
+    ), kept
 
 
 class WalletRun:
@@ -221,21 +260,36 @@
         for name in self.wallets.keys() - new.keys():
             wallet = self.shelf[name] = self.wallets.pop(name)
             wallet.put_away(now)
-            log.info("wallet: not in the file any more", extra={"fields": {
-                "wallet": name, "held": wallet.account.held}})
+            log.info(
+                "wallet: not in the file any more",
+                extra={"fields": {"wallet": name, "held": wallet.account.held}},
+            )
         self.register.pace = min([SWEEP, *(part.rest / 5 for part in new.values())])
         self.purses.clear()
         for name, part in new.items():
             before = self.parts.get(name)
             if before is not None and before.home != part.home and before.books == part.books:
-                later.append(f"wallet {name}: another home needs other books too, as it does not know "
-                             "the ids of earlier top-ups")
+                later.append(
+                    f"wallet {name}: another home needs other books too, as it does not know "
+                    "the ids of earlier top-ups"
+                )
                 part = msgspec.structs.replace(part, home=before.home)
             self.parts[name] = part
             rules = rules_of(part, types, eager)
-            wallet = self.wallets.get(name) or self.shelf.pop(name, None) or Wallet(
-                name, self.own, self.ground.members.own_life, rules, self, now, secrets.randbits(9),
-                self.register)
+            wallet = (
+                self.wallets.get(name)
+                or self.shelf.pop(name, None)
+                or Wallet(
+                    name,
+                    self.own,
+                    self.ground.members.own_life,
+                    rules,
+                    self,
+                    now,
+                    secrets.randbits(9),
+                    self.register,
+                )
+            )
             fresh = name not in self.wallets
             if wallet.rules != rules:
                 wallet.speak()
@@ -249,7 +303,8 @@
             for type_name in part.match or types:
                 index = types.index(type_name)
                 self.purses[part.tenant, index] = Purse(
-                    wallet, part.prices.get(type_name, part.price), binding[index], part.repeat)
+                    wallet, part.prices.get(type_name, part.price), binding[index], part.repeat
+                )
         return later
 
     def reload(self, now: float, tables: Any) -> list[str]:
@@ -260,8 +315,11 @@
     def take_members(self) -> None:
         if not self.others:
             self.met_at = self.loop.now()
-        self.others = tuple(m.name for m in self.ground.members.members()
-                            if m.name != self.own and m.standing is Standing.ALIVE)
+        self.others = tuple(
+            m.name
+            for m in self.ground.members.members()
+            if m.name != self.own and m.standing is Standing.ALIVE
+        )
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
         self.take_members()
@@ -291,8 +349,10 @@
         except UnreadableWord as fault:
             self.unread += 1
             if self.unread == 1:
-                log.warning("unreadable word", extra={"fields": {
-                    "from": cell.owner, "why": fault, "remedy": fault.remedy}})
+                log.warning(
+                    "unreadable word",
+                    extra={"fields": {"from": cell.owner, "why": fault, "remedy": fault.remedy}},
+                )
 
     def heard_own(self, now: float, cell: Cell) -> None:
         if cell.owner == self.own and cell.life < self.ground.members.own_life and cell.value:
@@ -302,9 +362,16 @@
             self.worker.wake()
 
     def older_folder(self, now: float) -> None:
-        log.error("wallets: others know a later state of this folder, what it holds is not spent",
-                  extra={"fields": {"folder": self.ground.folder, "remedy": "stop the process and move the "
-                                    "newest folder back, or write the old life off at the home"}})
+        log.error(
+            "wallets: others know a later state of this folder, what it holds is not spent",
+            extra={
+                "fields": {
+                    "folder": self.ground.folder,
+                    "remedy": "stop the process and move the "
+                    "newest folder back, or write the old life off at the home",
+                }
+            },
+        )
         for wallet in self.wallets.values():
             wallet.older_folder(now)
 
@@ -348,12 +415,16 @@
             self.hand_on(now)
         elif done.trouble is not None:
             if isinstance(done.trouble, StoreHeld):
-                log.info("wallets: wait for the process before this one", extra={"fields": {
-                    "why": done.trouble, "remedy": done.trouble.remedy}})
+                log.info(
+                    "wallets: wait for the process before this one",
+                    extra={"fields": {"why": done.trouble, "remedy": done.trouble.remedy}},
+                )
             elif not self.troubled:
                 self.troubled = True
-                log.error("wallets can't be written: spending goes on by what is written", extra={"fields": {
-                    "why": done.trouble, "remedy": done.trouble.remedy}})
+                log.error(
+                    "wallets can't be written: spending goes on by what is written",
+                    extra={"fields": {"why": done.trouble, "remedy": done.trouble.remedy}},
+                )
             if done.batch:
                 for wallet in self.batch:
                     wallet.account.failed()
@@ -376,9 +447,16 @@
             self.troubled = False
             log.info("wallets are open", extra={"fields": {"folder": self.ground.folder}})
         if not found.newest and not found.fresh:
-            log.error("wallets: the folder is not the one that was written last, what it holds is not spent",
-                      extra={"fields": {"why": found.why, "remedy": "stop the process and move the newest "
-                                        "folder back, or write the old life off at the home"}})
+            log.error(
+                "wallets: the folder is not the one that was written last, what it holds is not spent",
+                extra={
+                    "fields": {
+                        "why": found.why,
+                        "remedy": "stop the process and move the newest "
+                        "folder back, or write the old life off at the home",
+                    }
+                },
+            )
         for key, value in found.rows.items():
             self.unclaimed.setdefault(key.lstrip("-#").partition("/")[0], {})[key] = value
         for wallet in self.wallets.values():
@@ -397,8 +475,16 @@
                     row, kept = decode_row(value)
                     rows[row.account] = row, kept, key.startswith("-")
             except (UnreadableWord, ValueError) as fault:
-                log.error("wallet: a row is unreadable, the wallet stays paused here", extra={"fields": {
-                    "wallet": wallet.name, "why": fault, "remedy": getattr(fault, "remedy", Trouble.remedy)}})
+                log.error(
+                    "wallet: a row is unreadable, the wallet stays paused here",
+                    extra={
+                        "fields": {
+                            "wallet": wallet.name,
+                            "why": fault,
+                            "remedy": getattr(fault, "remedy", Trouble.remedy),
+                        }
+                    },
+                )
                 return
         if not rows:
             self.boots[wallet] = self.found.boot
@@ -410,8 +496,11 @@
             row, kept, aged = rows[last]
             self.boots[wallet] = kept.boot
             old = [rows[account][0] for account in sorted(rows) if account != last]
-            trust = Trust.OLD if aged or self.register.old > self.found.number else (
-                Trust.SURE if self.boots[wallet] == self.found.boot else Trust.UNSURE)
+            trust = (
+                Trust.OLD
+                if aged or self.register.old > self.found.number
+                else (Trust.SURE if self.boots[wallet] == self.found.boot else Trust.UNSURE)
+            )
             wallet.load(now, row, ids, old, trust)
             if wallet.unsure:
                 self.unsure.add(wallet)
@@ -501,8 +590,15 @@
         sweep_at = self.sweep(now)
         if self.batch and now - self.batch_at > STALLED and not self.stalled and not self.troubled:
             self.stalled = True
-            log.error("wallets: the disk has stalled, spending goes on by what is written", extra={"fields": {
-                "folder": self.ground.folder, "remedy": "see what holds up the disk; it goes on by itself"}})
+            log.error(
+                "wallets: the disk has stalled, spending goes on by what is written",
+                extra={
+                    "fields": {
+                        "folder": self.ground.folder,
+                        "remedy": "see what holds up the disk; it goes on by itself",
+                    }
+                },
+            )
         until = min(self.due[0][0] if self.due else math.inf, sweep_at)
         if self.batch and not self.stalled:
             until = min(until, self.batch_at + STALLED + PACE)
@@ -531,8 +627,12 @@
         if len(path) == 1:
             return self.shown(now, query) if method == "GET" else bad(405, "GET alone", "use GET")
         if len(path) != 3 or path[2] not in ("top-up", "write-off"):
-            return bad(404, "no such call", "GET /-/wallets, POST /-/wallets/NAME/top-up?id=ID&amount=N or "
-                       "POST /-/wallets/NAME/write-off?member=M&life=L")
+            return bad(
+                404,
+                "no such call",
+                "GET /-/wallets, POST /-/wallets/NAME/top-up?id=ID&amount=N or "
+                "POST /-/wallets/NAME/write-off?member=M&life=L",
+            )
         if method != "POST":
             return bad(405, "POST alone", "use POST")
         wallet = self.wallets.get(path[1])
@@ -547,32 +647,53 @@
     def top_up(self, now: float, wallet: Wallet, query: Mapping[str, str]) -> Answer:
         id, amount = query.get("id", ""), query.get("amount", "")
         if not ID.fullmatch(id):
-            return bad(400, f"id is {id!r:.60}; expected 1 to 100 visible characters",
-                       "give the payment's own id, the same at every repeat")
+            return bad(
+                400,
+                f"id is {id!r:.60}; expected 1 to 100 visible characters",
+                "give the payment's own id, the same at every repeat",
+            )
         if not re.fullmatch(r"[0-9]{1,15}", amount) or int(amount) < 1:
             return bad(400, f"amount is {amount!r:.60}; expected whole units from 1 on", "give amount=N")
         books = wallet.rules.books
         if wallet.account.row.barred == books:
             raise WalletTrouble(
                 f"ids of earlier top-ups of {wallet.name} in the books {books!r} may be forgotten here",
-                "find out which payments have come in, then name new books for this wallet in the file")
+                "find out which payments have come in, then name new books for this wallet in the file",
+            )
         key = f"{books}/{id}"
         if (other := wallet.other_home()) is not None:
-            raise WalletTrouble(f"the file of {other[0]} names {other[1]} as the home of {wallet.name}",
-                                "give all members the same home and books: an id could come in twice")
+            raise WalletTrouble(
+                f"the file of {other[0]} names {other[1]} as the home of {wallet.name}",
+                "give all members the same home and books: an id could come in twice",
+            )
         known = wallet.account.ids.get(key)
         if known is not None and known != int(amount):
-            raise WalletTrouble(f"the id {id!r} has come in already, with {known} units",
-                                "give another payment an id of its own")
+            raise WalletTrouble(
+                f"the id {id!r} has come in already, with {known} units",
+                "give another payment an id of its own",
+            )
         new = wallet.top_up(now, key, int(amount))
         if new:
-            log.info("wallet: topped up", extra={"fields": {
-                "wallet": wallet.name, "id": id, "amount": amount}})
+            log.info(
+                "wallet: topped up", extra={"fields": {"wallet": wallet.name, "id": id, "amount": amount}}
+            )
         entered = wallet.entered(key)
-        return Answer(200 if entered else 202, {
-            "wallet": wallet.name, "id": id, "amount": int(amount), "entered": entered, "new": new,
-            "known": wallet.balance(),
-            **({} if entered else {"remedy": "it counts when it is on disk: repeat the call with this id"})})
+        return Answer(
+            200 if entered else 202,
+            {
+                "wallet": wallet.name,
+                "id": id,
+                "amount": int(amount),
+                "entered": entered,
+                "new": new,
+                "known": wallet.balance(),
+                **(
+                    {}
+                    if entered
+                    else {"remedy": "it counts when it is on disk: repeat the call with this id"}
+                ),
+            },
+        )
 
     def write_off(self, now: float, wallet: Wallet, query: Mapping[str, str]) -> Answer:
         member, life = query.get("member", ""), query.get("life", "")
@@ -585,17 +706,29 @@
             return bad(404, f"nothing is known of a member {member!r:.60}", "see GET /-/wallets")
         lives = about is not None and about.standing in (Standing.ALIVE, Standing.SUSPECT)
         account = last + 1 << SHIFT  # under this are all that began in lives up to that one
-        if lives and about is not None and (about.life <= last or (
-                word is not None and word.account < account)):
-            raise WalletTrouble(f"{member} lives, and spends by this account",
-                                "stop it for good first, and call again when GET /-/members says dead")
+        if (
+            lives
+            and about is not None
+            and (about.life <= last or (word is not None and word.account < account))
+        ):
+            raise WalletTrouble(
+                f"{member} lives, and spends by this account",
+                "stop it for good first, and call again when GET /-/members says dead",
+            )
         known = word.held if word is not None and word.account < account else 0
         wallet.write_off(now, member, account - 1)
         entered = wallet.account.kept.off.get(member, 0) >= account - 1
-        return Answer(200 if entered else 202, {
-            "wallet": wallet.name, "member": member, "life": last, "entered": entered,
-            "held_when_last_heard": known,
-            **({} if entered else {"remedy": "it counts when it is on disk: repeat the call"})})
+        return Answer(
+            200 if entered else 202,
+            {
+                "wallet": wallet.name,
+                "member": member,
+                "life": last,
+                "entered": entered,
+                "held_when_last_heard": known,
+                **({} if entered else {"remedy": "it counts when it is on disk: repeat the call"}),
+            },
+        )
 
     def shown(self, now: float, query: Mapping[str, str]) -> Answer:
         names = sorted(self.wallets)
@@ -603,27 +736,56 @@
         wanted = [query["name"]] if "name" in query else [n for n in names if n > after][:SHOWN]
         shown = [self.one(now, self.wallets[name]) for name in wanted if name in self.wallets]
         more = "name" not in query and bool(shown) and shown[-1]["name"] != names[-1]
-        return Answer(200, {"self": self.own, "wallets": shown,
-                            **({"more": f"/-/wallets?after={shown[-1]['name']}"} if more else {})})
+        return Answer(
+            200,
+            {
+                "self": self.own,
+                "wallets": shown,
+                **({"more": f"/-/wallets?after={shown[-1]['name']}"} if more else {}),
+            },
+        )
 
     def one(self, now: float, wallet: Wallet) -> dict[str, Any]:
         account = wallet.account
         off = account.row.off
         return {
-            "name": wallet.name, "home": wallet.rules.home, "known": wallet.balance(),
-            "own": max(account.held, 0), "written_ahead": account.free, "life": account.row.account >> SHIFT,
-            "rate": round(wallet.usable_rate(), 2), "asked": wallet.want, "asked_of": wallet.of,
+            "name": wallet.name,
+            "home": wallet.rules.home,
+            "known": wallet.balance(),
+            "own": max(account.held, 0),
+            "written_ahead": account.free,
+            "life": account.row.account >> SHIFT,
+            "rate": round(wallet.usable_rate(), 2),
+            "asked": wallet.want,
+            "asked_of": wallet.of,
             "paused_since": None if wallet.paused_since is None else round(now - wallet.paused_since, 2),
-            "state": "closed" if not wallet.loaded or self.handed_on else
-                     "unsure" if wallet.unsure else "leaving" if wallet.leaving else
-                     "at rest" if account.row.rests or wallet.silent else
-                     "paused" if wallet.paused_since is not None else "open",
-            "refused": wallet.refused, "not_spent": wallet.lost, "topped_up": account.kept.topped,
+            "state": "closed"
+            if not wallet.loaded or self.handed_on
+            else "unsure"
+            if wallet.unsure
+            else "leaving"
+            if wallet.leaving
+            else "at rest"
+            if account.row.rests or wallet.silent
+            else "paused"
+            if wallet.paused_since is not None
+            else "open",
+            "refused": wallet.refused,
+            "not_spent": wallet.lost,
+            "topped_up": account.kept.topped,
             "written_off": {member: account >> SHIFT for member, account in off.items()},
-            "others": [{"name": member, "life": word.account >> SHIFT, "held": word.held,
-                        "alive": member in self.others, "written_off": off.get(member, 0) >= word.account,
-                        "heard": round(now - self.heard_ago(wallet, member), 2)}
-                       for member, word in sorted(wallet.words.items())]}
+            "others": [
+                {
+                    "name": member,
+                    "life": word.account >> SHIFT,
+                    "held": word.held,
+                    "alive": member in self.others,
+                    "written_off": off.get(member, 0) >= word.account,
+                    "heard": round(now - self.heard_ago(wallet, member), 2),
+                }
+                for member, word in sorted(wallet.words.items())
+            ],
+        }
 
     def heard_ago(self, wallet: Wallet, member: str) -> float:
         seen = self.cells.read(member, words.word_cell(wallet.name))
@@ -662,11 +824,14 @@
         self.teller.close()
 
     def figures(self) -> Mapping[str, object]:
-        return {"wallets": len(self.wallets), "debited": sum(g.debited for g in self.gates),
-                "wallet_refused": sum(g.refused for g in self.gates),
-                "given_back": sum(g.given_back for g in self.gates),
-                "repeated": sum(g.repeated for g in self.gates),
-                "wallet_paused": sum(w.paused_since is not None for w in self.wallets.values())}
+        return {
+            "wallets": len(self.wallets),
+            "debited": sum(g.debited for g in self.gates),
+            "wallet_refused": sum(g.refused for g in self.gates),
+            "given_back": sum(g.given_back for g in self.gates),
+            "repeated": sum(g.repeated for g in self.gates),
+            "wallet_paused": sum(w.paused_since is not None for w in self.wallets.values()),
+        }
 
 
 def bad(status: int, what: str, remedy: str) -> Answer:
--- a/rainspindle/program/gateway.py
+++ b/rainspindle/program/gateway.py
@@ -35,9 +35,16 @@
         self.gateway, self.load_gateway = config, load
         super().__init__(config.sidecar, lambda: load().sidecar)
         self.link_listener = Listener(self.loop, config.link, self.link.accepted, self.make_room)
-        log.info("gateway", extra={"fields": {
-            "site": config.site, "link": f"{self.link_listener.address[0]}:{self.link_listener.address[1]}",
-            "peers": self.link.describe()}})
+        log.info(
+            "gateway",
+            extra={
+                "fields": {
+                    "site": config.site,
+                    "link": f"{self.link_listener.address[0]}:{self.link_listener.address[1]}",
+                    "peers": self.link.describe(),
+                }
+            },
+        )
 
     def taker(self) -> Taker:
         config, now = self.gateway, self.loop.now()
@@ -46,10 +53,18 @@
         types = [traffic_type(t) for t in config.sidecar.raw_settings["traffic-types"]]
         self.router = SiteRouter(self.loop, self.core, self.sites, self.intake, types, config.one_group)
         self.link = Link(
-            self.loop, config.site, new_epoch(), lambda: self.gateway.keys, self.core, self.intake,
-            config.sidecar.settings.type_names, [t.effect is Effect.RETRIABLE for t in types],
-            config.stall, config.connections,
-            lambda site, up: self.sites.linked(self.loop.now(), site, up))
+            self.loop,
+            config.site,
+            new_epoch(),
+            lambda: self.gateway.keys,
+            self.core,
+            self.intake,
+            config.sidecar.settings.type_names,
+            [t.effect is Effect.RETRIABLE for t in types],
+            config.stall,
+            config.connections,
+            lambda site, up: self.sites.linked(self.loop.now(), site, up),
+        )
         self.link.set_peers(config.peers)
         self.router.peers.update(self.link.peers)
         return self.router
@@ -72,11 +87,22 @@
         self.sites.set_peers(list(new.peers), self.loop.now())
         self.link.set_peers(new.peers)
         self.router.peers = dict(self.link.peers)
-        later = [name for name in ("site", "link", "stall", "connections", "one_group")
-                 if getattr(old, name) != getattr(new, name)]
-        log.info("gateway's file read again", extra={"fields": {
-            "peers": self.link.describe(), "foreign": new.part, "keys": len(new.keys),
-            "needs_restart": ",".join(later) or "nothing"}})
+        later = [
+            name
+            for name in ("site", "link", "stall", "connections", "one_group")
+            if getattr(old, name) != getattr(new, name)
+        ]
+        log.info(
+            "gateway's file read again",
+            extra={
+                "fields": {
+                    "peers": self.link.describe(),
+                    "foreign": new.part,
+                    "keys": len(new.keys),
+                    "needs_restart": ",".join(later) or "nothing",
+                }
+            },
+        )
 
     def begin_leaving(self) -> None:
         self.link.leave()
@@ -95,5 +121,3 @@
         yield "moves", self.sites.moves
         yield "spills", self.sites.spills
         yield "link_faults", self.link.faults
-
-
--- a/rainspindle/program/gateway_config.py
+++ b/rainspindle/program/gateway_config.py
@@ -77,10 +77,17 @@
     if faults or sidecar is None:
         raise ConfigFault("\n".join(f"{path}: {fault}" for fault in faults))
     return GatewayConfig(
-        file.gateway.site, parse_address(file.gateway.link),
-        {p.site: parse_address(p.address) if p.address else None for p in file.peers}, tuple(keys),
-        file.gateway.stall, file.gateway.connections, file.gateway.one_group, file.intake.part,
-        file.intake.floor, sidecar)
+        file.gateway.site,
+        parse_address(file.gateway.link),
+        {p.site: parse_address(p.address) if p.address else None for p in file.peers},
+        tuple(keys),
+        file.gateway.stall,
+        file.gateway.connections,
+        file.gateway.one_group,
+        file.intake.part,
+        file.intake.floor,
+        sidecar,
+    )
 
 
 def unfit(raw: dict[str, Any]) -> Iterator[str]:
@@ -106,9 +113,10 @@
     if not 1 <= len(gateway["keys"]) <= MOST_KEYS:
         yield f"gateway.keys: {len(gateway['keys'])} files; expected 1, or 2 while keys change"
     for at, value, low, high in (
-            ("gateway.stall", gateway.get("stall", 1.0), 0.3, 60.0),
-            ("gateway.connections", gateway.get("connections", 2), 1, 16),
-            ("intake.part", raw.get("intake", {}).get("part", 0.6), 0.0, 0.95),
-            ("intake.floor", raw.get("intake", {}).get("floor", 16), 0, 4096)):
+        ("gateway.stall", gateway.get("stall", 1.0), 0.3, 60.0),
+        ("gateway.connections", gateway.get("connections", 2), 1, 16),
+        ("intake.part", raw.get("intake", {}).get("part", 0.6), 0.0, 0.95),
+        ("intake.floor", raw.get("intake", {}).get("floor", 16), 0, 4096),
+    ):
         if not low <= value <= high:
             yield f"{at}: is {value}; expected {low} to {high}"
--- a/rainspindle/program/logs.py
+++ b/rainspindle/program/logs.py
@@ -24,8 +24,10 @@
 
     def format(self, record: logging.LogRecord) -> str:
         pairs: dict[str, object] = {
-            "time": f"{record.created:.3f}", "level": record.levelname.lower(),
-            "part": record.name.rpartition(".")[2], "event": record.getMessage(),
+            "time": f"{record.created:.3f}",
+            "level": record.levelname.lower(),
+            "part": record.name.rpartition(".")[2],
+            "event": record.getMessage(),
         }
         pairs.update(getattr(record, "fields", {}))
         return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
--- a/rainspindle/program/main.py
+++ b/rainspindle/program/main.py
@@ -16,37 +16,55 @@
 
 
 def parser(lab: Any = None) -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="rainspindle",
-                                  description="A load balancer beside each client process.")
+    top = argparse.ArgumentParser(
+        prog="rainspindle", description="A load balancer beside each client process."
+    )
     commands = top.add_subparsers(dest="command", required=True)
     serve = commands.add_parser("serve", help="serve as one sidecar until SIGTERM")
     check = commands.add_parser("check", help="read a configuration and say whether it can be served")
     for command in (serve, check):
         command.add_argument("--config", metavar="FILE", help="default: $RELAY_CONFIG")
-        command.add_argument("--fleet", metavar="FILE", help="members, wallets and canaries, TOML; default: "
-                                                             "$RELAY_FLEET, and without either none")
-    gateway = commands.add_parser("gateway", help="serve as the gateway of a site until SIGTERM",
-                                  epilog="Example: rainspindle gateway --config deploy/gateway.toml")
+        command.add_argument(
+            "--fleet",
+            metavar="FILE",
+            help="members, wallets and canaries, TOML; default: $RELAY_FLEET, and without either none",
+        )
+    gateway = commands.add_parser(
+        "gateway",
+        help="serve as the gateway of a site until SIGTERM",
+        epilog="Example: rainspindle gateway --config deploy/gateway.toml",
+    )
     gateway.add_argument("--config", metavar="FILE", required=True, help="the gateway's own file, TOML")
     gateway.add_argument("--check", action="store_true", help="read it and say whether it can be served")
-    mysql = commands.add_parser("mysql", help="serve clients of the MySQL wire protocol until SIGTERM",
-                                epilog="Example: rainspindle mysql --config deploy/mysql.toml")
+    mysql = commands.add_parser(
+        "mysql",
+        help="serve clients of the MySQL wire protocol until SIGTERM",
+        epilog="Example: rainspindle mysql --config deploy/mysql.toml",
+    )
     mysql.add_argument("--config", metavar="FILE", required=True, help="the front's own file, TOML")
     mysql.add_argument("--check", action="store_true", help="read it and say whether it can be served")
     for command in (serve, gateway, mysql):
         command.add_argument("--log-level", default="info", choices=("debug", "info", "warning", "error"))
     migrate = commands.add_parser(
-        "migrate", help="write a configuration's counterpart for a pool of sidecars",
+        "migrate",
+        help="write a configuration's counterpart for a pool of sidecars",
         epilog="Example: rainspindle migrate old.json --output new.json --peer-listen 10.0.0.4:7400 "
-               "--peer 10.0.0.5:7400 --kinds fast,small --dry-run")
+        "--peer 10.0.0.5:7400 --kinds fast,small --dry-run",
+    )
     migrate.add_argument("old", metavar="OLD", help="a file of the old shape; it is left as it is")
     migrate.add_argument("--output", metavar="NEW", required=True, help="where its counterpart goes")
     migrate.add_argument("--peer-listen", metavar="ADDRESS", help="where this sidecar hears the others, UDP")
-    migrate.add_argument("--peer", metavar="ADDRESS", action="append", default=[],
-                         help="where another sidecar hears; once for each")
+    migrate.add_argument(
+        "--peer",
+        metavar="ADDRESS",
+        action="append",
+        default=[],
+        help="where another sidecar hears; once for each",
+    )
     migrate.add_argument("--kinds", default="", help="names of the kinds of machine as the list has them")
-    migrate.add_argument("--weights", default="off", choices=("off", "live"),
-                         help="what the new list's weights are")
+    migrate.add_argument(
+        "--weights", default="off", choices=("off", "live"), help="what the new list's weights are"
+    )
     migrate.add_argument("--dry-run", action="store_true", help="write nothing, print the same list")
     migrate.add_argument("--force", action="store_true", help="write over a file that is there")
     migrate.add_argument("--json", action="store_true", help="the list as one JSON object")
@@ -84,6 +102,7 @@
     try:
         if options.command == "migrate":
             from . import migrate
+
             return migrate.main(options)
         if options.command == "gateway":
             return gateway(options)
@@ -93,6 +112,7 @@
 
         def read() -> Config:
             return load(options.config, os.environ, over_members=bool(fleet_path))
+
         try:
             config = read()
         except ConfigFault as fault:
@@ -103,9 +123,11 @@
             raise
         make_fleet = fleet(fleet_path, config) if fleet_path else None
         if options.command == "check":
-            print(f"{config.name}: {len(config.known.lines)} endpoints known, "
-                  f"traffic types {', '.join(config.settings.type_names)}"
-                  + (f"\n{config.name}: {DEAF}" if config.deaf else ""))
+            print(
+                f"{config.name}: {len(config.known.lines)} endpoints known, "
+                f"traffic types {', '.join(config.settings.type_names)}"
+                + (f"\n{config.name}: {DEAF}" if config.deaf else "")
+            )
             return 0
         logs.set_up(options.log_level)
         sidecar = Sidecar(config, read, make_fleet)
@@ -132,8 +154,9 @@
     except ImportError as fault:
         raise Uninstalled(f"a fleet file needs the libraries of requirements-fleet.txt: {fault}") from None
     read = load_fleet(path, config)
-    return lambda loop, config, successor: Fleet(loop, config, read, lambda new: load_fleet(path, new),
-                                                 successor)
+    return lambda loop, config, successor: Fleet(
+        loop, config, read, lambda new: load_fleet(path, new), successor
+    )
 
 
 def gateway(options: argparse.Namespace) -> int:
@@ -145,8 +168,10 @@
         raise Uninstalled(f"a gateway needs the libraries of requirements-gateway.txt: {fault}") from None
     config = load_gateway(options.config, os.environ)
     if options.check:
-        print(f"{config.site}: peers {', '.join(config.peers) or 'none'}, {len(config.keys)} keys, "
-              f"{len(config.sidecar.known.lines)} endpoints known")
+        print(
+            f"{config.site}: peers {', '.join(config.peers) or 'none'}, {len(config.keys)} keys, "
+            f"{len(config.sidecar.known.lines)} endpoints known"
+        )
         return 0
     logs.set_up(options.log_level)
     Gateway(config, lambda: load_gateway(options.config, os.environ)).run()
@@ -162,8 +187,10 @@
         raise Uninstalled(f"the MySQL front needs the libraries of requirements-mysql.txt: {fault}") from None
     config = load_mysql(options.config, os.environ)
     if options.check:
-        print(f"{config.listen[0]}:{config.listen[1]}: {len(config.users)} users, {len(config.rules)} rules, "
-              f"{len(config.sidecar.known.lines)} servers known")
+        print(
+            f"{config.listen[0]}:{config.listen[1]}: {len(config.users)} users, {len(config.rules)} rules, "
+            f"{len(config.sidecar.known.lines)} servers known"
+        )
         return 0
     logs.set_up(options.log_level)
     MysqlSidecar(config, lambda: load_mysql(options.config, os.environ)).run()
--- a/rainspindle/program/migrate.py
+++ b/rainspindle/program/migrate.py
@@ -39,9 +39,16 @@
         holder[key] = value
 
     def lines(self) -> list[str]:
-        return [f"{what}: {line}" for what, lines in (
-            ("carried", self.carried), ("changed", self.changed), ("not carried over", self.left),
-            ("to fill in", self.wanted)) for line in lines]
+        return [
+            f"{what}: {line}"
+            for what, lines in (
+                ("carried", self.carried),
+                ("changed", self.changed),
+                ("not carried over", self.left),
+                ("to fill in", self.wanted),
+            )
+            for line in lines
+        ]
 
 
 def shown(value: Any) -> str:
@@ -53,14 +60,17 @@
     return settings.get("discovery") == "pushed" and bool(settings["policy-limits"].get("peers"))
 
 
-def migrate(old: dict[str, Any], listen: str | None, others: Sequence[str], kinds: Sequence[str],
-            weights: str) -> Migration:
+def migrate(
+    old: dict[str, Any], listen: str | None, others: Sequence[str], kinds: Sequence[str], weights: str
+) -> Migration:
     settings = dict(old["settings"])
     made = Migration({key: old[key] for key in KNOWN if key in old} | {"settings": settings})
     made.left += [f"{key}: an unknown key" for key in old if key not in KNOWN]
     if settings.get("weight-kind") in ("nominal", "rough"):
-        made.left.append(f"settings.weight-kind {settings['weight-kind']}: the new list tells no sizes, they "
-                         "are learnt by kind; the first seconds go without")
+        made.left.append(
+            f"settings.weight-kind {settings['weight-kind']}: the new list tells no sizes, they "
+            "are learnt by kind; the first seconds go without"
+        )
     made.change(settings, "discovery", "pushed")
     made.change(settings, "weight-kind", weights)
     limits = settings["policy-limits"] = dict(settings["policy-limits"])
@@ -78,12 +88,20 @@
         made.wanted.append("settings.tenants: with allowance-per-s, where shares are to be kept")
     made.wanted.append("settings.contract, settings.traffic-types, settings.prices: the new figures")
     types = settings["traffic-types"] = [dict(kind) for kind in settings["traffic-types"]]
-    made.left += [f"settings.traffic-types[{n}].{key} {kind.pop(key)}: read no longer"
-                  for n, kind in enumerate(types) for key in UNREAD if key in kind]
+    made.left += [
+        f"settings.traffic-types[{n}].{key} {kind.pop(key)}: read no longer"
+        for n, kind in enumerate(types)
+        for key in UNREAD
+        if key in kind
+    ]
     entries = (old.get("known") or {}).get("instances", [])
     if any("weight" in entry for entry in entries):
-        made.new["known"] = {**old["known"], "instances": [
-            {key: value for key, value in entry.items() if key != "weight"} for entry in entries]}
+        made.new["known"] = {
+            **old["known"],
+            "instances": [
+                {key: value for key, value in entry.items() if key != "weight"} for entry in entries
+            ],
+        }
         made.left.append(f"known.instances[].weight: of {len(entries)} endpoints")
     touched = {line.partition(":")[0] for line in made.changed} | {"settings.policy-limits"}
     made.carried += [key for key in made.new if key not in ("settings", "peers")]
@@ -123,19 +141,34 @@
     check(options.output, made.new)
     if not options.dry_run:
         try:
-            write(target, orjson.dumps(made.new, option=orjson.OPT_INDENT_2) + b"\n",
-                  stat.S_IMODE(source.stat().st_mode), options.force)
+            write(
+                target,
+                orjson.dumps(made.new, option=orjson.OPT_INDENT_2) + b"\n",
+                stat.S_IMODE(source.stat().st_mode),
+                options.force,
+            )
         except OSError as fault:
-            raise Unopened(f"{target}: {fault.strerror}",
-                           "name one in a folder that may be written, or --force one that is there") from None
+            raise Unopened(
+                f"{target}: {fault.strerror}",
+                "name one in a folder that may be written, or --force one that is there",
+            ) from None
     report(options, "would be written" if options.dry_run else "written", made)
     return 0
 
 
 def report(options: argparse.Namespace, what: str, made: Migration) -> None:
     if options.json:
-        print(orjson.dumps({
-            "output": options.output, "result": what, "carried": made.carried, "changed": made.changed,
-            "not_carried": made.left, "to_fill_in": made.wanted}).decode())
+        print(
+            orjson.dumps(
+                {
+                    "output": options.output,
+                    "result": what,
+                    "carried": made.carried,
+                    "changed": made.changed,
+                    "not_carried": made.left,
+                    "to_fill_in": made.wanted,
+                }
+            ).decode()
+        )
     else:
         print("\n".join([f"{options.output}: {what}", *made.lines()]))
--- a/rainspindle/program/mysql.py
+++ b/rainspindle/program/mysql.py
@@ -34,8 +34,15 @@
         return self.back
 
     def make_front(self, most_clients: int) -> Front:
-        self.mysql_front = MysqlFront(self.loop, self.core, self.taker(), self.back, self.statements(),
-                                      self.mysql.users, self.mysql.most_clients)
+        self.mysql_front = MysqlFront(
+            self.loop,
+            self.core,
+            self.taker(),
+            self.back,
+            self.statements(),
+            self.mysql.users,
+            self.mysql.most_clients,
+        )
         return self.mysql_front
 
     def statements(self) -> Statements:
@@ -61,9 +68,16 @@
         self.mysql_front.users, self.mysql_front.most_clients = new.users, new.most_clients
         self.mysql_front.statements = self.statements()
         self.servers.most_each = new.most_each
-        log.info("front's file read again", extra={"fields": {
-            "users": len(new.users), "rules": len(new.rules),
-            "needs_restart": "rules" if rules_wait else "nothing"}})
+        log.info(
+            "front's file read again",
+            extra={
+                "fields": {
+                    "users": len(new.users),
+                    "rules": len(new.rules),
+                    "needs_restart": "rules" if rules_wait else "nothing",
+                }
+            },
+        )
 
     def settings_differ(self, new: MysqlConfig) -> bool:
         """Whether the traffic types of a new file are others than those that this process runs by."""
--- a/rainspindle/program/mysql_config.py
+++ b/rainspindle/program/mysql_config.py
@@ -15,8 +15,19 @@
 from .config import Config, ConfigFault, load
 from .tables import read_secret, read_toml, shape
 
-KINDS = ("select", "insert", "replace", "update", "delete", "call", "show", "definition", "begin", "commit",
-         "rollback")
+KINDS = (
+    "select",
+    "insert",
+    "replace",
+    "update",
+    "delete",
+    "call",
+    "show",
+    "definition",
+    "begin",
+    "commit",
+    "rollback",
+)
 KEYS = ("session", "user", "hint", "none")
 KEYS_OF = ("column", "parameter", "literal")
 
@@ -81,11 +92,20 @@
     if faults or sidecar is None:
         raise ConfigFault("\n".join(f"{path}: {fault}" for fault in faults))
     names = sidecar.settings.type_names
-    rules = tuple(Rule(names.index(r.traffic_type), frozenset(r.kinds),
-                       frozenset(t.lower() for t in r.tables), r.key) for r in file.rules)
+    rules = tuple(
+        Rule(names.index(r.traffic_type), frozenset(r.kinds), frozenset(t.lower() for t in r.tables), r.key)
+        for r in file.rules
+    )
     listen = parse_address(file.mysql.listen)
-    return MysqlConfig(listen, names.index(file.mysql.default), file.mysql.most_clients, file.mysql.most_each,
-                       users, rules, replace(sidecar, listen=listen))
+    return MysqlConfig(
+        listen,
+        names.index(file.mysql.default),
+        file.mysql.most_clients,
+        file.mysql.most_each,
+        users,
+        rules,
+        replace(sidecar, listen=listen),
+    )
 
 
 def unfit(file: File, sidecar: Config | None) -> Iterator[str]:
@@ -93,8 +113,10 @@
         parse_address(file.mysql.listen)
     except ValueError as fault:
         yield f"mysql.listen: {fault}"
-    for at, value, most in (("most_clients", file.mysql.most_clients, 20000),
-                            ("most_each", file.mysql.most_each, 1000)):
+    for at, value, most in (
+        ("most_clients", file.mysql.most_clients, 20000),
+        ("most_each", file.mysql.most_each, 1000),
+    ):
         if not 1 <= value <= most:
             yield f"mysql.{at}: is {value}; expected 1 to {most}"
     if not file.users:
@@ -106,8 +128,10 @@
         how, _, what = rule.key.partition(":")
         numbered = bool(what) and (how == "column" or what.isdecimal())
         if not (how in KEYS and not what) and not (how in KEYS_OF and numbered):
-            yield (f"rules[{n}].key: is {rule.key!r}; expected {', '.join(KEYS)}, column:NAME, "
-                   "parameter:N or literal:N")
+            yield (
+                f"rules[{n}].key: is {rule.key!r}; expected {', '.join(KEYS)}, column:NAME, "
+                "parameter:N or literal:N"
+            )
     if sidecar is not None:
         names = sidecar.settings.type_names
         types: list[tuple[str, Any]] = [("mysql.default", file.mysql.default)]
@@ -116,5 +140,6 @@
             if name not in names:
                 yield f"{at}: {name!r} is none of {', '.join(names)}"
         if file.mysql.default in names and not sidecar.settings.binding[names.index(file.mysql.default)]:
-            yield (f"mysql.default: {file.mysql.default!r} is not binding; what fits no rule must not "
-                   "run twice")
+            yield (
+                f"mysql.default: {file.mysql.default!r} is not binding; what fits no rule must not run twice"
+            )
--- a/rainspindle/program/operation.py
+++ b/rainspindle/program/operation.py
@@ -85,9 +85,15 @@
 class Operation:
     """Takes the staff's calls; `leave_out` and `drain` put into force what has changed."""
 
-    def __init__(self, name: str, folder: str | None, leave_out: Callable[[str, bool], None],
-                 drain: Callable[[bool], None], serves: Callable[[], bool],
-                 learnt: Callable[[], dict[str, Any]]) -> None:
+    def __init__(
+        self,
+        name: str,
+        folder: str | None,
+        leave_out: Callable[[str, bool], None],
+        drain: Callable[[bool], None],
+        serves: Callable[[], bool],
+        learnt: Callable[[], dict[str, Any]],
+    ) -> None:
         """`folder` is shared with a successor; without one, orders end with the process. `learnt` gives what
         a successor may go on from."""
         self.learnt = learnt
@@ -205,8 +211,10 @@
             self.file.write(orjson.dumps(self.orders.plain()), self.tag)
         except OSError as fault:
             if not self.write_failed:  # it is tried again ten times a second
-                log.error("orders cannot be written", extra={"fields": {
-                    "file": self.file.path, **told(fault, Unwritten)}})
+                log.error(
+                    "orders cannot be written",
+                    extra={"fields": {"file": self.file.path, **told(fault, Unwritten)}},
+                )
             self.unsaved = self.write_failed = True
             return
         self.unsaved = self.write_failed = False
@@ -233,5 +241,9 @@
         if self.orders.give(matter, out):
             self.put_into_force(matter)
             self.save()
-        return 200, {Act.DISABLE: "left out", Act.ENABLE: "put back", Act.DRAIN: "drained",
-                     Act.RESUME: "taking clients"}[order.act]
+        return 200, {
+            Act.DISABLE: "left out",
+            Act.ENABLE: "put back",
+            Act.DRAIN: "drained",
+            Act.RESUME: "taking clients",
+        }[order.act]
--- a/rainspindle/program/serve.py
+++ b/rainspindle/program/serve.py
@@ -120,8 +120,12 @@
 class FleetSide(Protocol):
     """What a sidecar needs of its fleet, where the operator's own file names one."""
 
-    def make_core(self, make_back: Callable[[Directory], Back], on_watch: Callable[[], None],
-                  on_tick: Callable[[], None]) -> Core: ...
+    def make_core(
+        self,
+        make_back: Callable[[Directory], Back],
+        on_watch: Callable[[], None],
+        on_tick: Callable[[], None],
+    ) -> Core: ...
 
     def taker(self, core: Core) -> Taker: ...
 
@@ -147,8 +151,12 @@
     streams = True  # whether long bodies go on piece by piece
     fleet: FleetSide | None = None
 
-    def __init__(self, config: Config, load: Callable[[], Config],
-                 make_fleet: Callable[[Loop, Config, Callable[[], bool]], FleetSide] | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        load: Callable[[], Config],
+        make_fleet: Callable[[Loop, Config, Callable[[], bool]], FleetSide] | None = None,
+    ) -> None:
         """`load` reads the configuration again; `make_fleet` is told how to know whether a successor runs."""
         self.config, self.load = config, load
         self.loop = Loop(self.fault)
@@ -158,15 +166,28 @@
         self.faults = self.unread = 0
         clients, connections = caps(config)
         self.pool = Pool(self.loop, connections, config.settings.idle_time)
-        self.follower = Follower(self.loop, config.discovery, config.decoder,
-                                 config.settings.ask_within, config.known, pushed=not config.asks_list)
+        self.follower = Follower(
+            self.loop,
+            config.discovery,
+            config.decoder,
+            config.settings.ask_within,
+            config.known,
+            pushed=not config.asks_list,
+        )
         if make_fleet is not None:
             self.fleet = make_fleet(self.loop, config, lambda: self.operation.successor())
             self.core = self.fleet.make_core(self.make_back, self.follower.want, self.each_tick)
         else:
             directory = Directory()
-            self.core = Core(self.loop, config.facade(self.loop.now()), config.settings, directory,
-                             self.make_back(directory), self.follower.want, self.each_tick)
+            self.core = Core(
+                self.loop,
+                config.facade(self.loop.now()),
+                config.settings,
+                directory,
+                self.make_back(directory),
+                self.follower.want,
+                self.each_tick,
+            )
         self.front: Front = self.make_front(clients)
         known = config.known
         if known.lines:
@@ -176,22 +197,35 @@
         if config.deaf:
             log.warning(DEAF)
         if usable_sockets(config.sockets) < config.sockets:
-            log.warning("fewer descriptors than limits.sockets", extra={"fields": {
-                "limit": usable_sockets(config.sockets), "configured": config.sockets}})
+            log.warning(
+                "fewer descriptors than limits.sockets",
+                extra={"fields": {"limit": usable_sockets(config.sockets), "configured": config.sockets}},
+            )
         if config.peers is not None:
-            self.peers = Datagrams(self.loop, config.peers.listen, config.peers.others, self.heard_peer,
-                                   shared=config.console is not None)
+            self.peers = Datagrams(
+                self.loop,
+                config.peers.listen,
+                config.peers.others,
+                self.heard_peer,
+                shared=config.console is not None,
+            )
             self.core.tell = self.peers.tell
         elif self.fleet is not None:
             self.fleet.carry_words(self.core, self.heard_peer)
         self.stages = Stages(min(max(config.settings.expiries), MOST_LEAVING))
-        self.listener = Listener(self.loop, config.listen, self.front.accepted, self.make_room,
-                                 shared=config.console is not None)
+        self.listener = Listener(
+            self.loop, config.listen, self.front.accepted, self.make_room, shared=config.console is not None
+        )
         self.console: ConsoleFront | None = None
         # Only where staff can call is there anything to share with a process beside this one.
-        self.operation = Operation(config.name, os.environ.get("TMPDIR") if config.console else None,
-                                   self.core.leave_out, self.drained, self.serves,
-                                   lambda: self.core.facade.give(self.loop.now()))
+        self.operation = Operation(
+            config.name,
+            os.environ.get("TMPDIR") if config.console else None,
+            self.core.leave_out,
+            self.drained,
+            self.serves,
+            lambda: self.core.facade.give(self.loop.now()),
+        )
         if config.console is not None:
             self.console = ConsoleFront(self.loop, config.console, self.operation.call, self.fleet_call)
         self.loop.make_room = self.make_room
@@ -208,8 +242,14 @@
         return HttpBack(self.loop, self.pool, self.config.settings, directory)
 
     def make_front(self, most_clients: int) -> Front:
-        return HttpFront(self.loop, self.core, self.taker(), self.pool, most_clients,
-                         room(self.config) if self.streams else 0)
+        return HttpFront(
+            self.loop,
+            self.core,
+            self.taker(),
+            self.pool,
+            most_clients,
+            room(self.config) if self.streams else 0,
+        )
 
     def make_room(self) -> bool:
         """Closes the connection that can best be spared, for whoever is left without a descriptor.
@@ -233,8 +273,9 @@
     def fleet_call(self, call: FleetCall) -> tuple[int, str]:
         """Status and JSON of what staff ask about the fleet."""
         if self.fleet is None:
-            return 404, orjson.dumps({"error": "this sidecar has no fleet file",
-                                      "remedy": "start it with serve --fleet FILE"}).decode()
+            return 404, orjson.dumps(
+                {"error": "this sidecar has no fleet file", "remedy": "start it with serve --fleet FILE"}
+            ).decode()
         answer: Answered = self.fleet.call(call)
         return answer.status, orjson.dumps(answer.body).decode()
 
@@ -250,8 +291,12 @@
         self.operation.listed(list(change.addresses))
 
     def serves(self) -> bool:
-        return (self.core.listed and self.listener.open and not self.stages.ending
-                and self.loop.now() >= self.front.ready_from)
+        return (
+            self.core.listed
+            and self.listener.open
+            and not self.stages.ending
+            and self.loop.now() >= self.front.ready_from
+        )
 
     def drained(self, out: bool) -> None:
         """An order of the staff."""
@@ -261,8 +306,10 @@
 
     def staged(self, now: float) -> None:
         """The stage has changed."""
-        log.info(self.stages.stage.value, extra={"fields": {"held": len(self.core.held),
-                                                            "clients": len(self.front.clients)}})
+        log.info(
+            self.stages.stage.value,
+            extra={"fields": {"held": len(self.core.held), "clients": len(self.front.clients)}},
+        )
         self.core.answer_by(self.stages.last_answer)
         self.follow_stage(now)
         self.overseer.wake()
@@ -286,8 +333,12 @@
     def fault(self, fault: BaseException) -> None:
         self.faults += 1
         where = traceback.extract_tb(fault.__traceback__)[-1]
-        log.error("fault", extra={"fields": {
-            "kind": type(fault).__name__, "text": fault, "at": f"{where.name}:{where.lineno}"}})
+        log.error(
+            "fault",
+            extra={
+                "fields": {"kind": type(fault).__name__, "text": fault, "at": f"{where.name}:{where.lineno}"}
+            },
+        )
 
     def signalled(self, number: int) -> None:
         if number == signal.SIGHUP:
@@ -306,16 +357,27 @@
             log.error("configuration refused, the old one stays", extra={"fields": fault.fields()})
             return
         running = self.config
-        later = [name for name in ("name", "listen", "raw_settings", "console", "peers")
-                 if getattr(running, name) != getattr(new, name)]
+        later = [
+            name
+            for name in ("name", "listen", "raw_settings", "console", "peers")
+            if getattr(running, name) != getattr(new, name)
+        ]
         # Guards against two configurations mixed: what needs a restart stays as this process was started by.
-        self.config = replace(running, discovery=new.discovery, cores=new.cores, sockets=new.sockets,
-                              memory_mb=new.memory_mb)
+        self.config = replace(
+            running, discovery=new.discovery, cores=new.cores, sockets=new.sockets, memory_mb=new.memory_mb
+        )
         self.apply_limits()
         self.follower.move(new.discovery)
-        log.info("configuration read again", extra={"fields": {
-            "discovery": address_text(new.discovery), "sockets": new.sockets,
-            "needs_restart": ",".join(later).replace("raw_", "") or "nothing"}})
+        log.info(
+            "configuration read again",
+            extra={
+                "fields": {
+                    "discovery": address_text(new.discovery),
+                    "sockets": new.sockets,
+                    "needs_restart": ",".join(later).replace("raw_", "") or "nothing",
+                }
+            },
+        )
         if self.fleet is not None:
             self.fleet.reload(self.config)
 
@@ -331,8 +393,12 @@
         while True:
             now = self.loop.now()
             waits = self.fleet_waits(now)
-            if not self.listener.open and not self.listener.closed and not waits and (
-                    not self.operation.predecessor or self.can_serve(now)):
+            if (
+                not self.listener.open
+                and not self.listener.closed
+                and not waits
+                and (not self.operation.predecessor or self.can_serve(now))
+            ):
                 self.open_door()
             self.operation.look()
             self.follow_stage(now)
@@ -357,20 +423,28 @@
     def can_serve(self, now: float) -> bool:
         """For a successor: the list is told anew, unless nobody tells it."""
         return self.core.listed and now >= max(
-            self.front.ready_from, -math.inf if self.told else self.began + LIST_TIME)
+            self.front.ready_from, -math.inf if self.told else self.began + LIST_TIME
+        )
 
     def open_door(self) -> None:
         """Guards against clients that come to a process which cannot serve while another one can."""
-        self.operation.inherit(
-            lambda learnt: self.core.apply(self.core.facade.take(self.loop.now(), learnt)))
+        self.operation.inherit(lambda learnt: self.core.apply(self.core.facade.take(self.loop.now(), learnt)))
         self.listener.listen()
         led = self.operation.predecessor and self.listener.lead_here()
         self.operation.come()
         if self.operation.predecessor:  # both together are within the limits
             self.alone_at = self.loop.now() + OVERLAP
             self.apply_limits()
-        log.info("serving", extra={"fields": {"listen": address_text(self.listener.address),
-                                              "beside": self.operation.predecessor, "all_new": led}})
+        log.info(
+            "serving",
+            extra={
+                "fields": {
+                    "listen": address_text(self.listener.address),
+                    "beside": self.operation.predecessor,
+                    "all_new": led,
+                }
+            },
+        )
 
     def run(self) -> None:
         # Guards against clients that begin while the start's own CPU is charged: with part of a core the
--- a/rainspindle/protocol/application.py
+++ b/rainspindle/protocol/application.py
@@ -16,8 +16,22 @@
 
 REJECTED, TERMINATED = 503, 502
 METHODS = (b"GET /", b"POST /", b"PUT /", b"HEAD /", b"DELETE /", b"PATCH /", b"OPTIONS ")
-OWN = frozenset((b"host", b"x-timeout-ms", b"content-length", b"transfer-encoding", b"connection", b"expect",
-                 b"keep-alive", b"te", b"trailer", b"upgrade", b"proxy-authorization", b"proxy-connection"))
+OWN = frozenset(
+    (
+        b"host",
+        b"x-timeout-ms",
+        b"content-length",
+        b"transfer-encoding",
+        b"connection",
+        b"expect",
+        b"keep-alive",
+        b"te",
+        b"trailer",
+        b"upgrade",
+        b"proxy-authorization",
+        b"proxy-connection",
+    )
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,8 +99,9 @@
     """All but those that belong to one connection or are written anew for each forward.
 
     Guards against dropping the mark of a fingerprinted exchange, or one that we have no use for."""
-    named = {word.strip().lower() for name, value in headers if name == b"connection"
-             for word in value.split(b",")}
+    named = {
+        word.strip().lower() for name, value in headers if name == b"connection" for word in value.split(b",")
+    }
     return tuple((name, value) for name, value in headers if name not in OWN and name not in named)
 
 
@@ -187,7 +202,7 @@
         assert self.request is not None
         follows = b"" if more else connection.trailing_data[0]
         # Guards against a body longer than its length: the rest would be read as a request.
-        if follows and not any(word.startswith(follows[:len(word)]) for word in METHODS):
+        if follows and not any(word.startswith(follows[: len(word)]) for word in METHODS):
             return Bad(400, "more bytes than belong to the request")
         body, self.body = bytes(self.body), bytearray()
         return self.decode(self.request.method, self.request.target, tuple(self.request.headers), body, more)
@@ -212,8 +227,9 @@
             raise Cut(413, f"a body over {self.most} bytes")
         return bytes(event.data)
 
-    def decode(self, method: bytes, target: bytes, all_headers: plain.Headers, body: bytes,
-               more: bool = False) -> Message:
+    def decode(
+        self, method: bytes, target: bytes, all_headers: plain.Headers, body: bytes, more: bool = False
+    ) -> Message:
         headers = dict(all_headers)
         path = target.partition(b"?")[0]
         if path == b"/ready":
@@ -231,18 +247,28 @@
             predicted, tenant = further.get("predicted"), further.get("billing")
             hint = number(cost) / 1e6 if cost else number(predicted) / 1000 if predicted else None
             return Ask(
-                id, method, target, body, going_on(all_headers), self.types[name],
+                id,
+                method,
+                target,
+                body,
+                going_on(all_headers),
+                self.types[name],
                 cookie(headers.get(b"cookie", b""), "user"),
-                None if wait is None else number(wait.decode("latin-1")) / 1000, hint,
-                headers.get(b"x-retried") == b"1", int(number(tenant)) if tenant else None, more,
-                int(headers[b"content-length"]) if more and b"content-length" in headers else None)
+                None if wait is None else number(wait.decode("latin-1")) / 1000,
+                hint,
+                headers.get(b"x-retried") == b"1",
+                int(number(tenant)) if tenant else None,
+                more,
+                int(headers[b"content-length"]) if more and b"content-length" in headers else None,
+            )
         except ValueError:
             return Bad(400, "X-Timeout-Ms, X-Cost or X-Attrs is not a number")
 
     # Answers.
 
-    def finished(self, body: bytes, headers: Sequence[tuple[bytes, bytes]], close: bool,
-                 length: int | None = None) -> bytes:
+    def finished(
+        self, body: bytes, headers: Sequence[tuple[bytes, bytes]], close: bool, length: int | None = None
+    ) -> bytes:
         """`length` is told to who asked for the head alone, where the endpoint told it."""
         return self.answer(200, body, close, headers, length)
 
@@ -250,13 +276,20 @@
         headers = [(b"Retry-After", f"{hold_off:.3f}".encode())] if hold_off > 0 else []
         return self.answer(REJECTED, b"", close, headers)
 
-    def answer(self, status: int, body: bytes, close: bool,
-               headers: Sequence[tuple[bytes, bytes]] = (), length: int | None = None) -> bytes:
+    def answer(
+        self,
+        status: int,
+        body: bytes,
+        close: bool,
+        headers: Sequence[tuple[bytes, bytes]] = (),
+        length: int | None = None,
+    ) -> bytes:
         length = length if length is not None and self.asked_head() else len(body)
         return self.head(status, headers, length, close) + (b"" if self.asked_head() else body)
 
-    def head(self, status: int, headers: Sequence[tuple[bytes, bytes]], length: int | None, close: bool
-             ) -> bytes:
+    def head(
+        self, status: int, headers: Sequence[tuple[bytes, bytes]], length: int | None, close: bool
+    ) -> bytes:
         """The head of an answer; without a length its body goes in chunks, or ends with the connection."""
         all_headers = list(headers)
         if length is not None:
--- a/rainspindle/protocol/client.py
+++ b/rainspindle/protocol/client.py
@@ -55,8 +55,13 @@
 
     def flows(self) -> bool:
         """Whether an answer has begun that is to be given out piece by piece: it is long, or nobody knows."""
-        return self.response is not None and self.response.status_code == 200 and self.most_stream > 0 \
-            and self.method != b"HEAD" and (self.length() is None or (self.length() or 0) > self.most)
+        return (
+            self.response is not None
+            and self.response.status_code == 200
+            and self.most_stream > 0
+            and self.method != b"HEAD"
+            and (self.length() is None or (self.length() or 0) > self.most)
+        )
 
     def take(self) -> bytes:
         """What has come of the body since the last call."""
@@ -69,7 +74,7 @@
             found = plain.answer(data, MOST_HEAD, self.most) if self.method != b"HEAD" else None
             if found is not None:
                 return Reply(*found, reusable=True)
-            if data and not data.startswith(BEGINS[:len(data)]):
+            if data and not data.startswith(BEGINS[: len(data)]):
                 raise Unreadable("not an answer from its first byte on")
             self.connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
             self.connection.send(h11.Request(method=self.method, target=b"/", headers=[(b"Host", b"h")]))
--- a/rainspindle/protocol/console.py
+++ b/rainspindle/protocol/console.py
@@ -92,11 +92,11 @@
         except h11.RemoteProtocolError as fault:
             return No(fault.error_status_hint, str(fault))
 
-    def answer(self, status: int, text: str, allow: str = "",
-               kind: bytes = b"text/plain; charset=utf-8") -> bytes:
+    def answer(
+        self, status: int, text: str, allow: str = "", kind: bytes = b"text/plain; charset=utf-8"
+    ) -> bytes:
         body = text.encode() + b"\n"
-        headers = [(b"Content-Type", kind), (b"Content-Length", b"%d" % len(body)),
-                   (b"Connection", b"close")]
+        headers = [(b"Content-Type", kind), (b"Content-Length", b"%d" % len(body)), (b"Connection", b"close")]
         if allow:
             headers.append((b"Allow", allow.encode()))
         asked_head = self.request is not None and self.request.method == b"HEAD"
@@ -124,6 +124,7 @@
     endpoint = ENDPOINT.fullmatch(path)
     if endpoint is not None:
         from urllib.parse import unquote  # here, as a start need not pay for it
+
         try:
             id = unquote(endpoint[1], errors="strict")
         except UnicodeDecodeError:
@@ -142,12 +143,14 @@
 
 def decode_fleet(method: str, path: str, query: str) -> FleetCall | No:
     from urllib.parse import parse_qsl, unquote  # here, as a start need not pay for it
+
     try:
         parts = tuple(unquote(part, errors="strict") for part in path.split("/")[2:])
         fields = parse_qsl(query, keep_blank_values=True, errors="strict", max_num_fields=MOST_FIELDS)
     except ValueError:
-        return No(400, f"a path or query that is not text, or of over {MOST_FIELDS} fields",
-                  remedy=FLEET_PAGES)
+        return No(
+            400, f"a path or query that is not text, or of over {MOST_FIELDS} fields", remedy=FLEET_PAGES
+        )
     if any(len(text) > LONGEST_ID for text in (*parts, *(t for pair in fields for t in pair))):
         return No(400, f"a name or value of over {LONGEST_ID} characters", remedy=FLEET_PAGES)
     if len(dict(fields)) != len(fields):
--- a/rainspindle/protocol/discovery.py
+++ b/rainspindle/protocol/discovery.py
@@ -37,10 +37,12 @@
     def decode(self, message: Any) -> ListChange:
         try:
             entries = message["instances"]
-            return ListChange(int(message["generation"]), bool(message["reset"]),
-                              tuple(self.line(e) for e in entries),
-                              {e["instanceId"]: parse_address(e["hostPort"])
-                               for e in entries if e.get("hostPort")})
+            return ListChange(
+                int(message["generation"]),
+                bool(message["reset"]),
+                tuple(self.line(e) for e in entries),
+                {e["instanceId"]: parse_address(e["hostPort"]) for e in entries if e.get("hostPort")},
+            )
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as fault:
             raise Unreadable(f"not a list: {type(fault).__name__} {fault}") from None
 
@@ -52,10 +54,15 @@
 
     def line(self, e: dict[str, Any]) -> Listed:
         weight, started = e.get("weight"), e.get("startedAtMs")
-        return Listed(str(e["instanceId"]), int(e.get("cell") or 0), self.zone(e.get("zone") or ""),
-                      1.0 if weight is None else float(weight), STATES[e["lifecycle"]],
-                      started / 1000 + self.clock_offset if started else None,
-                      self.kinds.get(e.get("machineType") or "", len(self.kinds)))
+        return Listed(
+            str(e["instanceId"]),
+            int(e.get("cell") or 0),
+            self.zone(e.get("zone") or ""),
+            1.0 if weight is None else float(weight),
+            STATES[e["lifecycle"]],
+            started / 1000 + self.clock_offset if started else None,
+            self.kinds.get(e.get("machineType") or "", len(self.kinds)),
+        )
 
 
 class DiscoverySide:
--- a/rainspindle/protocol/endpoint.py
+++ b/rainspindle/protocol/endpoint.py
@@ -37,8 +37,9 @@
         elif ask.body or ask.method not in (b"GET", b"HEAD"):
             length = ask.length if ask.more else len(ask.body)
             headers.append((b"Content-Length", b"%d" % (length or 0)))
-        return self.call.request(ask.method, ask.target, headers,
-                                 self.piece(ask.body) if self.chunked else ask.body)
+        return self.call.request(
+            ask.method, ask.target, headers, self.piece(ask.body) if self.chunked else ask.body
+        )
 
     def piece(self, data: bytes) -> bytes:
         """A further part of the body, b"" for its end."""
@@ -47,9 +48,17 @@
     def receive(self, data: bytes) -> Answered | None:
         """Takes what has come; gives the end once the answer is whole. Raises Unreadable."""
         reply = self.call.receive(data)
-        return None if reply is None else Answered(
-            outcome(reply), going_on(reply.headers), reply.body, reply.reusable,
-            self.call.length() if self.call.method == b"HEAD" else None)
+        return (
+            None
+            if reply is None
+            else Answered(
+                outcome(reply),
+                going_on(reply.headers),
+                reply.body,
+                reply.reusable,
+                self.call.length() if self.call.method == b"HEAD" else None,
+            )
+        )
 
 
 def chunk(data: bytes) -> bytes:
--- a/rainspindle/protocol/evidence.py
+++ b/rainspindle/protocol/evidence.py
@@ -58,8 +58,9 @@
     """Within MOST_BYTES: what is told least goes first."""
     value = encoder.encode(told)
     while len(value) > MOST_BYTES and (told.held or told.keys or told.out):
-        told = msgspec.structs.replace(told, held=[], **(
-            {"keys": told.keys[:-2]} if told.keys else {"out": told.out[:-1]}))
+        told = msgspec.structs.replace(
+            told, held=[], **({"keys": told.keys[:-2]} if told.keys else {"out": told.out[:-1]})
+        )
         value = encoder.encode(told)
     return value
 
--- a/rainspindle/protocol/keep.py
+++ b/rainspindle/protocol/keep.py
@@ -62,8 +62,11 @@
         raise UnreadableKept(f"no word for a start: {fault}") from None
     if word.version < 1 or word.ready < 0 or len(word.out) % MARK or len(word.slow) % SLOW.size:
         raise UnreadableKept("no word for a start: cut")
-    return Told(word.ready, tuple(word.out[n:n + MARK] for n in range(0, len(word.out), MARK)),
-                {m: ms / 1000 for m, ms in SLOW.iter_unpack(word.slow)})
+    return Told(
+        word.ready,
+        tuple(word.out[n : n + MARK] for n in range(0, len(word.out), MARK)),
+        {m: ms / 1000 for m, ms in SLOW.iter_unpack(word.slow)},
+    )
 
 
 class OwnCell(msgspec.Struct, array_like=True, frozen=True):
--- a/rainspindle/protocol/link/frames.py
+++ b/rainspindle/protocol/link/frames.py
@@ -135,8 +135,9 @@
     name: str
 
 
-Any = (Hello | Proof | Open | Data | Answer | Revoke | Revoked | Cancel | Credit | Ping | Pong | Goodbye
-       | Fault)
+Any = (
+    Hello | Proof | Open | Data | Answer | Revoke | Revoked | Cancel | Credit | Ping | Pong | Goodbye | Fault
+)
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Any)
@@ -166,7 +167,7 @@
                 break
             at += HEAD.size
             try:
-                found.append(DECODER.decode(memoryview(self.buffer)[at:at + size]))
+                found.append(DECODER.decode(memoryview(self.buffer)[at : at + size]))
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
                 raise LinkFault("frame_unreadable", str(fault)[:200]) from None
             at += size
--- a/rainspindle/protocol/link/session.py
+++ b/rainspindle/protocol/link/session.py
@@ -110,8 +110,16 @@
 
 
 class Session:
-    def __init__(self, now: float, site: str, epoch: int, keys: Sequence[bytes], dialer: bool,
-                 expected: str = "", stall: float = STALL) -> None:
+    def __init__(
+        self,
+        now: float,
+        site: str,
+        epoch: int,
+        keys: Sequence[bytes],
+        dialer: bool,
+        expected: str = "",
+        stall: float = STALL,
+    ) -> None:
         """`keys` are the valid ones, the first of them the current; `expected` is whom a dialer calls; after
         `stall` seconds a ping without an answer says that the link stalls."""
         if not 1 <= len(keys) <= MOST_KEYS:
@@ -157,8 +165,14 @@
         whatever
         is opened is not given up for a stall before as long again has passed, and what has been on its way
         for longer is not started there."""
-        return self.up and not self.peer_leaving and not self.leaving and len(self.ours) < MOST_OPEN \
-            and self.waiting < MOST_WAITING and not (self.pinged and now - self.ping_sent > self.stall / 2)
+        return (
+            self.up
+            and not self.peer_leaving
+            and not self.leaving
+            and len(self.ours) < MOST_OPEN
+            and self.waiting < MOST_WAITING
+            and not (self.pinged and now - self.ping_sent > self.stall / 2)
+        )
 
     def open(self, frame: f.Open, body: bytes) -> None:
         assert self.ready(frame.sent) and frame.size == len(body)
@@ -412,8 +426,9 @@
             # A peer whose clock was not measured lately is taken to be late: nothing of it starts.
             assert self.peer is not None
             sent = -math.inf if offset is None else body.head.sent + offset
-            events.append(Came(body.head, bytes(body.body), sent + body.head.left,
-                               now - sent > self.peer.stall / 2))
+            events.append(
+                Came(body.head, bytes(body.body), sent + body.head.left, now - sent > self.peer.stall / 2)
+            )
         return True
 
     def credited(self, frame: f.Credit) -> None:
--- a/rainspindle/protocol/listing.py
+++ b/rainspindle/protocol/listing.py
@@ -115,9 +115,17 @@
     started = None if line.started is None else line.started - clock_offset
     if started is not None and abs(started - round(started, 3)) < 1e-5:
         started = round(started, 3)  # as the service told it, whatever the offset took from its last bits
-    data = msgspec.msgpack.encode(Line(
-        address_text(address) if address else "", line.cell, line.zone, line.share,
-        STATES[line.state], started, line.kind))
+    data = msgspec.msgpack.encode(
+        Line(
+            address_text(address) if address else "",
+            line.cell,
+            line.zone,
+            line.share,
+            STATES[line.state],
+            started,
+            line.kind,
+        )
+    )
     if len(data) + len(line.id.encode()) > MOST_LINE:
         raise TooLarge(f"the line of {line.id!r:.40} has over {MOST_LINE} bytes")
     return data
@@ -130,8 +138,13 @@
         if not math.isfinite(line.share) or not math.isfinite(line.started or 0.0):
             raise ValueError(f"{line.share} or {line.started} is no number")
         return Listed(
-            id, line.cell, line.zone, line.share, READ[line.state],
-            None if line.started is None else line.started + clock_offset, line.kind,
+            id,
+            line.cell,
+            line.zone,
+            line.share,
+            READ[line.state],
+            None if line.started is None else line.started + clock_offset,
+            line.kind,
         ), parse_address(line.address) if line.address else None
     except (KeyError, ValueError) as fault:
         raise UnreadableList(f"a line of the list: {fault}") from None
--- a/rainspindle/protocol/members.py
+++ b/rainspindle/protocol/members.py
@@ -98,9 +98,25 @@
 
 
 KEYS = {
-    "version": "v", "lowest": "r", "fleet": "f", "sender": "n", "life": "l", "incarnation": "i",
-    "address": "a", "number": "q", "kind": "k", "echo": "e", "target": "t", "at": "ta", "members": "m",
-    "cells": "c", "sums": "s", "wants": "x", "marks": "b", "word": "w"}
+    "version": "v",
+    "lowest": "r",
+    "fleet": "f",
+    "sender": "n",
+    "life": "l",
+    "incarnation": "i",
+    "address": "a",
+    "number": "q",
+    "kind": "k",
+    "echo": "e",
+    "target": "t",
+    "at": "ta",
+    "members": "m",
+    "cells": "c",
+    "sums": "s",
+    "wants": "x",
+    "marks": "b",
+    "word": "w",
+}
 
 
 class Message(msgspec.Struct, rename=KEYS, omit_defaults=True):
@@ -172,8 +188,11 @@
         raise why(data, fleet, str(fault)) from None
     if message.lowest > VERSION or message.fleet != fleet:
         raise why(data, fleet, "")
-    if not (is_address(message.address) and all(is_address(news.address) for news in message.members)
-            and (not message.at or is_address(message.at))):
+    if not (
+        is_address(message.address)
+        and all(is_address(news.address) for news in message.members)
+        and (not message.at or is_address(message.at))
+    ):
         raise Unreadable("an address that is none")
     return message
 
--- a/rainspindle/protocol/mysql/messages.py
+++ b/rainspindle/protocol/mysql/messages.py
@@ -64,10 +64,23 @@
     RESET_CONNECTION = 0x1F
 
 
-OURS = (Can.LONG_PASSWORD | Can.FOUND_ROWS | Can.LONG_FLAG | Can.CONNECT_WITH_DB | Can.PROTOCOL_41
-        | Can.TRANSACTIONS | Can.SECURE_CONNECTION | Can.MULTI_STATEMENTS | Can.MULTI_RESULTS
-        | Can.PS_MULTI_RESULTS | Can.PLUGIN_AUTH | Can.CONNECT_ATTRS | Can.PLUGIN_AUTH_LENENC
-        | Can.SESSION_TRACK | Can.DEPRECATE_EOF)
+OURS = (
+    Can.LONG_PASSWORD
+    | Can.FOUND_ROWS
+    | Can.LONG_FLAG
+    | Can.CONNECT_WITH_DB
+    | Can.PROTOCOL_41
+    | Can.TRANSACTIONS
+    | Can.SECURE_CONNECTION
+    | Can.MULTI_STATEMENTS
+    | Can.MULTI_RESULTS
+    | Can.PS_MULTI_RESULTS
+    | Can.PLUGIN_AUTH
+    | Can.CONNECT_ATTRS
+    | Can.PLUGIN_AUTH_LENENC
+    | Can.SESSION_TRACK
+    | Can.DEPRECATE_EOF
+)
 NEEDED = Can.PROTOCOL_41 | Can.SECURE_CONNECTION
 
 
@@ -88,10 +101,23 @@
 
     def encode(self) -> bytes:
         can = int(self.can)
-        return b"".join((
-            b"\x0a", self.version.encode(), b"\0", struct.pack("<I", self.connection), self.nonce[:8], b"\0",
-            struct.pack("<HBHH", can & 0xFFFF, self.charset, int(self.status), can >> 16), bytes((21,)),
-            bytes(10), self.nonce[8:20], b"\0", self.plugin.encode(), b"\0"))
+        return b"".join(
+            (
+                b"\x0a",
+                self.version.encode(),
+                b"\0",
+                struct.pack("<I", self.connection),
+                self.nonce[:8],
+                b"\0",
+                struct.pack("<HBHH", can & 0xFFFF, self.charset, int(self.status), can >> 16),
+                bytes((21,)),
+                bytes(10),
+                self.nonce[8:20],
+                b"\0",
+                self.plugin.encode(),
+                b"\0",
+            )
+        )
 
     @classmethod
     def decode(cls, payload: bytes) -> Greeting:
@@ -129,12 +155,19 @@
             can &= ~Can.CONNECT_WITH_DB
         can &= ~Can.CONNECT_ATTRS
         head = struct.pack("<IIB", int(can), self.most_packet, self.charset)
-        return b"".join((
-            head, bytes(23), self.user.encode(), b"\0",
-            lenenc_bytes(self.proof) if can & Can.PLUGIN_AUTH_LENENC else
-            bytes((len(self.proof),)) + self.proof,
-            self.database.encode() + b"\0" if self.database else b"",
-            self.plugin.encode() + b"\0" if can & Can.PLUGIN_AUTH else b""))
+        return b"".join(
+            (
+                head,
+                bytes(23),
+                self.user.encode(),
+                b"\0",
+                lenenc_bytes(self.proof)
+                if can & Can.PLUGIN_AUTH_LENENC
+                else bytes((len(self.proof),)) + self.proof,
+                self.database.encode() + b"\0" if self.database else b"",
+                self.plugin.encode() + b"\0" if can & Can.PLUGIN_AUTH else b"",
+            )
+        )
 
     @classmethod
     def decode(cls, payload: bytes) -> Login:
@@ -188,10 +221,15 @@
 
     def encode(self, can: Can, head: int = 0) -> bytes:
         """As the end of a result set where `head` is 0xFE."""
-        return b"".join((
-            bytes((head,)), lenenc(self.affected), lenenc(self.insert_id),
-            struct.pack("<HH", int(self.status & ~Status.SESSION_STATE_CHANGED), self.warnings),
-            lenenc_bytes(self.info) if can & Can.SESSION_TRACK and self.info else self.info))
+        return b"".join(
+            (
+                bytes((head,)),
+                lenenc(self.affected),
+                lenenc(self.insert_id),
+                struct.pack("<HH", int(self.status & ~Status.SESSION_STATE_CHANGED), self.warnings),
+                lenenc_bytes(self.info) if can & Can.SESSION_TRACK and self.info else self.info,
+            )
+        )
 
     @classmethod
     def decode(cls, payload: bytes) -> Ok:
@@ -213,7 +251,7 @@
     def decode(cls, payload: bytes) -> Err:
         c = Cursor(payload, 1)
         code, state = c.number(2), "HY000"
-        if c.left() and payload[c.at:c.at + 1] == b"#":
+        if c.left() and payload[c.at : c.at + 1] == b"#":
             c.take(1)
             state = c.take(5).decode("latin-1")
         return cls(code, state, c.rest().decode("utf-8", "replace"))
@@ -240,11 +278,18 @@
     database: str = ""
 
     def encode(self) -> bytes:
-        return b"".join((
-            lenenc_bytes(b"def"), *(lenenc_bytes(s.encode()) for s in (
-                self.database, self.table, self.table, self.name, self.name)),
-            b"\x0c", struct.pack("<HIBHB", self.charset, self.length, self.kind, self.flags, self.decimals),
-            b"\0\0"))
+        return b"".join(
+            (
+                lenenc_bytes(b"def"),
+                *(
+                    lenenc_bytes(s.encode())
+                    for s in (self.database, self.table, self.table, self.name, self.name)
+                ),
+                b"\x0c",
+                struct.pack("<HIBHB", self.charset, self.length, self.kind, self.flags, self.decimals),
+                b"\0\0",
+            )
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/rainspindle/protocol/mysql/wire.py
+++ b/rainspindle/protocol/mysql/wire.py
@@ -21,7 +21,7 @@
     """A payload as packets, the first numbered `sequence`."""
     out, at = bytearray(), 0
     while True:
-        part = payload[at:at + MOST_PACKET]
+        part = payload[at : at + MOST_PACKET]
         out += struct.pack("<I", len(part) | (sequence & 0xFF) << 24)
         out += part
         at, sequence = at + len(part), sequence + 1
@@ -55,7 +55,7 @@
 
     def receive(self, data: bytes) -> None:
         if self.at:
-            del self.buffer[:self.at]
+            del self.buffer[: self.at]
             self.at = 0
         self.buffer += data
 
@@ -71,7 +71,7 @@
             raise Malformed(f"a packet of {size} bytes; {self.most} are taken at most")
         if len(self.buffer) - self.at - HEAD < size:
             return None
-        payload = bytes(memoryview(self.buffer)[self.at + HEAD:self.at + HEAD + size])
+        payload = bytes(memoryview(self.buffer)[self.at + HEAD : self.at + HEAD + size])
         self.at += HEAD + size
         self.sequence += 1
         return Packet(sequence, payload, size == MOST_PACKET)
@@ -114,7 +114,7 @@
         if size < 0 or size > self.left():
             raise Malformed(f"{size} bytes wanted at {self.at}, {self.left()} are left")
         self.at += size
-        return self.payload[self.at - size:self.at]
+        return self.payload[self.at - size : self.at]
 
     def number(self, size: int) -> int:
         return int.from_bytes(self.take(size), "little")
@@ -134,7 +134,7 @@
         end = self.payload.find(b"\0", self.at)
         if end < 0:
             raise Malformed(f"no end of a string from {self.at} on")
-        found = self.payload[self.at:end]
+        found = self.payload[self.at : end]
         self.at = end + 1
         return found
 
--- a/rainspindle/protocol/peers.py
+++ b/rainspindle/protocol/peers.py
@@ -18,7 +18,7 @@
     most = MOST // MARK - 1
     if whole:
         return WHOLE + marks_text(began[:most])
-    return CHANGES + marks_text(began[:most]) + CHANGES + marks_text(ended[:max(0, most - len(began))])
+    return CHANGES + marks_text(began[:most]) + CHANGES + marks_text(ended[: max(0, most - len(began))])
 
 
 def marks_text(marks: Sequence[int]) -> str:
@@ -29,7 +29,7 @@
     raw = b64decode(text, validate=True)
     if len(raw) % 3:
         raise ValueError("a mark is cut")
-    return [int.from_bytes(raw[n:n + 3], "big") for n in range(0, len(raw), 3)]
+    return [int.from_bytes(raw[n : n + 3], "big") for n in range(0, len(raw), 3)]
 
 
 def encode_facts(facts: Facts) -> str:
