--- a/rainspindle/protocol/plain.py
+++ b/rainspindle/protocol/plain.py
@@ -15,9 +15,17 @@
 REQUEST = re.compile(rb"(GET|POST) ([\x21-\x7e]+) HTTP/1\.1\r\n" + FIELDS)
 ANSWER = re.compile(rb"HTTP/1\.1 ([2-5][0-9][0-9])(?: [^\x00-\x1f\x7f]*)?\r\n" + FIELDS)
 NOT_PLAIN = (b"transfer-encoding", b"expect", b"upgrade")
-REASONS = {200: b"OK", 400: b"Bad Request", 405: b"Method Not Allowed", 408: b"Request Timeout",
-           409: b"Conflict", 413: b"Content Too Large", 431: b"Request Header Fields Too Large",
-           502: b"Bad Gateway", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
 
 
 def request(data: bytes, most_head: int, most_body: int) -> tuple[bytes, bytes, Headers, bytes] | None:
@@ -27,7 +35,7 @@
         return None
     headers = fields(head[3])
     names = [name for name, _ in headers]
-    body = data[head.end():]
+    body = data[head.end() :]
     if names.count(b"host") != 1 or not whole(headers, names, len(body), most_body, bodiless=True):
         return None
     return head[1], head[2], headers, body
@@ -40,7 +48,7 @@
         return None
     headers = fields(head[2])
     names = [name for name, _ in headers]
-    body = data[head.end():]
+    body = data[head.end() :]
     if not whole(headers, names, len(body), most_body, bodiless=False):
         return None
     return int(head[1]), headers, body
@@ -57,7 +65,8 @@
 def whole(headers: Headers, names: list[bytes], length: int, most: int, bodiless: bool) -> bool:
     """Whether just the body that the headers tell of is there."""
     if any(name in names for name in NOT_PLAIN) or (
-            b"connection" in names and (b"connection", b"keep-alive") not in headers):
+        b"connection" in names and (b"connection", b"keep-alive") not in headers
+    ):
         return False
     if b"content-length" not in names:
         return bodiless and length == 0
--- a/rainspindle/protocol/settings.py
+++ b/rainspindle/protocol/settings.py
@@ -31,8 +31,13 @@
     if group not in tuple(GROUPS):
         raise ValueError(f"unknown group {group!r}")
     return TrafficType(
-        EFFECTS[t["effect"]], GROUPS[group], period(t, "promised-time"), period(t, "expiry"),
-        seconds(number(t, "memory-span", 0.0)), number(t, "value", 1.0))
+        EFFECTS[t["effect"]],
+        GROUPS[group],
+        period(t, "promised-time"),
+        period(t, "expiry"),
+        seconds(number(t, "memory-span", 0.0)),
+        number(t, "value", 1.0),
+    )
 
 
 def period(s: dict[str, Any], key: str) -> float:
@@ -167,20 +172,36 @@
     limits, contract = part(s, "policy-limits"), part(s, "contract")
     # Where gone alone does not bind, the module still sends nothing there: that is within the rule.
     soft_removal(contract)
-    budget = ColdBudget(needed(contract, "fall-multiple"), seconds(needed(contract, "tip-after")),
-                        needed(contract, "cold-from"), seconds(needed(contract, "cold")))
+    budget = ColdBudget(
+        needed(contract, "fall-multiple"),
+        seconds(needed(contract, "tip-after")),
+        needed(contract, "cold-from"),
+        seconds(needed(contract, "cold")),
+    )
     prices, weights = s.get("prices") or {}, choice(s, "weight-kind", WEIGHTS, "off")
     return Balancer(
-        host, seed, now, peers=s.get("peers-total") or 1, zone=s["zone"],
+        host,
+        seed,
+        now,
+        peers=s.get("peers-total") or 1,
+        zone=s["zone"],
         types=traffic_types(s),
-        max_forwards=most_forwards(limits), parallel=flag(limits, "parallel-tries"),
+        max_forwards=most_forwards(limits),
+        parallel=flag(limits, "parallel-tries"),
         may_call_off=flag(limits, "cancel"),
         max_hold_off=seconds(number(limits, "max-retry-after", 0.0)) if flag(limits, "retry-after") else 0.0,
-        asks_list=asks_list(s), ask_within=seconds(needed(contract, "ask-within")),
-        use_shares=weights in ("nominal", "rough"), cross_price=number(prices, "cross-zone", 0.0),
-        budget=budget, further=forward_budget(contract), tells=flag(limits, "peers"),
-        peer_price=number(prices, "peer", 0.0), allowances=allowances(s),
-        excess_value=number(s, "excess-value", 1.0), live=weights == "live")
+        asks_list=asks_list(s),
+        ask_within=seconds(needed(contract, "ask-within")),
+        use_shares=weights in ("nominal", "rough"),
+        cross_price=number(prices, "cross-zone", 0.0),
+        budget=budget,
+        further=forward_budget(contract),
+        tells=flag(limits, "peers"),
+        peer_price=number(prices, "peer", 0.0),
+        allowances=allowances(s),
+        excess_value=number(s, "excess-value", 1.0),
+        live=weights == "live",
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,11 +226,18 @@
         limits, contract, types = part(s, "policy-limits"), part(s, "contract"), traffic_types(s)
         connect_timeout = seconds(number(limits, "connect-timeout", 0.0)) or 1.0
         return SocketSettings(
-            type_names(s), tuple(t.expiry for t in types), tuple(t.effect is Effect.BINDING for t in types),
+            type_names(s),
+            tuple(t.expiry for t in types),
+            tuple(t.effect is Effect.BINDING for t in types),
             # Guards against a machine that has vanished: waiting for it must not use up the promised time.
             tuple(min(connect_timeout, CONNECT_PART * t.promised_time) for t in types),
             tuple(t.memory_span if t.effect is Effect.FINGERPRINTED else math.inf for t in types),
-            zones(s), seconds(number(limits, "conn-idle", 0.0)), seconds(needed(contract, "ask-within")),
-            seconds(needed(contract, "stop-sending-within")), kinds(s), flag(limits, "cancel"))
+            zones(s),
+            seconds(number(limits, "conn-idle", 0.0)),
+            seconds(needed(contract, "ask-within")),
+            seconds(needed(contract, "stop-sending-within")),
+            kinds(s),
+            flag(limits, "cancel"),
+        )
     except KeyError as e:
         raise ValueError(f"the settings lack {e}") from None
--- a/rainspindle/protocol/wallet.py
+++ b/rainspindle/protocol/wallet.py
@@ -124,8 +124,9 @@
     try:
         return kept_of.decode(value)
     except msgspec.MsgspecError as fault:
-        raise UnreadableWord(f"a row of a wallet: {fault}", "run the release that wrote it, or a later one"
-                             ) from None
+        raise UnreadableWord(
+            f"a row of a wallet: {fault}", "run the release that wrote it, or a later one"
+        ) from None
 
 
 def short(member: str) -> str:
--- a/rainspindle/routing/canary.py
+++ b/rainspindle/routing/canary.py
@@ -65,15 +65,25 @@
         self.hear_other: Callable[[float, str, str], bool] = lambda now, who, message: False
         super().__init__(now, make)
 
-    def pick(self, now: float, exchange: int, type_index: int, key: str | None, expires_at: float,
-             repeat: bool, coming: bool = False, tenant: int | None = None) -> Did:
+    def pick(
+        self,
+        now: float,
+        exchange: int,
+        type_index: int,
+        key: str | None,
+        expires_at: float,
+        repeat: bool,
+        coming: bool = False,
+        tenant: int | None = None,
+    ) -> Did:
         entering, self.entering = self.entering, Entering()
         balancer = self.balancer
         if entering.crossed and isinstance(balancer, Balancer) and balancer.further:
             must(isinstance(balancer.further.taken, Taken), "the sides share one budget of forwards")
             balancer.further.taken.crossing = True  # type: ignore[attr-defined]
-        did = super().pick(now, exchange, type_index + entering.types_on, key, expires_at, repeat, coming,
-                           tenant)
+        did = super().pick(
+            now, exchange, type_index + entering.types_on, key, expires_at, repeat, coming, tenant
+        )
         if entering.forwards:
             # Guards against more forwards in all than the settings allow one exchange: it has this one.
             balancer.body_spent(now, exchange)
@@ -111,16 +121,25 @@
 
     Whoever knows only a core sees one. `run` is the old side's; a `CanaryRouter` chooses."""
 
-    def __init__(self, loop: Loop, facade: SideFacade, settings: SocketSettings, directory: Directory,
-                 back: Back, on_watch: Callable[[], None], on_tick: Callable[[], None],
-                 sides: Sequence[Side]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        facade: SideFacade,
+        settings: SocketSettings,
+        directory: Directory,
+        back: Back,
+        on_watch: Callable[[], None],
+        on_tick: Callable[[], None],
+        sides: Sequence[Side],
+    ) -> None:
         self.side_facade = facade
         super().__init__(loop, facade, settings, directory, back, on_watch, on_tick)
         self.sides = {side.name: side for side in sides}
         self.facades: dict[str, SideFacade] = {"": facade, **{side.name: side.facade for side in sides}}
         # Only the old side asks for the list, and is told that a watch failed: there is one list.
-        self.further = {side.name: Core(loop, side.facade, settings, side.directory, side.back, nothing)
-                        for side in sides}
+        self.further = {
+            side.name: Core(loop, side.facade, settings, side.directory, side.back, nothing) for side in sides
+        }
         self.cores: dict[str, Core] = {"": self, **self.further}
         self.at: dict[str, str] = {}  # the side of each endpoint that is listed
         self.out: set[str] = set()  # left out by order of the staff
@@ -143,8 +162,9 @@
 
     # The list.
 
-    def list_changed(self, lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool,
-                     stale: bool) -> None:
+    def list_changed(
+        self, lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
+    ) -> None:
         parts: dict[str, list[Listed]] = {name: [] for name in self.cores}
         for line in lines:
             before = self.at.get(line.id)
@@ -169,8 +189,13 @@
                 continue  # the old side is told in any case: it knows whether the list is followed
             for id in ids & self.out - core.directory.left_out:
                 Core.leave_out(core, id, True)
-            Core.list_changed(core, part, {id: at for id, at in addresses.items() if id in ids
-                                           and self.at.get(id) == name}, whole, stale)
+            Core.list_changed(
+                core,
+                part,
+                {id: at for id, at in addresses.items() if id in ids and self.at.get(id) == name},
+                whole,
+                stale,
+            )
         self.listed = self.listed or bool(lines) or not stale
 
     def leave_out(self, endpoint: str, out: bool) -> None:
@@ -194,7 +219,7 @@
         """Whether it was another side's. Raises ValueError where it is no message at all."""
         for name, core in self.further.items():
             if message.startswith(prefix(name)):
-                core.apply(core.facade.heard(now, who, message[len(prefix(name)):]))
+                core.apply(core.facade.heard(now, who, message[len(prefix(name)) :]))
                 self.share_rates(now, who, name)
                 return True
         if message.startswith(peers.FACTS):
@@ -223,8 +248,9 @@
 
     # One exchange.
 
-    def run_at(self, name: str, given: Given, gone: Callable[[], bool], entering: Entering
-               ) -> Coroutine[tuple[Final, Tried]]:
+    def run_at(
+        self, name: str, given: Given, gone: Callable[[], bool], entering: Entering
+    ) -> Coroutine[tuple[Final, Tried]]:
         core, facade = self.cores[name], self.facades[name]
         exchange, facade.entering = core.taken + 1, entering  # nothing else runs until the module was asked
         try:
@@ -236,18 +262,25 @@
     def may_cross(self, kind: TrafficType, final: Final, tried: Tried) -> bool:
         """Whether what one side turned away may go to another, by the rules and the budget that bind one
         module: a binding exchange only if it never ran, and no more forwards in all."""
-        if not isinstance(final, Rejected) or tried.spent or (
-                final.ran and kind.effect is not Effect.RETRIABLE):
+        if (
+            not isinstance(final, Rejected)
+            or tried.spent
+            or (final.ran and kind.effect is not Effect.RETRIABLE)
+        ):
             return False
         balancer = side_balancer(self)
         if not tried.forwards or balancer is None:
             return True
         return tried.forwards < balancer.max_forwards and (
-            self.budget is None or self.budget.allows(self.loop.now(), kind.value / balancer.most_value
-                                                      if balancer.most_value else 0.0))
-
-    def cross(self, name: str, given: Given, gone: Callable[[], bool], tried: Tried, types_on: int = 0
-              ) -> Coroutine[tuple[Final, Tried]]:
+            self.budget is None
+            or self.budget.allows(
+                self.loop.now(), kind.value / balancer.most_value if balancer.most_value else 0.0
+            )
+        )
+
+    def cross(
+        self, name: str, given: Given, gone: Callable[[], bool], tried: Tried, types_on: int = 0
+    ) -> Coroutine[tuple[Final, Tried]]:
         if tried.forwards and self.budget is not None:
             self.budget.sent.append(self.loop.now())
         return (yield from self.run_at(name, given, gone, Entering(True, tried.forwards, types_on)))
@@ -266,7 +299,7 @@
     """Further traffic types for the module of the old side; how many further on each stands."""
     balancer = side_balancer(core)
     assert balancer is not None
-    first = list(balancer.types[:len(core.settings.type_names)])
+    first = list(balancer.types[: len(core.settings.type_names)])
     on = len(balancer.types)
     balancer.types = [*balancer.types, *(changed(n, kind) for n, kind in enumerate(first))]
     return on
@@ -284,8 +317,9 @@
 class CanaryRouter:
     """Takes what fronts bring."""
 
-    def __init__(self, loop: Loop, core: SplitCore, types: Sequence[TrafficType],
-                 ready: Iterable[Ready]) -> None:
+    def __init__(
+        self, loop: Loop, core: SplitCore, types: Sequence[TrafficType], ready: Iterable[Ready]
+    ) -> None:
         self.loop, self.core, self.types, self.ready = loop, core, types, list(ready)
         self.crossed = 0
         # Where both sides have the same endpoints, turning away is what a setting does.
@@ -305,14 +339,26 @@
         entering = Entering(types_on=chosen.types_on)
         final, tried = yield from self.core.run_at(chosen.side, given, gone, entering)
         self.count(chosen.canary, True, given, kind, begun, final, tried)
-        if chosen.side and self.core.may_cross(kind, final, tried) \
-                and self.loop.now() < given.expires_at and not gone():
+        if (
+            chosen.side
+            and self.core.may_cross(kind, final, tried)
+            and self.loop.now() < given.expires_at
+            and not gone()
+        ):
             self.crossed += 1
             final, _ = yield from self.core.cross("", given, gone, tried)
         return final
 
-    def count(self, canary: Canary, new: bool, given: Given, kind: TrafficType, begun: float, final: Final,
-              tried: Tried) -> None:
+    def count(
+        self,
+        canary: Canary,
+        new: bool,
+        given: Given,
+        kind: TrafficType,
+        begun: float,
+        final: Final,
+        tried: Tried,
+    ) -> None:
         """What an exchange tells of its side, by the time that it took itself."""
         now = self.loop.now()
         # The times of a body that came meanwhile are not known here: it can fail, but is never late.
@@ -323,5 +369,3 @@
             canary.ended(now, new, kind.effect, late)
         elif not isinstance(final, Left) or late:
             canary.ended(now, new, kind.effect, True)
-
-
--- a/rainspindle/routing/core.py
+++ b/rainspindle/routing/core.py
@@ -109,8 +109,16 @@
 
 
 class Back(Protocol):
-    def forward(self, given: Given, endpoint: str, address: Address, until: float, before: Callable[[], bool],
-                after: Callable[[], bool], started: Callable[[], None]) -> Coroutine[Forwarded]:
+    def forward(
+        self,
+        given: Given,
+        endpoint: str,
+        address: Address,
+        until: float,
+        before: Callable[[], bool],
+        after: Callable[[], bool],
+        started: Callable[[], None],
+    ) -> Coroutine[Forwarded]:
         """One forward, given up when `before` holds until the last byte is written, and after it `after`.
 
         Calls `started` when a part of the answer goes to the client before its end is here; from then on
@@ -137,8 +145,16 @@
 
 
 class Core:
-    def __init__(self, loop: Loop, facade: Facade, settings: SocketSettings, directory: Directory, back: Back,
-                 on_watch: Callable[[], None], on_tick: Callable[[], None] = nothing) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        facade: Facade,
+        settings: SocketSettings,
+        directory: Directory,
+        back: Back,
+        on_watch: Callable[[], None],
+        on_tick: Callable[[], None] = nothing,
+    ) -> None:
         """`on_watch` is called when the list is to be watched, `on_tick` some times a second."""
         self.loop, self.facade, self.settings = loop, facade, settings
         self.directory, self.back = directory, back
@@ -180,8 +196,10 @@
             self.looks_at = -math.inf  # awake
             did = self.facade.tick(self.loop.now())
             self.apply(did)
-            out = sum((h.out is not None) + sum(isinstance(s, SendThere) for s in h.steps)
-                      for h in self.held.values())
+            out = sum(
+                (h.out is not None) + sum(isinstance(s, SendThere) for s in h.steps)
+                for h in self.held.values()
+            )
             must(out == self.facade.in_flight(), "the module believes in flight what is in flight")
             self.on_tick()
             self.looks_at = min(did.wake_at, self.loop.now() + 1.0)
@@ -189,8 +207,9 @@
 
     # The list.
 
-    def list_changed(self, lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool,
-                     stale: bool) -> None:
+    def list_changed(
+        self, lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
+    ) -> None:
         directory = self.directory
         before = directory.addresses
         gone = {line.id for line in lines if line.state is State.GONE}
@@ -199,8 +218,11 @@
         directory.addresses = {id: address for id, address in named.items() if id not in gone}
         for line in lines:
             # Guards against connections to a machine that has vanished: they stay open and silent.
-            if line.id in before and line.started is not None \
-                    and line.started != directory.started.get(line.id):
+            if (
+                line.id in before
+                and line.started is not None
+                and line.started != directory.started.get(line.id)
+            ):
                 self.back.drop(line.id, before[line.id])
             directory.started[line.id] = line.started
             if line.state is State.DRAINING:
@@ -306,9 +328,18 @@
             # A request that waited behind another on its connection takes no budget or place in the module.
             if gone():
                 return Left()
-            self.apply(self.facade.pick(
-                self.loop.now(), exchange, given.type_index, given.key, given.expires_at, given.repeat,
-                given.expiry is not None, given.tenant))
+            self.apply(
+                self.facade.pick(
+                    self.loop.now(),
+                    exchange,
+                    given.type_index,
+                    given.key,
+                    given.expires_at,
+                    given.repeat,
+                    given.expiry is not None,
+                    given.tenant,
+                )
+            )
             while held.steps:
                 step = held.steps.popleft()
                 must(not held.steps, "one step at a time for an exchange")
@@ -322,16 +353,25 @@
                     came = Forwarded(Outcome.UNSENT)
                 else:
                     until = min(self.loop.now() + step.patience, given.expires_at)
-                    came = yield from self.back.forward(given, step.endpoint, address, until, before, after,
-                                                        started)
+                    came = yield from self.back.forward(
+                        given, step.endpoint, address, until, before, after, started
+                    )
                 if came.outcome is not Outcome.SERVED and not came.broke:
                     left()  # or the module would pick a further endpoint for nobody
                 held.out, held.called_off = None, False
                 if not held.ran and came.outcome not in NEVER_RAN:
                     held.ran = True
                     held.repeat_until = sent_at + self.settings.memory_spans[given.type_index]
-                self.apply(self.facade.report(
-                    self.loop.now(), exchange, step.number, came.outcome, held.left or came.broke, came.lag))
+                self.apply(
+                    self.facade.report(
+                        self.loop.now(),
+                        exchange,
+                        step.number,
+                        came.outcome,
+                        held.left or came.broke,
+                        came.lag,
+                    )
+                )
                 if held.left or came.broke:
                     return Left() if held.left else Broke()
                 if came.outcome is Outcome.SERVED:
--- a/rainspindle/routing/facade.py
+++ b/rainspindle/routing/facade.py
@@ -64,8 +64,17 @@
 
     def list_failed(self, now: float) -> None: ...
 
-    def exchange_arrived(self, now: float, id: int, type_index: int, key: str | None, expires_at: float,
-                         repeat: bool = False, coming: bool = False, tenant: int | None = None) -> None: ...
+    def exchange_arrived(
+        self,
+        now: float,
+        id: int,
+        type_index: int,
+        key: str | None,
+        expires_at: float,
+        repeat: bool = False,
+        coming: bool = False,
+        tenant: int | None = None,
+    ) -> None: ...
 
     def body_spent(self, now: float, id: int) -> None: ...
 
@@ -73,8 +82,9 @@
 
     def answer_started(self, now: float, id: int, number: int, elapsed: float) -> None: ...
 
-    def forward_ended(self, now: float, id: int, number: int, over: bool, outcome: Outcome,
-                      lag: float = 0.0) -> None: ...
+    def forward_ended(
+        self, now: float, id: int, number: int, over: bool, outcome: Outcome, lag: float = 0.0
+    ) -> None: ...
 
     def client_left(self, now: float, id: int) -> None: ...
 
@@ -92,8 +102,17 @@
         self.did = Did()
         self.balancer = make(self)
 
-    def pick(self, now: float, exchange: int, type_index: int, key: str | None,
-             expires_at: float, repeat: bool, coming: bool = False, tenant: int | None = None) -> Did:
+    def pick(
+        self,
+        now: float,
+        exchange: int,
+        type_index: int,
+        key: str | None,
+        expires_at: float,
+        repeat: bool,
+        coming: bool = False,
+        tenant: int | None = None,
+    ) -> Did:
         """`coming`: its body is not whole yet, and each forward is told by `written` when it is."""
         self.now, self.sent[exchange] = now, 0
         self.balancer.exchange_arrived(now, exchange, type_index, key, expires_at, repeat, coming, tenant)
@@ -120,8 +139,9 @@
         self.balancer.answer_started(now, exchange, number, 0.0)
         return self.taken()
 
-    def report(self, now: float, exchange: int, number: int, outcome: Outcome, over: bool = False,
-               lag: float = 0.0) -> Did:
+    def report(
+        self, now: float, exchange: int, number: int, outcome: Outcome, over: bool = False, lag: float = 0.0
+    ) -> Did:
         """How a forward ended, `lag` ago; `over` where the client has its answer or has left."""
         self.now = now
         if outcome is Outcome.SERVED or over:
--- a/rainspindle/routing/follow.py
+++ b/rainspindle/routing/follow.py
@@ -53,8 +53,15 @@
     UNREACHED = max(RETRY_PERIOD, CONNECT + PAUSE) + AGAIN + CONNECT
     ANSWER_TIME = TOLD_WITHIN - UNREACHED
 
-    def __init__(self, loop: Loop, address: Address, decoder: ListDecoder, ask_within: float,
-                 known: ListChange, pushed: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: Address,
+        decoder: ListDecoder,
+        ask_within: float,
+        known: ListChange,
+        pushed: bool = False,
+    ) -> None:
         """Watches go on from the `known` list, where there is one: what it lacks is told first.
 
         Where the list is `pushed`, what the agent holds counts as told whether it is watched or not: then no
--- a/rainspindle/routing/sites.py
+++ b/rainspindle/routing/sites.py
@@ -33,8 +33,9 @@
 class SiteRouter:
     """Takes what fronts bring."""
 
-    def __init__(self, loop: Loop, core: Core, sites: Sites, intake: Intake, types: list[TrafficType],
-                 one_group: bool) -> None:
+    def __init__(
+        self, loop: Loop, core: Core, sites: Sites, intake: Intake, types: list[TrafficType], one_group: bool
+    ) -> None:
         """`one_group`: whether all sites together drop repeats of fingerprinted exchanges."""
         self.loop, self.core, self.sites, self.intake, self.types = loop, core, sites, intake, types
         self.one_group = one_group
@@ -87,7 +88,8 @@
         try:
             final = yield from self.core.run(given, gone)
             good = isinstance(final, Left) or (
-                isinstance(final, Finished) and self.loop.now() - begun <= promised)
+                isinstance(final, Finished) and self.loop.now() - begun <= promised
+            )
             return final
         finally:
             self.intake.own_ended(self.loop.now(), good)
--- a/rainspindle/routing/wallet.py
+++ b/rainspindle/routing/wallet.py
@@ -66,8 +66,12 @@
         id = given.request_id
         known = self.ids.get((purse.wallet.name, given.type_index, given.key, id)) if id else None
         # Guards against one id for all of a client's exchanges; may hurt one that repeats for very long.
-        if known is not None and now < known.until and known.repeats < MOST_REPEATS \
-                and known.purse.wallet is purse.wallet:
+        if (
+            known is not None
+            and now < known.until
+            and known.repeats < MOST_REPEATS
+            and known.purse.wallet is purse.wallet
+        ):
             known.under_way += 1
             known.repeats += 1
             self.repeated += 1
--- a/rainspindle/simhost/adapter.py
+++ b/rainspindle/simhost/adapter.py
@@ -20,8 +20,14 @@
 STATES = {0: State.GONE, 1: State.DRAINING, 2: State.READY}
 CACHED, FAILED, FULL = 0, 1, 2
 OUTCOMES = {
-    "S": Outcome.SERVED, "E": Outcome.ERROR, "F": Outcome.FULL, "T": Outcome.TIMED_OUT,
-    "C": Outcome.UNCONNECTED, "R": Outcome.RESET, "X": Outcome.CALLED_OFF, "N": Outcome.UNSENT,
+    "S": Outcome.SERVED,
+    "E": Outcome.ERROR,
+    "F": Outcome.FULL,
+    "T": Outcome.TIMED_OUT,
+    "C": Outcome.UNCONNECTED,
+    "R": Outcome.RESET,
+    "X": Outcome.CALLED_OFF,
+    "N": Outcome.UNSENT,
 }
 
 
@@ -88,8 +94,11 @@
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as e:
             raise Fault(f"a batch that is not JSON ({e}): {line[:80]!r}") from None
-        if not isinstance(batch, dict) or not isinstance(batch.get("now"), int | float) \
-                or not isinstance(batch.get("msgs"), list):
+        if (
+            not isinstance(batch, dict)
+            or not isinstance(batch.get("now"), int | float)
+            or not isinstance(batch.get("msgs"), list)
+        ):
             raise Fault(f"a batch without 'now' and 'msgs': {line[:80]!r}")
         now = batch["now"] / 1000
         self.outbox.clear()
@@ -114,9 +123,15 @@
             raise Fault(f"{name} for {id}, which was never started")
         match name:
             case "Incoming":
-                instance.exchange_arrived(now, m["corr"], m["lane"], m.get("route-key"),
-                                          m["not-after"] / 1000,
-                                          bool(m.get("repeat")), tenant=m.get("billing"))
+                instance.exchange_arrived(
+                    now,
+                    m["corr"],
+                    m["lane"],
+                    m.get("route-key"),
+                    m["not-after"] / 1000,
+                    bool(m.get("repeat")),
+                    tenant=m.get("billing"),
+                )
             case "Verdict":
                 instance.forward_ended(now, m["corr"], m["try"], bool(m.get("over")), OUTCOMES[m["how"]])
             case "DeadlineHit":
@@ -126,8 +141,9 @@
             case "RosterChange" if m["mode"] == FAILED:
                 instance.list_failed(now)
             case "RosterChange":
-                instance.list_changed(now, self.pages[m["page"]], whole=m["mode"] in (CACHED, FULL),
-                                      stale=m["mode"] == CACHED)
+                instance.list_changed(
+                    now, self.pages[m["page"]], whole=m["mode"] in (CACHED, FULL), stale=m["mode"] == CACHED
+                )
             case "Flowing":
                 instance.answer_started(now, m["corr"], m["try"], m["duration"] / 1000)
             case "CrashNow":
@@ -144,9 +160,15 @@
 def listed(entry: Message) -> Listed:
     started = entry.get("start-time")
     share = entry.get("share")
-    return Listed(entry["endpoint"], entry.get("block") or 0, entry.get("locality") or 0,
-                  1.0 if share is None else share, STATES[entry["mode"]],
-                  started / 1000 if started else None, entry.get("model") or 0)
+    return Listed(
+        entry["endpoint"],
+        entry.get("block") or 0,
+        entry.get("locality") or 0,
+        1.0 if share is None else share,
+        STATES[entry["mode"]],
+        started / 1000 if started else None,
+        entry.get("model") or 0,
+    )
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
--- a/rainspindle/store/file.py
+++ b/rainspindle/store/file.py
@@ -82,10 +82,10 @@
         if len(data) < HEADER.size:
             raise Unfit("shorter than its header")
         magic, version, kind, length, _ = HEADER.unpack_from(data)
-        payload = data[HEADER.size:]
+        payload = data[HEADER.size :]
         if magic != MAGIC or kind != self.kind:
             raise Unfit("another kind of file")
-        if length != len(payload) or data[:HEADER.size] != self.header(version, payload):
+        if length != len(payload) or data[: HEADER.size] != self.header(version, payload):
             raise Unfit("its checksum or its length does not fit")
         if version != self.version:
             raise Unfit(f"version {version}, this program has {self.version}")
--- a/rainspindle/store/generations.py
+++ b/rainspindle/store/generations.py
@@ -72,11 +72,12 @@
     def write(self, name: str, data: bytes) -> None:
         self.close()
         self.remove(name)
-        self.fd = os.open(self.folder / name,
-                          os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+        self.fd = os.open(
+            self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
+        )
         left = memoryview(data)
         while left:
-            left = left[os.write(self.fd, left):]
+            left = left[os.write(self.fd, left) :]
 
     def sync(self, name: str) -> None:
         """By the descriptor that wrote: only that one is told for certain what went wrong since."""
@@ -116,8 +117,9 @@
 class Generations:
     """One name in a folder. Used by one thread at a time."""
 
-    def __init__(self, files: Files, name: str, kind: int, version: int, least: int, most: int,
-                 tag: str = "") -> None:
+    def __init__(
+        self, files: Files, name: str, kind: int, version: int, least: int, most: int, tag: str = ""
+    ) -> None:
         """`least`: the lowest version whose readers understand what is written here; `most` bytes of payload;
         `tag` tells apart processes that write beside each other."""
         self.files, self.name, self.kind, self.most = files, name, kind, most
@@ -184,8 +186,11 @@
 
     def there(self) -> list[int]:
         start = self.name + "."
-        return [int(n[len(start):]) for n in self.files.names()
-                if n.startswith(start) and NAMED.fullmatch(n[len(start):])]
+        return [
+            int(n[len(start) :])
+            for n in self.files.names()
+            if n.startswith(start) and NAMED.fullmatch(n[len(start) :])
+        ]
 
     def named(self, generation: int) -> str:
         return f"{self.name}.{generation}"
@@ -203,11 +208,11 @@
         data = self.files.read(self.named(generation), first + self.most)
         if len(data) < first:
             raise Unfit("shorter than its header")
-        head, payload = data[:HEADER.size], data[first:]
+        head, payload = data[: HEADER.size], data[first:]
         magic, version, least, kind, number, length = HEADER.unpack(head)
         if magic != MAGIC or kind != self.kind:
             raise Unfit("another kind of file")
-        if length != len(payload) or data[HEADER.size:first] != self.check(head, payload):
+        if length != len(payload) or data[HEADER.size : first] != self.check(head, payload):
             raise Unfit("its checksum or its length does not fit")
         if number != generation:
             raise Unfit(f"is generation {number}")
--- a/rainspindle/store/kept.py
+++ b/rainspindle/store/kept.py
@@ -175,8 +175,9 @@
             raise StoreHeld(f"{self.base}.db: another process has it open") from None
         with contextlib.suppress(FileNotFoundError):
             os.unlink(f"{self.base}.wanted")
-        database = self.database = sqlite3.connect(f"{self.base}.db", timeout=0.0, isolation_level=None,
-                                                   check_same_thread=False)
+        database = self.database = sqlite3.connect(
+            f"{self.base}.db", timeout=0.0, isolation_level=None, check_same_thread=False
+        )
         database.execute("PRAGMA locking_mode=EXCLUSIVE")
         database.execute("PRAGMA journal_mode=PERSIST")
         database.execute("PRAGMA synchronous=FULL")
@@ -197,8 +198,14 @@
         except OSError:  # each start counts as one of the machine then
             boot = secrets.token_hex(16)
         volume = os.fstat(self.last).st_dev
-        return Found(rows, fresh, not why, "" if fresh else why,
-                     (int(boot[:14], 16) ^ volume * 0x9E3779B1) & ((1 << 62) - 1), self.number)
+        return Found(
+            rows,
+            fresh,
+            not why,
+            "" if fresh else why,
+            (int(boot[:14], 16) ^ volume * 0x9E3779B1) & ((1 << 62) - 1),
+            self.number,
+        )
 
     def why_not_newest(self, about: dict[str, str]) -> str:
         try:
@@ -224,11 +231,14 @@
         assert self.database is not None
         self.database.execute("BEGIN IMMEDIATE")
         self.about(owner=self.owner, mark="", last="")
-        self.database.execute("UPDATE OR REPLACE rows SET key = '-' || key"
-                              " WHERE key NOT LIKE '-%' AND key NOT LIKE '#%'")
+        self.database.execute(
+            "UPDATE OR REPLACE rows SET key = '-' || key WHERE key NOT LIKE '-%' AND key NOT LIKE '#%'"
+        )
         self.database.execute("COMMIT")
-        for path, content in ((f"{self.base}.mark", b"do not touch\n"),
-                              (f"{self.base}.last", self.as_bytes(self.number))):
+        for path, content in (
+            (f"{self.base}.mark", b"do not touch\n"),
+            (f"{self.base}.last", self.as_bytes(self.number)),
+        ):
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
             fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
--- a/rainspindle/transport/address.py
+++ b/rainspindle/transport/address.py
@@ -31,6 +31,7 @@
     except (OSError, ValueError):
         pass
     import ipaddress  # here, as a start need not pay for it: it also reads addresses with a zone
+
     try:
         return str(ipaddress.ip_address(host)), int(port)
     except ValueError:
--- a/rainspindle/transport/connection.py
+++ b/rainspindle/transport/connection.py
@@ -119,7 +119,7 @@
         view = memoryview(data)
         while view:
             if self.writable:
-                view = view[self.send_some(view):]
+                view = view[self.send_some(view) :]
                 continue
             yield from self.await_it(until, unless)
             # Room to write may come together with what makes the rest unwanted.
@@ -258,8 +258,15 @@
     STEER = 51  # SO_ATTACH_REUSEPORT_CBPF, which the socket module does not name
     TO_THE_SECOND = struct.pack("=HBBI", 0x06, 0, 0, 1)  # a program of one step: return 1
 
-    def __init__(self, loop: Loop, address: Address, accepted: Callable[[Connection], bool | None],
-                 make_room: Callable[[], bool], urgent: bool = False, shared: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: Address,
+        accepted: Callable[[Connection], bool | None],
+        make_room: Callable[[], bool],
+        urgent: bool = False,
+        shared: bool = False,
+    ) -> None:
         """`accepted` takes a connection, or answers False: then it is offered again until it is taken, and
         no other is accepted. `make_room` closes another connection when no descriptor is left.
 
--- a/rainspindle/transport/datagrams.py
+++ b/rainspindle/transport/datagrams.py
@@ -15,8 +15,14 @@
 
 
 class Datagrams:
-    def __init__(self, loop: Loop, listen: Address, others: Sequence[Address],
-                 came: Callable[[str, str], None], shared: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        listen: Address,
+        others: Sequence[Address],
+        came: Callable[[str, str], None],
+        shared: bool = False,
+    ) -> None:
         """`came` is told the sender and the text of each message from one of the others; `shared` lets a
         successor listen beside this process. Raises OSError."""
         self.others, self.came, self.closed, self.strangers = dict.fromkeys(others), came, False, 0
--- a/rainspindle/transport/loop.py
+++ b/rainspindle/transport/loop.py
@@ -35,8 +35,9 @@
 
     __slots__ = ("coroutine", "done", "loop", "parked", "queued", "then", "urgent")
 
-    def __init__(self, loop: Loop, coroutine: Coroutine[None], then: Callable[[], None] | None,
-                 urgent: bool) -> None:
+    def __init__(
+        self, loop: Loop, coroutine: Coroutine[None], then: Callable[[], None] | None, urgent: bool
+    ) -> None:
         self.loop, self.coroutine, self.then, self.urgent = loop, coroutine, then, urgent
         self.done = self.queued = False
         self.parked = 0  # counts the waits, so that a timer of an earlier wait is known as such
@@ -48,8 +49,9 @@
 
 
 class Loop:
-    def __init__(self, on_fault: Callable[[BaseException], None],
-                 clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, on_fault: Callable[[BaseException], None], clock: Callable[[], float] = time.monotonic
+    ) -> None:
         self.on_fault, self.now = on_fault, clock
         self.epoll = select.epoll()
         self.watched: dict[int, Watched] = {}
@@ -66,8 +68,9 @@
         # Called when no descriptor is left: closes a connection that can be spared; whether there was one.
         self.make_room: Callable[[], bool] = lambda: False
 
-    def spawn(self, coroutine: Coroutine[None], then: Callable[[], None] | None = None,
-              urgent: bool = False) -> Task:
+    def spawn(
+        self, coroutine: Coroutine[None], then: Callable[[], None] | None = None, urgent: bool = False
+    ) -> Task:
         task = Task(self, coroutine, then, urgent)
         self.tasks.add(task)
         task.wake()
--- a/rainspindle/transport/pool.py
+++ b/rainspindle/transport/pool.py
@@ -49,8 +49,9 @@
             self.drop(peer, connection)
         return None
 
-    def connect(self, peer: Peer, until: float, careful: bool = False, unless: Unless = None
-                ) -> Coroutine[Connection]:
+    def connect(
+        self, peer: Peer, until: float, careful: bool = False, unless: Unless = None
+    ) -> Coroutine[Connection]:
         while self.open + self.lent >= self.most:
             if not self.make_room():
                 raise OutOfSockets("every connection is in use")
--- a/rainspindle/transport/wire.py
+++ b/rainspindle/transport/wire.py
@@ -14,8 +14,15 @@
 
 
 class Wire:
-    def __init__(self, loop: Loop, listen: Address, most: int, came: Callable[[Address, bytes], None],
-                 after: Callable[[], None], shared: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        listen: Address,
+        most: int,
+        came: Callable[[Address, bytes], None],
+        after: Callable[[], None],
+        shared: bool = False,
+    ) -> None:
         """`came` is told each datagram of `most` bytes or fewer, and longer ones cut after one byte more;
         `after` is called when some have come. `shared`: a successor may listen beside. Raises OSError."""
         self.loop, self.most, self.came, self.after, self.closed = loop, most, came, after, False
--- a/rainspindle/values.py
+++ b/rainspindle/values.py
@@ -29,8 +29,9 @@
 
 
 @dataclass_transform(field_specifiers=(field,))
-def dataclass(*, frozen: bool = False, slots: bool = True, eq: bool = True, order: bool = False
-              ) -> Callable[[type[T]], type[T]]:
+def dataclass(
+    *, frozen: bool = False, slots: bool = True, eq: bool = True, order: bool = False
+) -> Callable[[type[T]], type[T]]:
     """As that of `dataclasses` with these arguments; the classes have slots whatever `slots` says.
 
     >>> @dataclass(frozen=True)
@@ -65,6 +66,7 @@
     def compared(how: Callable[[Any, Any], Any]) -> Callable[[Any, Any], Any]:
         def compare(self: Any, other: Any) -> Any:
             return how(told(self), told(other)) if other.__class__ is self.__class__ else NotImplemented
+
         return compare
 
     made.setdefault("__init__", __init__)
@@ -73,8 +75,10 @@
         made["__eq__"] = compared(operator.eq)
         made["__hash__"] = (lambda self: hash(told(self))) if frozen else None
     if order:
-        made |= {f"__{how.__name__}__": compared(how)
-                 for how in (operator.lt, operator.le, operator.gt, operator.ge)}
+        made |= {
+            f"__{how.__name__}__": compared(how)
+            for how in (operator.lt, operator.le, operator.gt, operator.ge)
+        }
     make: Any = type(cls)
     whole = make(cls.__name__, cls.__bases__, made)
     found: type[T] = whole
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -125,11 +125,22 @@
         promised = self.play.promised
         types = [TrafficType(Effect.RETRIABLE, Group.ALL, promised, 4 * promised, 0.15)] * 2
         self.balancer = Balancer(
-            self, self.play.seed * 1009 + self.number * 31 + self.generation, now,
-            peers=case.peers if case.peers is not None else case.sidecars, zone=0, types=types,
-            max_forwards=3, parallel=False, may_call_off=False, max_hold_off=1.0, asks_list=False,
-            ask_within=10.0, use_shares=False, cross_price=0.0,
-            budget=ColdBudget(contract.multiple, contract.window, COLD_FROM, COLD))
+            self,
+            self.play.seed * 1009 + self.number * 31 + self.generation,
+            now,
+            peers=case.peers if case.peers is not None else case.sidecars,
+            zone=0,
+            types=types,
+            max_forwards=3,
+            parallel=False,
+            may_call_off=False,
+            max_hold_off=1.0,
+            asks_list=False,
+            ask_within=10.0,
+            use_shares=False,
+            cross_price=0.0,
+            budget=ColdBudget(contract.multiple, contract.window, COLD_FROM, COLD),
+        )
 
     def tell(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
         self.balancer.list_changed(now, lines, whole, stale=False)
@@ -143,6 +154,7 @@
         def woken(now: float) -> None:
             if generation == self.generation:
                 self.balancer.woken(now, token)
+
         self.play.after(delay, woken)
 
     def reject(self, exchange: int, hold_off: float) -> None: ...
@@ -164,8 +176,11 @@
         self.case, self.seed, self.random = case, seed, random.Random(f"{case} {seed}")
         self.rate = case.allowed / case.contract.allowed(COLD_FROM, 1.0)  # of a warm endpoint, each second
         self.promised = 12 / self.rate
-        self.now, self.order, self.due = 0.0, itertools.count(), list[
-            tuple[float, int, Callable[[float], None]]]()
+        self.now, self.order, self.due = (
+            0.0,
+            itertools.count(),
+            list[tuple[float, int, Callable[[float], None]]](),
+        )
         self.began = LEARNING
         self.end = self.began + COLD  # warm ones do not fall
         self.warm = [f"w{n}" for n in range(case.warm)]
@@ -201,7 +216,7 @@
         return self.lines([*self.warm, *self.starting] if self.case.returning else self.warm, None)
 
     def changed_list(self) -> list[Listed]:
-        return self.lines(self.warm[self.case.leaving:], None) + self.lines(self.starting, self.began)
+        return self.lines(self.warm[self.case.leaving :], None) + self.lines(self.starting, self.began)
 
     def run(self) -> Peak:
         for sidecar in self.sidecars:
@@ -230,6 +245,7 @@
             if sidecar.alive:
                 sidecar.tell(now, self.changed_list(), True)
             sidecar.told_of_start = True
+
         return told
 
     def restarter(self, sidecar: Sidecar) -> Callable[[float], None]:
@@ -242,6 +258,7 @@
             sidecar.generation += 1  # what it had out ends at nobody
             sidecar.alive = False
             self.after(RESTART_PAUSE, up)
+
         return down
 
     def intensity(self, now: float) -> float:
@@ -258,15 +275,19 @@
             if sidecar.alive and self.random.random() < self.intensity(now) / most:
                 self.arrive(sidecar, now)
             self.after(self.random.expovariate(mean), arrived)
+
         self.after(self.random.expovariate(mean), arrived)
 
     def arrive(self, sidecar: Sidecar, now: float) -> None:
-        key = "hot" if self.random.random() < self.case.hot else \
-            f"k{bisect.bisect(self.cumulative, self.random.random() * self.cumulative[-1])}"
+        key = (
+            "hot"
+            if self.random.random() < self.case.hot
+            else f"k{bisect.bisect(self.cumulative, self.random.random() * self.cumulative[-1])}"
+        )
         exchange = next(self.exchanges)
         kind = int(exchange % 3 == 0)
         mean = (2 + self.case.heavy) / 3
-        length = self.random.lognormvariate(-self.case.lengths ** 2 / 2, self.case.lengths)
+        length = self.random.lognormvariate(-(self.case.lengths**2) / 2, self.case.lengths)
         self.works[exchange] = key, (self.case.heavy if kind else 1.0) / mean * length
         sidecar.balancer.exchange_arrived(now, exchange, kind, key, now + 4 * self.promised)
 
@@ -283,7 +304,9 @@
         def ended(at: float) -> None:
             if generation == sidecar.generation:
                 sidecar.balancer.forward_ended(
-                    at, exchange, number, in_time, Outcome.SERVED if in_time else Outcome.TIMED_OUT)
+                    at, exchange, number, in_time, Outcome.SERVED if in_time else Outcome.TIMED_OUT
+                )
+
         self.after(min(ends - now, patience), ended)
 
     # What is measured.
@@ -303,7 +326,7 @@
                 if count > bound and not over:
                     over = True  # it falls: what follows does not count
                     passed += 1
-                    told = sum(o.told for o in offers[first:last + 1])
+                    told = sum(o.told for o in offers[first : last + 1])
                     broken += told > TOLD_SHARE * count
             whole = self.case.contract.multiple * server.rate * COLD * (1 + COLD_FROM) / 2
             used += len(offers) / whole / len(self.starting)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,8 +12,9 @@
 
 # Guards against a verdict that hangs on how busy the machine is: neither an example nor drawing it has a time
 # limit of its own (a whole test has, in pyproject.toml), and the examples are the same each time.
-settings.register_profile("house", derandomize=True, deadline=None,
-                          suppress_health_check=[HealthCheck.too_slow])
+settings.register_profile(
+    "house", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
+)
 settings.load_profile("house")
 
 
--- a/tests/discovery.py
+++ b/tests/discovery.py
@@ -310,22 +310,40 @@
             s.deliver(data)
             return
         for n, at in enumerate(range(0, len(data), 50)):
-            self.loop.after(n * LATENCY, lambda piece=data[at:at + 50]: s.deliver(piece))  # type: ignore[misc]
+            self.loop.after(n * LATENCY, lambda piece=data[at : at + 50]: s.deliver(piece))  # type: ignore[misc]
 
-    def message(self, whole: bool, empty: bool = False, generation: int | None = None,
-                draining: bool | None = None) -> bytes:
+    def message(
+        self, whole: bool, empty: bool = False, generation: int | None = None, draining: bool | None = None
+    ) -> bytes:
         draining = self.draining if draining is None else draining
         whole = whole or (self.form is Form.WHOLE and not empty)
-        entries = [] if empty else [line("e1"), *([] if draining and whole and self.form is Form.WHOLE else
-                                                 [line("e0", "DRAINING" if draining else "SERVING")])]
+        entries = (
+            []
+            if empty
+            else [
+                line("e1"),
+                *(
+                    []
+                    if draining and whole and self.form is Form.WHOLE
+                    else [line("e0", "DRAINING" if draining else "SERVING")]
+                ),
+            ]
+        )
         told = {"generation": generation or self.generation, "reset": whole, "instances": entries}
         body = orjson.dumps(told, option=orjson.OPT_INDENT_2 if self.form is Form.INDENTED else None)
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 def line(name: str, lifecycle: str = "SERVING") -> dict[str, object]:
-    return {"instanceId": name, "hostPort": "10.1.0.1:80", "zone": "a", "cell": 0, "lifecycle": lifecycle,
-            "weight": 1.0, "startedAtMs": 0}
+    return {
+        "instanceId": name,
+        "hostPort": "10.1.0.1:80",
+        "zone": "a",
+        "cell": 0,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": 0,
+    }
 
 
 @dataclass
@@ -355,8 +373,9 @@
         self.told_at = math.inf
         self.want: Callable[[], None] = lambda: None
 
-    def list_changed(self, lines: Sequence[Listed], addresses: dict[str, Address], whole: bool, stale: bool
-                     ) -> None:
+    def list_changed(
+        self, lines: Sequence[Listed], addresses: dict[str, Address], whole: bool, stale: bool
+    ) -> None:
         self.draw.list_failures = 0
         state = next((x.state for x in lines if x.id == "e0"), State.GONE if whole else None)
         if state is not None and state is not State.READY:
@@ -386,8 +405,13 @@
             raise Broken("ENETUNREACH")
         return self.services[address].open(next(self.numbers))
 
-    def follower(self, address: Address, ask_within: float, pushed: bool = False,
-                 chance: Callable[[], float] = lambda: 1.0) -> tuple[Follower, ListKeeper]:
+    def follower(
+        self,
+        address: Address,
+        ask_within: float,
+        pushed: bool = False,
+        chance: Callable[[], float] = lambda: 1.0,
+    ) -> tuple[Follower, ListKeeper]:
         """By default the pauses are the longest that can be drawn."""
         decoder = ListDecoder(["a"], 0.0)
         known = decoder.decode({"generation": 41, "reset": True, "instances": [line("e0"), line("e1")]})
--- a/tests/examples.py
+++ b/tests/examples.py
@@ -54,17 +54,26 @@
     "members": '[members]\nfleet = "pages"\nlisten = "127.0.0.1:7946"\nfolder = "state"\n',
     "wallet": '[[wallet]]\nname = "one"\nhome = "n1"\ntenant = 0\n',
     "canary": '[[canary]]\nname = "one"\nendpoints = ["e0"]\n'
-              'stages = [{ part = 0.1, time = 60, exchanges = 100 }]\n',
+    "stages = [{ part = 0.1, time = 60, exchanges = 100 }]\n",
     "evidence": "[evidence]\n",
     "list": "[list]\n",
     "keep": "[keep]\n",
 }
-GATEWAY = {"gateway": '[gateway]\nsite = "casablanca"\nlink = "127.0.0.1:9443"\nplatform = "config.json"\n'
-                      'keys = ["link.key"]\n', "peers": "", "intake": ""}
-MYSQL = {"mysql": '[mysql]\nlisten = "127.0.0.1:3306"\nplatform = "config.json"\ndefault = "submit-exam"\n',
-         "users": '[[users]]\nname = "centre"\npassword = "centre.password"\n', "rules": ""}
-TYPES = [{"name": name, "effect": effect, "promised-time": 600.0, "expiry": 1500.0}
-         for name, effect in (("save-answer", "read_like"), ("submit-exam", "non_idempotent"))]
+GATEWAY = {
+    "gateway": '[gateway]\nsite = "casablanca"\nlink = "127.0.0.1:9443"\nplatform = "config.json"\n'
+    'keys = ["link.key"]\n',
+    "peers": "",
+    "intake": "",
+}
+MYSQL = {
+    "mysql": '[mysql]\nlisten = "127.0.0.1:3306"\nplatform = "config.json"\ndefault = "submit-exam"\n',
+    "users": '[[users]]\nname = "centre"\npassword = "centre.password"\n',
+    "rules": "",
+}
+TYPES = [
+    {"name": name, "effect": effect, "promised-time": 600.0, "expiry": 1500.0}
+    for name, effect in (("save-answer", "read_like"), ("submit-exam", "non_idempotent"))
+]
 
 
 class Lie(AssertionError):
@@ -101,9 +110,11 @@
             tables = tomllib.loads(text)
         except tomllib.TOMLDecodeError as fault:
             raise Lie(f"not TOML: {fault}") from None
-        for beside, how in ((FLEET, ["check", "--config", "config.json", "--fleet"]),
-                            (GATEWAY, ["gateway", "--check", "--config"]),
-                            (MYSQL, ["mysql", "--check", "--config"])):
+        for beside, how in (
+            (FLEET, ["check", "--config", "config.json", "--fleet"]),
+            (GATEWAY, ["gateway", "--check", "--config"]),
+            (MYSQL, ["mysql", "--check", "--config"]),
+        ):
             if tables.keys() & beside.keys():
                 # Beside a file of the fleet its first table alone: the others are off where left out.
                 needs = ["members"] if beside is FLEET else list(beside)
@@ -139,8 +150,14 @@
     # Lines.
 
     def run(self, arguments: list[str]) -> str:
-        done = subprocess.run([sys.executable, "-m", "rainspindle", *arguments], cwd=self.folder, text=True,
-                              capture_output=True, timeout=300, env={**os.environ, "PYTHONPATH": str(ROOT)})
+        done = subprocess.run(
+            [sys.executable, "-m", "rainspindle", *arguments],
+            cwd=self.folder,
+            text=True,
+            capture_output=True,
+            timeout=300,
+            env={**os.environ, "PYTHONPATH": str(ROOT)},
+        )
         if done.returncode:
             raise Lie(f"{shlex.join(arguments)}: {done.stderr or done.stdout}")
         return done.stdout
@@ -155,14 +172,17 @@
         elif PROGRAM.match(text):
             arguments = shlex.split(PROGRAM.sub("", text))
             parsed(arguments)
-            if arguments[:1] in (["version"], ["check"]) or arguments[:2] == ["lab", "list"] or \
-                    {"--check", "--dry-run"} & set(arguments):
+            if (
+                arguments[:1] in (["version"], ["check"])
+                or arguments[:2] == ["lab", "list"]
+                or {"--check", "--dry-run"} & set(arguments)
+            ):
                 self.run(arguments)
             elif arguments[:1] == ["serve"] and "--config" in arguments:
                 self.run(["check", *arguments[1:]])
         elif found := MODULE.match(text):
             if "|" not in text:
-                self.module(found[1], shlex.split(text[found.end():]))
+                self.module(found[1], shlex.split(text[found.end() :]))
         elif "|" in text and "rainspindle" in text:
             self.shell(re.sub(r"\S*python(?= )", sys.executable, text))
         elif text.startswith("curl "):
@@ -175,8 +195,9 @@
             raise Lie(f"a line of no kind that is known: {text!r}")
 
     def shell(self, line: str) -> None:
-        done = subprocess.run(["bash", "-o", "pipefail", "-c", line], cwd=ROOT, text=True,
-                              capture_output=True, timeout=300)
+        done = subprocess.run(
+            ["bash", "-o", "pipefail", "-c", line], cwd=ROOT, text=True, capture_output=True, timeout=300
+        )
         if done.returncode:
             raise Lie(f"{line}: {done.stderr}")
 
@@ -184,8 +205,9 @@
         if not arguments:
             there(name.replace(".", "/") + "/__main__.py")
             return
-        done = subprocess.run([sys.executable, "-m", name, "--help"], cwd=ROOT, text=True,
-                              capture_output=True, timeout=300)
+        done = subprocess.run(
+            [sys.executable, "-m", name, "--help"], cwd=ROOT, text=True, capture_output=True, timeout=300
+        )
         for option in (a.partition("=")[0] for a in arguments if a.startswith("-")):
             if done.returncode or option not in words_of(done.stdout):
                 raise Lie(f"{name} has no {option}: {done.stdout}{done.stderr}")
@@ -201,8 +223,9 @@
                     self.fleet |= tomllib.loads(FLEET[table])
             file = self.folder / "live.toml"
             at = f"127.0.0.1:{reserve_port()}"
-            file.write_text(re.sub(r'^(listen|advertise) = ".*"$', rf'\1 = "{at}"', self.placed(self.shown),
-                                   flags=re.M))
+            file.write_text(
+                re.sub(r'^(listen|advertise) = ".*"$', rf'\1 = "{at}"', self.placed(self.shown), flags=re.M)
+            )
             before = os.environ.get("RELAY_FLEET")
             os.environ["RELAY_FLEET"] = str(file)
             try:
@@ -302,8 +325,9 @@
 def kind_of(block: str) -> str:
     """Of an indented block."""
     first = block.strip().splitlines()[0].strip()
-    return ("json" if first.startswith("{") else
-            "toml" if re.match(r"\[+[\w.]+\]+$|[\w-]+ = ", first) else "sh")
+    return (
+        "json" if first.startswith("{") else "toml" if re.match(r"\[+[\w.]+\]+$|[\w-]+ = ", first) else "sh"
+    )
 
 
 def done(example: Example) -> None:
@@ -356,8 +380,11 @@
 
 
 def spans(text: str, start: int, end: int) -> Iterator[Region]:
-    lines = [(cell.start(), cell.end()) for rows in LOG_ROWS.finditer(text)
-             for cell in FIRST_CELL.finditer(text, rows.start(1), rows.end(1))]
+    lines = [
+        (cell.start(), cell.end())
+        for rows in LOG_ROWS.finditer(text)
+        for cell in FIRST_CELL.finditer(text, rows.start(1), rows.end(1))
+    ]
     for found in SPAN.finditer(text, start, end):
         kind = "log" if any(a < found.start() < b for a, b in lines) else "span"
         yield Region(found.start(), found.end(), (kind, found[1]), done)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -32,8 +32,14 @@
     return TrafficType(effect, group, 0.6, 2.0, 0.15, value)
 
 
-def line(n: int, state: State = State.READY, started: float | None = None, zone: int | None = None,
-         share: float = 1.0, machine: int = 0) -> Listed:
+def line(
+    n: int,
+    state: State = State.READY,
+    started: float | None = None,
+    zone: int | None = None,
+    share: float = 1.0,
+    machine: int = 0,
+) -> Listed:
     return Listed(f"e{n}", n // 2, n % 2 if zone is None else zone, share, state, started, machine)
 
 
@@ -60,11 +66,22 @@
 class Fleet:
     """One Balancer with time, the list as it was told, and every exchange it was given."""
 
-    def __init__(self, types: list[TrafficType], lines: Iterable[Listed], *, parallel: bool = False,
-                 max_forwards: int = 4, call_off: bool = True, cross_price: float = 0.02,
-                 shares: bool = True, seed: int = 7, peers: int = 4,
-                 further: tuple[float, float, float] | None = None, audits_cold: bool = True,
-                 **pool: Any) -> None:
+    def __init__(
+        self,
+        types: list[TrafficType],
+        lines: Iterable[Listed],
+        *,
+        parallel: bool = False,
+        max_forwards: int = 4,
+        call_off: bool = True,
+        cross_price: float = 0.02,
+        shares: bool = True,
+        seed: int = 7,
+        peers: int = 4,
+        further: tuple[float, float, float] | None = None,
+        audits_cold: bool = True,
+        **pool: Any,
+    ) -> None:
         """`pool`: settings of the module for sidecars that tell one another."""
         self.audits_cold = audits_cold  # by what warm ones answer; where a test has its own count, not
         self.now, self.parallel, self.may_call_off = 1000.0, parallel, call_off
@@ -82,10 +99,24 @@
         self.watches, self.held_off = 0, -1.0
         self.called_off: list[tuple[int, int]] = []
         self.balancer = Balancer(
-            self, seed, self.now, peers=peers, zone=0, types=types, max_forwards=max_forwards,
-            parallel=parallel, may_call_off=call_off, max_hold_off=1.0, asks_list=True, ask_within=10.0,
-            use_shares=shares, cross_price=cross_price, budget=ColdBudget(MULTIPLE, WINDOW, COLD_FROM, COLD),
-            further=ForwardBudget(*further) if further else None, **pool)
+            self,
+            seed,
+            self.now,
+            peers=peers,
+            zone=0,
+            types=types,
+            max_forwards=max_forwards,
+            parallel=parallel,
+            may_call_off=call_off,
+            max_hold_off=1.0,
+            asks_list=True,
+            ask_within=10.0,
+            use_shares=shares,
+            cross_price=cross_price,
+            budget=ColdBudget(MULTIPLE, WINDOW, COLD_FROM, COLD),
+            further=ForwardBudget(*further) if further else None,
+            **pool,
+        )
         self.tell(lines, whole=True)
 
     # What can happen.
@@ -119,12 +150,18 @@
         left_out.enable(self.balancer, self.now, id)
         self.check()
 
-    def arrive(self, id: int, type_index: int = 0, key: str | None = "k", wait: float = 2.0,
-               repeat: bool = False, tenant: int | None = None) -> Held:
+    def arrive(
+        self,
+        id: int,
+        type_index: int = 0,
+        key: str | None = "k",
+        wait: float = 2.0,
+        repeat: bool = False,
+        tenant: int | None = None,
+    ) -> Held:
         held = self.held[id] = Held(self.types[type_index], self.now + wait, tenant)
         self.arrived.append(self.now)
-        self.balancer.exchange_arrived(self.now, id, type_index, key, held.expires, repeat,
-                                       tenant=tenant)
+        self.balancer.exchange_arrived(self.now, id, type_index, key, held.expires, repeat, tenant=tenant)
         self.check()
         return held
 
@@ -147,8 +184,12 @@
         until = self.now + seconds
         while True:
             due = [(t, 0, token, -1) for t, token in self.timers]
-            due += [(min(s.at + s.patience, h.expires), 1, str(id), n) for id, h in self.held.items()
-                    for n, s in enumerate(h.sent) if s.outcome is None]
+            due += [
+                (min(s.at + s.patience, h.expires), 1, str(id), n)
+                for id, h in self.held.items()
+                for n, s in enumerate(h.sent)
+                if s.outcome is None
+            ]
             due = [d for d in due if d[0] <= until]
             if not due:
                 break
@@ -183,7 +224,8 @@
         ran = [s for s in held.sent if s.may_have_run()]
         if answer == "rejected" and ran:
             assert held.type.effect is Effect.RETRIABLE or (
-                held.type.effect is Effect.FINGERPRINTED and held.type.group is Group.ALL), "rule 2: rejected"
+                held.type.effect is Effect.FINGERPRINTED and held.type.group is Group.ALL
+            ), "rule 2: rejected"
         held.answer = answer
 
     def forward(self, exchange: int, endpoint: str, patience: float) -> None:
@@ -198,8 +240,8 @@
             if held.type.effect is Effect.FINGERPRINTED:
                 assert self.now - ran[0].at < held.type.memory_span, "rule 2: past the memory span"
                 assert held.type.group is Group.ALL or (
-                    first.zone == to.zone if held.type.group is Group.ZONE else first.cell == to.cell), \
-                    "rule 2: outside the group"
+                    first.zone == to.zone if held.type.group is Group.ZONE else first.cell == to.cell
+                ), "rule 2: outside the group"
         assert endpoint not in self.told_unready, "rule 3: sent to an endpoint that is not ready"
         assert endpoint not in self.left_out, "rule 3: sent to an endpoint that the staff left out"
         started = max(self.told[endpoint].started or -1e9, self.put_back_at.get(endpoint, -1e9))
@@ -219,8 +261,10 @@
     def fair_share(self, age: float) -> float:
         """What one sidecar may send a cold endpoint: that multiple of what it has seen warm ones answer."""
         served = sum(s.outcome is Outcome.SERVED for h in self.held.values() for s in h.sent)
-        warm = sum(e.state is State.READY and not (e.started and self.now - e.started < COLD)
-                   for e in self.told.values())
+        warm = sum(
+            e.state is State.READY and not (e.started and self.now - e.started < COLD)
+            for e in self.told.values()
+        )
         ready = len(self.told) - len(self.told_unready)
         most = served / max(1, warm or ready) / max(1.0, min(5.0, self.now - 1000.0))
         return MULTIPLE * (COLD_FROM + (1 - COLD_FROM) * age / COLD) * WINDOW * most
@@ -296,7 +340,12 @@
 
     def __init__(self, stand: Stand, sock: socket.socket, request: h11.Request, body: bytes) -> None:
         self.stand, self.sock, self.target, self.method, self.body = (
-            stand, sock, request.target.decode(), request.method, body)
+            stand,
+            sock,
+            request.target.decode(),
+            request.method,
+            body,
+        )
         self.headers = {k.decode(): v.decode() for k, v in request.headers}
         self.id = self.headers.get("x-request-id", "")
 
@@ -389,31 +438,66 @@
 
 
 SETTINGS: dict[str, Any] = {
-    "contract": {"answer-slack": 20.0, "ask-within": 10000.0, "cold": 24000.0, "cold-from": 0.15,
-                 "fall-multiple": 2.5, "stop-sending-within": 500.0, "tip-after": 3000.0},
-    "discovery": "on_request", "failure-domains": ["north", "south"], "peers-total": 1, "zone": 0,
-    "policy-limits": {"cancel": True, "conn-idle": 30000.0, "connect-timeout": 250.0, "max-forwards": 4,
-                      "max-retry-after": 2000.0, "parallel-tries": False, "retry-after": True},
+    "contract": {
+        "answer-slack": 20.0,
+        "ask-within": 10000.0,
+        "cold": 24000.0,
+        "cold-from": 0.15,
+        "fall-multiple": 2.5,
+        "stop-sending-within": 500.0,
+        "tip-after": 3000.0,
+    },
+    "discovery": "on_request",
+    "failure-domains": ["north", "south"],
+    "peers-total": 1,
+    "zone": 0,
+    "policy-limits": {
+        "cancel": True,
+        "conn-idle": 30000.0,
+        "connect-timeout": 250.0,
+        "max-forwards": 4,
+        "max-retry-after": 2000.0,
+        "parallel-tries": False,
+        "retry-after": True,
+    },
     "traffic-types": [
         {"name": "look", "effect": "read_like", "promised-time": 600.0, "expiry": 2500.0},
         {"name": "book", "effect": "non_idempotent", "promised-time": 600.0, "expiry": 1500.0},
-        {"name": "note", "effect": "idempotency_key", "dedup-scope": "zone", "memory-span": 5000.0,
-         "promised-time": 600.0, "expiry": 2000.0, "overdue-value": 0.4}],
+        {
+            "name": "note",
+            "effect": "idempotency_key",
+            "dedup-scope": "zone",
+            "memory-span": 5000.0,
+            "promised-time": 600.0,
+            "expiry": 2000.0,
+            "overdue-value": 0.4,
+        },
+    ],
 }
 
 
-def entry(name: str, port: int, state: str = "SERVING", started: float = 0.0, zone: str = "north"
-          ) -> dict[str, object]:
-    return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": zone, "cell": 0, "lifecycle": state,
-            "weight": 1.0, "startedAtMs": started}
+def entry(
+    name: str, port: int, state: str = "SERVING", started: float = 0.0, zone: str = "north"
+) -> dict[str, object]:
+    return {
+        "instanceId": name,
+        "hostPort": f"127.0.0.1:{port}",
+        "zone": zone,
+        "cell": 0,
+        "lifecycle": state,
+        "weight": 1.0,
+        "startedAtMs": started,
+    }
 
 
 def ask(id: str, type: str = "look", body: bytes = b"", wait: int = 2000, headers: str = "") -> bytes:
     method = "POST" if body or type == "book" else "GET"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
-    return (f"{method} /api?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id}\r\n"
-            f"X-Priority-Class: {type}\r\nCookie: a=b; user=u{id}\r\nX-Timeout-Ms: {wait}\r\n"
-            f"{headers}{length}\r\n").encode() + body
+    return (
+        f"{method} /api?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id}\r\n"
+        f"X-Priority-Class: {type}\r\nCookie: a=b; user=u{id}\r\nX-Timeout-Ms: {wait}\r\n"
+        f"{headers}{length}\r\n"
+    ).encode() + body
 
 
 class Client:
@@ -481,8 +565,16 @@
 class Rig(Open):
     """A sidecar without its program: its parts over sockets, with stand-ins for endpoints."""
 
-    def __init__(self, endpoints: int = 3, *, clients: int = 50, connections: int = 50,
-                 settings: Any = SETTINGS, receive_buffer: int = 0, backlog: int = 64) -> None:
+    def __init__(
+        self,
+        endpoints: int = 3,
+        *,
+        clients: int = 50,
+        connections: int = 50,
+        settings: Any = SETTINGS,
+        receive_buffer: int = 0,
+        backlog: int = 64,
+    ) -> None:
         super().__init__()
         self.loop = SteppedLoop()
         self.stands = [Stand(receive_buffer=receive_buffer, backlog=backlog) for _ in range(endpoints)]
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -76,13 +76,22 @@
     from rainspindle.protocol import members as wire
 
     def write(message: wire.Message) -> bytes:
-        lists = {name: [wire.raw(piece) for piece in getattr(message, name)]
-                 for name in ("members", "cells", "sums", "wants")}
+        lists = {
+            name: [wire.raw(piece) for piece in getattr(message, name)]
+            for name in ("members", "cells", "sums", "wants")
+        }
         plain = {name: getattr(message, name) for name in message.__struct_fields__}
         return wire.encode(wire.Draft(**{**plain, **lists}))
+
     for name in named("members-"):
-        yield Form(name, write, lambda data: wire.decode(data, FLEET), (wire.Unreadable,), wire.Message,
-                   module=wire.__name__)
+        yield Form(
+            name,
+            write,
+            lambda data: wire.decode(data, FLEET),
+            (wire.Unreadable,),
+            wire.Message,
+            module=wire.__name__,
+        )
 
 
 def pool() -> Iterator[Form]:
@@ -91,8 +100,12 @@
 
     def write(value: dict[str, Any]) -> bytes:
         if "rates" in value:
-            return peers.encode_facts(Facts(tuple(value["rates"]), {
-                int(kind): (time, free) for kind, (time, free) in value["kinds"].items()})).encode()
+            return peers.encode_facts(
+                Facts(
+                    tuple(value["rates"]),
+                    {int(kind): (time, free) for kind, (time, free) in value["kinds"].items()},
+                )
+            ).encode()
         return peers.encode_held(value["began"], value["ended"], value["whole"]).encode()
 
     def read(data: bytes) -> dict[str, Any]:
@@ -100,6 +113,7 @@
         if isinstance(told, Facts):
             return {"rates": list(told.rates), "kinds": {str(k): list(v) for k, v in told.kinds.items()}}
         return {"began": told.began, "ended": told.ended, "whole": told.whole}
+
     for name in named("pool-"):
         yield Form(name, write, read, (ValueError,), module=peers.__name__, grows=False)
 
@@ -113,6 +127,7 @@
 
 def wallet() -> Iterator[Form]:
     from rainspindle.protocol import wallet as words
+
     yield struct("wallet-word", words.Word, words.decode_word, words.UnreadableWord, cell="wallet/*")
     yield struct("wallet-pair", words.Pair, words.decode_pair, words.UnreadableWord, cell="wallet/*/t/*")
     yield struct("wallet-row", words.Kept, words.decode_kept, words.UnreadableWord)
@@ -123,13 +138,26 @@
 def canary() -> Iterator[Form]:
     from rainspindle.decisions.canary import counts, state
     from rainspindle.decisions.canary.canary import Kept
+
     yield struct("canary-counts", counts.Told, counts.decode, ValueError, cell="canary/*")
     for name in named("canary-state-"):
-        yield Form(name, lambda pair: pair[0].encode(pair[1]), lambda raw: list(state.decode(raw)),
-                   (ValueError,), tuple[state.State, str], state.Told, "canary/*/state",
-                   module=state.__name__)
-    yield struct("canary-kept", Kept, lambda raw: msgspec.msgpack.decode(raw, type=Kept),
-                 msgspec.MsgspecError, UnicodeDecodeError)
+        yield Form(
+            name,
+            lambda pair: pair[0].encode(pair[1]),
+            lambda raw: list(state.decode(raw)),
+            (ValueError,),
+            tuple[state.State, str],
+            state.Told,
+            "canary/*/state",
+            module=state.__name__,
+        )
+    yield struct(
+        "canary-kept",
+        Kept,
+        lambda raw: msgspec.msgpack.decode(raw, type=Kept),
+        msgspec.MsgspecError,
+        UnicodeDecodeError,
+    )
 
 
 def there(name: str) -> Any:
@@ -144,10 +172,15 @@
 
 def listing() -> Iterator[Form]:
     words = there("protocol.listing")
-    for name, kind, cell in (("head", words.Head, words.HEAD), ("set", words.Set, words.SET),
-                             ("chunk", words.Chunk, "list/*"), ("line", words.Line, "")):
-        yield struct(f"list-{name}", kind, functools.partial(words.decode, kind=kind), words.UnreadableList,
-                     cell=cell)
+    for name, kind, cell in (
+        ("head", words.Head, words.HEAD),
+        ("set", words.Set, words.SET),
+        ("chunk", words.Chunk, "list/*"),
+        ("line", words.Line, ""),
+    ):
+        yield struct(
+            f"list-{name}", kind, functools.partial(words.decode, kind=kind), words.UnreadableList, cell=cell
+        )
 
 
 def keep() -> Iterator[Form]:
@@ -156,12 +189,22 @@
     def told(raw: bytes) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
         found = words.decode(raw)
         return found.ready, list(found.out), list(found.slow.items())
-    yield Form("keep-word", lambda word: words.encode(*word), told,
-               (words.UnreadableKept,), tuple[int, list[bytes], list[tuple[bytes, float]]], words.Word,
-               words.CELL, module=words.__name__)
+
+    yield Form(
+        "keep-word",
+        lambda word: words.encode(*word),
+        told,
+        (words.UnreadableKept,),
+        tuple[int, list[bytes], list[tuple[bytes, float]]],
+        words.Word,
+        words.CELL,
+        module=words.__name__,
+    )
+
     def at(folder: str) -> Any:
-        return store.Generations(store.DiskFiles(Path(folder)), run.NAME, run.KIND, run.VERSION, run.LEAST,
-                                 run.MOST, "tag")
+        return store.Generations(
+            store.DiskFiles(Path(folder)), run.NAME, run.KIND, run.VERSION, run.LEAST, run.MOST, "tag"
+        )
 
     def write(record: Any) -> bytes:
         with tempfile.TemporaryDirectory() as folder:
@@ -172,8 +215,17 @@
             Path(folder, f"{run.NAME}.1").write_bytes(data)
             Path(folder, f"{run.NAME}.1").chmod(0o600)
             return words.decode_record(at(folder).read().payload)
-    yield Form("stored-keep", write, read, (store.Unfit, words.UnreadableKept), words.Record,
-               kind=run.KIND, module=store.__name__, header=store.HEADER.size + store.CHECK)
+
+    yield Form(
+        "stored-keep",
+        write,
+        read,
+        (store.Unfit, words.UnreadableKept),
+        words.Record,
+        kind=run.KIND,
+        module=store.__name__,
+        header=store.HEADER.size + store.CHECK,
+    )
 
 
 # What members reckon alike, each for itself: of other releases too.
@@ -197,12 +249,18 @@
         for n, name in enumerate(names):
             made.add(table.Record(name, bytes(6), 7 + n, n, wire.ALIVE + n % 4, 0.0, 0.0))
         return made.marks().hex()
+
     rules: dict[str, Callable[..., Any]] = {
-        "canary-digest": digest, "canary-point": terms.point, "member-marks": marks,
+        "canary-digest": digest,
+        "canary-point": terms.point,
+        "member-marks": marks,
         "cell-mark": lambda owner, name, life, number: cells.Cell(owner, name, life, number, b"").mark,
-        "cell-part": cells.part, "wallet-cells": words.pair_cell,
-        "endpoint-mark": lambda id: Endpoint(Listed(id, 0, 0, 1.0, State.READY, None), 0.1).mark}
+        "cell-part": cells.part,
+        "wallet-cells": words.pair_cell,
+        "endpoint-mark": lambda id: Endpoint(Listed(id, 0, 0, 1.0, State.READY, None), 0.1).mark,
+    }
     for name, rule in rules.items():
+
         def write(given: list[list[Any]], rule: Callable[..., Any] = rule) -> bytes:
             return json.dumps([[one, rule(*one)] for one in given]).encode()
 
@@ -210,6 +268,7 @@
             if wrong := [one for one, told in json.loads(data) if rule(*one) != told]:
                 raise ValueError(f"reckoned otherwise: {wrong}")
             return [one for one, _ in json.loads(data)]
+
         yield Form(f"reckoned-{name}", write, read, (ValueError, TypeError), grows=False)
 
 
@@ -218,21 +277,38 @@
 
 def link() -> Iterator[Form]:
     from rainspindle.protocol.link import frames as f
+
     def read(data: bytes) -> f.Any:
         found = f.Reader().receive(data)
         if len(found) != 1:
             raise f.LinkFault("not_one", f"{len(found)} frames")
         return found[0]
+
     for name in named("link-"):
-        yield Form(name, f.encode, read, (f.LinkFault,), getattr(f, name.split("-")[1].title()),
-                   module=f.__name__, grows=False)
+        yield Form(
+            name,
+            f.encode,
+            read,
+            (f.LinkFault,),
+            getattr(f, name.split("-")[1].title()),
+            module=f.__name__,
+            grows=False,
+        )
 
 
 # What is stored.
 
 
-def stored(name: str, dump: Callable[[Any], bytes], load: Reader, kind: int, version: int,
-           most: int, *refuses: type[Exception], **more: Any) -> Form:
+def stored(
+    name: str,
+    dump: Callable[[Any], bytes],
+    load: Reader,
+    kind: int,
+    version: int,
+    most: int,
+    *refuses: type[Exception],
+    **more: Any,
+) -> Form:
     """A file as `store.file` writes it."""
     from rainspindle.store import file as store
 
@@ -249,8 +325,17 @@
             Path(folder, "file").write_bytes(data)
             Path(folder, "file").chmod(0o600)
             return load(at(folder).read())
-    return Form(name, write, read, (store.Unfit, ValueError, *refuses), kind=kind,
-                module=store.__name__, header=store.HEADER.size, **more)
+
+    return Form(
+        name,
+        write,
+        read,
+        (store.Unfit, ValueError, *refuses),
+        kind=kind,
+        module=store.__name__,
+        header=store.HEADER.size,
+        **more,
+    )
 
 
 def files() -> Iterator[Form]:
@@ -259,17 +344,45 @@
     from rainspindle.decisions.operation.orders import Orders
     from rainspindle.program import operation
     from rainspindle.program.fleet import canary, members
-    yield stored("stored-life", lambda life: b"%d" % life, int, members.LIFE_KIND,
-                 members.LIFE_VERSION, members.MOST_LIFE)
-    yield stored("stored-orders", lambda plain: orjson.dumps(Orders.of(plain).plain()),
-                 lambda data: Orders.of(orjson.loads(data)).plain(), operation.ORDERS_KIND,
-                 operation.ORDERS_VERSION, operation.MOST_ORDERS)
-    yield stored("stored-learnt", taken, lambda data: json.loads(
-        taken(orjson.loads(data))), operation.LEARNT_KIND, operation.LEARNT_VERSION, operation.MOST_LEARNT,
-        KeyError, TypeError, AttributeError)
+
+    yield stored(
+        "stored-life",
+        lambda life: b"%d" % life,
+        int,
+        members.LIFE_KIND,
+        members.LIFE_VERSION,
+        members.MOST_LIFE,
+    )
+    yield stored(
+        "stored-orders",
+        lambda plain: orjson.dumps(Orders.of(plain).plain()),
+        lambda data: Orders.of(orjson.loads(data)).plain(),
+        operation.ORDERS_KIND,
+        operation.ORDERS_VERSION,
+        operation.MOST_ORDERS,
+    )
+    yield stored(
+        "stored-learnt",
+        taken,
+        lambda data: json.loads(taken(orjson.loads(data))),
+        operation.LEARNT_KIND,
+        operation.LEARNT_VERSION,
+        operation.MOST_LEARNT,
+        KeyError,
+        TypeError,
+        AttributeError,
+    )
     kept = next(form for form in globals()["canary"]() if form.name == "canary-kept")
-    yield stored("stored-canary", kept.write, kept.read, canary.KIND, canary.VERSION,
-                 canary.MOST_KEPT, *kept.refuses, type=kept.type)
+    yield stored(
+        "stored-canary",
+        kept.write,
+        kept.read,
+        canary.KIND,
+        canary.VERSION,
+        canary.MOST_KEPT,
+        *kept.refuses,
+        type=kept.type,
+    )
 
 
 class Still:
@@ -286,10 +399,26 @@
     from rainspindle.decisions.operation import learnt
     from rainspindle.host import Effect, Group, Listed, State, TrafficType
     from rainspindle.logic import Balancer, ColdBudget
+
     now, host, kind = 1024.0, Still(), TrafficType(Effect.RETRIABLE, Group.ALL, 0.6, 2.0, 0.15)
-    balancer = Balancer(host, 1, now, peers=1, zone=0, types=[kind], max_forwards=4, parallel=False,
-                        may_call_off=True, max_hold_off=1.0, asks_list=True, ask_within=10.0, use_shares=True,
-                        cross_price=0.02, budget=ColdBudget(2.5, 3.0, 0.15, 24.0), further=None)
+    balancer = Balancer(
+        host,
+        1,
+        now,
+        peers=1,
+        zone=0,
+        types=[kind],
+        max_forwards=4,
+        parallel=False,
+        may_call_off=True,
+        max_hold_off=1.0,
+        asks_list=True,
+        ask_within=10.0,
+        use_shares=True,
+        cross_price=0.02,
+        budget=ColdBudget(2.5, 3.0, 0.15, 24.0),
+        further=None,
+    )
     balancer.list_changed(now, [Listed("e0", 0, 0, 1.0, State.READY, now - 64.0)], True, stale=False)
     learnt.take(balancer, now, given["learnt"])
     return orjson.dumps({"at": given["at"], "learnt": learnt.give(balancer, now)})
@@ -299,10 +428,15 @@
     """The wallets' folder: the database with its rows, and the two files by which it is known again."""
     from rainspindle.errors import Trouble
     from rainspindle.store import kept as store
+
     row = next(form for form in wallet() if form.name == "wallet-row")
-    VALUES["stored-wallets"] = {"owner": "a", "rows": {  # as the build in front writes rows
-        "north/29360128": base64.b64encode(row.write(row.value)).decode(),
-        "#north/2026/first": base64.b64encode(b"500").decode()}}
+    VALUES["stored-wallets"] = {
+        "owner": "a",
+        "rows": {  # as the build in front writes rows
+            "north/29360128": base64.b64encode(row.write(row.value)).decode(),
+            "#north/2026/first": base64.b64encode(b"500").decode(),
+        },
+    }
 
     def opened(folder: str, owner: str) -> tuple[store.Kept, store.Found]:
         kept = store.Kept(Path(folder), "wallets", owner, lambda: None)
@@ -328,23 +462,47 @@
             marked, last = (os.stat(f"{folder}/wallets.{end}") for end in ("mark", "last"))
             with contextlib.closing(sqlite3.connect(f"{folder}/wallets.db")) as database:
                 database.executescript("\n".join(told["sql"]))
-                database.executemany("UPDATE about SET value = ? WHERE name = ?", [
-                    (f"{marked.st_ino} {marked.st_ctime_ns}", "mark"), (str(last.st_ino), "last"),
-                    ("apart", "times")])
+                database.executemany(
+                    "UPDATE about SET value = ? WHERE name = ?",
+                    [
+                        (f"{marked.st_ino} {marked.st_ctime_ns}", "mark"),
+                        (str(last.st_ino), "last"),
+                        ("apart", "times"),
+                    ],
+                )
                 database.commit()
             kept, found = opened(folder, "a")
             kept.shut()
             if not found.newest:
                 raise store.StoreTrouble(found.why)
-            return {"owner": "a", "rows": {
-                key: base64.b64encode(row).decode() for key, row in found.rows.items()}}
-    yield Form("stored-wallets", write, read, (Trouble, ValueError, KeyError, TypeError, OSError,
-                                                      sqlite3.Error, sqlite3.Warning, AttributeError),
-               module=store.__name__, grows=False)
+            return {
+                "owner": "a",
+                "rows": {key: base64.b64encode(row).decode() for key, row in found.rows.items()},
+            }
+
+    yield Form(
+        "stored-wallets",
+        write,
+        read,
+        (Trouble, ValueError, KeyError, TypeError, OSError, sqlite3.Error, sqlite3.Warning, AttributeError),
+        module=store.__name__,
+        grows=False,
+    )
 
 
 GROUPS: tuple[Callable[[], Iterator[Form]], ...] = (
-    members, pool, wallet, canary, evidence, listing, keep, reckoned, link, files, rows)
+    members,
+    pool,
+    wallet,
+    canary,
+    evidence,
+    listing,
+    keep,
+    reckoned,
+    link,
+    files,
+    rows,
+)
 
 
 def forms() -> dict[str, Form]:
@@ -414,8 +572,13 @@
     for name in changed:
         text = "\n".join(textwrap.wrap(written[name].hex(), 100)) + "\n"
         (folder / f"{name}.hex").write_text(text)
-        made.append({"form": name, "value": here[name].to_json(here[name].value),
-                     "sha256": hashlib.sha256(text.encode()).hexdigest()})
+        made.append(
+            {
+                "form": name,
+                "value": here[name].to_json(here[name].value),
+                "sha256": hashlib.sha256(text.encode()).hexdigest(),
+            }
+        )
     lines = ",\n".join(json.dumps(one, sort_keys=True) for one in made)
     (folder / "index.json").write_text(f"[\n{lines}\n]\n")
     return changed
@@ -428,8 +591,15 @@
         print(json.dumps({name: form.write(form.value).hex() for name, form in forms().items()}))
     elif arguments == ["read"]:  # what it makes of the bytes on its standard input, by form
         known = forms()
-        print(json.dumps({name: known[name].to_json(known[name].read(bytes.fromhex(data)))
-                          for name, data in json.load(sys.stdin).items() if name in known}))
+        print(
+            json.dumps(
+                {
+                    name: known[name].to_json(known[name].read(bytes.fromhex(data)))
+                    for name, data in json.load(sys.stdin).items()
+                    if name in known
+                }
+            )
+        )
     else:
         raise SystemExit("python -m tests.golden.forms add RELEASE")
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -113,29 +113,40 @@
 
 
 @pytest.hookimpl(tryfirst=True)  # before -k takes any out
-def pytest_collection_modifyitems(session: pytest.Session, config: pytest.Config,
-                                  items: list[pytest.Item]) -> None:
+def pytest_collection_modifyitems(
+    session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
+) -> None:
     for known in config.stash[LISTED]:
         covered = [item for item in items if known.covers(item.nodeid)]
         for item in covered:
-            item.add_marker(pytest.mark.xfail(
-                reason=f"{FILE}: {known}; if it passes, take the line out", strict=True))
+            item.add_marker(
+                pytest.mark.xfail(reason=f"{FILE}: {known}; if it passes, take the line out", strict=True)
+            )
         if not covered and collected_whole(config, items, known.path):
             items.append(Missing.from_parent(session, name=known.test))
 
 
 def collected_whole(config: pytest.Config, items: Sequence[pytest.Item], path: str) -> bool:
     """Whether that file was collected, and not only some tests of it by their names."""
-    return (any(item.nodeid.startswith(f"{path}::") for item in items)
-            and not any("::" in argument for argument in config.args))
+    return any(item.nodeid.startswith(f"{path}::") for item in items) and not any(
+        "::" in argument for argument in config.args
+    )
 
 
 def ends(reporter: pytest.TerminalReporter, known: KnownRed) -> Iterator[str]:
     """How the cases of a listed test ended in this run."""
-    for kind, told in (("xfailed", "failed as listed"), ("failed", "did not fail as listed"),
-                       ("passed", "passed"), ("skipped", "skipped"), ("error", "error")):
-        reports = [report for report in reporter.stats.get(kind, ())
-                   if isinstance(report, pytest.TestReport) and known.covers(report.nodeid)]
+    for kind, told in (
+        ("xfailed", "failed as listed"),
+        ("failed", "did not fail as listed"),
+        ("passed", "passed"),
+        ("skipped", "skipped"),
+        ("error", "error"),
+    ):
+        reports = [
+            report
+            for report in reporter.stats.get(kind, ())
+            if isinstance(report, pytest.TestReport) and known.covers(report.nodeid)
+        ]
         if reports:
             yield f"{len(reports)} {told}"
 
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -15,15 +15,31 @@
 from rainspindle.lab.world import World
 
 SMALL: dict[str, Any] = {
-    "name": "small", "length": 12.0, "settle": 3.0,
-    "fleet": {"zones": ["a", "b"], "kinds": [
-        {"name": "std", "count": 6, "cold": 6.0, "cold_from": 0.2, "warm_gain": 0.5, "sick_at": 8.0}]},
+    "name": "small",
+    "length": 12.0,
+    "settle": 3.0,
+    "fleet": {
+        "zones": ["a", "b"],
+        "kinds": [
+            {"name": "std", "count": 6, "cold": 6.0, "cold_from": 0.2, "warm_gain": 0.5, "sick_at": 8.0}
+        ],
+    },
     "clients": {"rate": 60.0, "keys": 200},
     "traffic": [
         {"name": "save", "work": 0.05, "promised": 0.6, "expiry": 2.5},
         {"name": "submit", "work": 0.05, "promised": 0.6, "expiry": 1.5, "effect": "binding"},
-        {"name": "note", "work": 0.05, "promised": 0.6, "expiry": 1.5, "effect": "fingerprinted",
-         "memory_span": 2.0, "group": "cell", "share": 0.5}]}
+        {
+            "name": "note",
+            "work": 0.05,
+            "promised": 0.6,
+            "expiry": 1.5,
+            "effect": "fingerprinted",
+            "memory_span": 2.0,
+            "group": "cell",
+            "share": 0.5,
+        },
+    ],
+}
 
 
 def small(**changes: Any) -> dict[str, Any]:
@@ -34,8 +50,9 @@
     return decode(small(**changes), "small.toml")
 
 
-def played(x: Experiment, seed: int = 1, variant: str = "module"
-           ) -> tuple[World, Ledger, Audit, dict[str, float]]:
+def played(
+    x: Experiment, seed: int = 1, variant: str = "module"
+) -> tuple[World, Ledger, Audit, dict[str, float]]:
     world = World(x, x.variant(variant), seed)
     ledger = VirtualRun(world).play()
     found = audit(ledger, world, 0.0)
@@ -51,4 +68,5 @@
         for kind in told["traffic-types"]:
             kind["effect"] = "read_like"
         return told
+
     monkeypatch.setattr(World, "settings", lying)
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -67,9 +67,16 @@
 
 
 marks = st.frozensets(st.tuples(st.integers(0, 3), st.binary(min_size=4, max_size=4)), max_size=4)
-states = st.builds(State, st.integers(0, 2), st.sampled_from([b"a", b"b"]), st.integers(0, 2),
-                   st.integers(0, 3), st.booleans(), marks,
-                   st.frozensets(st.binary(min_size=4, max_size=4), max_size=3))
+states = st.builds(
+    State,
+    st.integers(0, 2),
+    st.sampled_from([b"a", b"b"]),
+    st.integers(0, 2),
+    st.integers(0, 3),
+    st.booleans(),
+    marks,
+    st.frozensets(st.binary(min_size=4, max_size=4), max_size=3),
+)
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
@@ -95,12 +102,16 @@
 
 
 OPS = st.one_of(
-    st.tuples(st.just("cut"), st.integers(0, 31)), st.tuples(st.just("deaf"), st.integers(0, 24)),
+    st.tuples(st.just("cut"), st.integers(0, 31)),
+    st.tuples(st.just("deaf"), st.integers(0, 24)),
     st.tuples(st.just("loss"), st.sampled_from([0.0, 0.3])),
-    st.tuples(st.just("stall"), st.integers(0, 4)), st.tuples(st.just("crash"), st.integers(0, 4)),
-    st.tuples(st.just("back"), st.integers(0, 4)), st.tuples(st.just("heal"), st.just(0)),
+    st.tuples(st.just("stall"), st.integers(0, 4)),
+    st.tuples(st.just("crash"), st.integers(0, 4)),
+    st.tuples(st.just("back"), st.integers(0, 4)),
+    st.tuples(st.just("heal"), st.just(0)),
     st.tuples(st.sampled_from(["start", "pause", "resume", "abort", "resume", "pause"]), st.integers(0, 4)),
-    st.tuples(st.just("wait"), st.integers(2, 25)))
+    st.tuples(st.just("wait"), st.integers(2, 25)),
+)
 
 
 class Watch:
@@ -146,6 +157,7 @@
     def each() -> None:
         traffic.step()
         watch.look()
+
     net.run(1.0, each)
     for op, arg in [("start", 0), ("wait", 5), *ops]:
         node = net.nodes[names[int(arg) % 5]]
@@ -192,6 +204,7 @@
     def each() -> None:
         traffic.step()
         watch.look()
+
     while not any(node.canary.state.stage for node in net.nodes.values()):
         net.step()
         each()
@@ -276,6 +289,7 @@
 
     def nothing_by_the_old_one() -> None:
         assert stalled.canary.part(net.now) == 0.0
+
     net.run(2.0, nothing_by_the_old_one)
     assert stalled.canary.state.aborted
     net = begun()
@@ -287,8 +301,9 @@
 Bad = Callable[[bool, Effect, float], float]
 
 
-def judged(bad: Bad, size: int = 5, rate: float = 20.0, seconds: float = 300.0, seed: int = 3
-           ) -> tuple[Net, Traffic]:
+def judged(
+    bad: Bad, size: int = 5, rate: float = 20.0, seconds: float = 300.0, seed: int = 3
+) -> tuple[Net, Traffic]:
     """Runs until it is paused or aborted, or for so long."""
     net = begun(seed, size)
     traffic, at = Traffic(net, rate, bad), net.now
@@ -302,15 +317,30 @@
     return lambda new, effect, part: share
 
 
-@pytest.mark.parametrize(("bad", "size", "rate"), [
-    pytest.param(lambda new, effect, part: 0.4 if new and part >= 0.25 else 0.003, 5, 20.0,
-                 id="fails only at 25% of load"),
-    pytest.param(lambda new, effect, part: 0.2 if new and effect is Effect.BINDING else 0.001, 5, 20.0,
-                 id="fails only for binding exchanges"),
-    pytest.param(lambda new, effect, part: 0.12 if new else 0.004, 50, 2.0,
-                 id="the budget burnt evenly over fifty sidecars"),
-    pytest.param(lambda new, effect, part: 0.99 if new else 0.004, 5, 20.0, id="slow, not wrong"),
-])
+@pytest.mark.parametrize(
+    ("bad", "size", "rate"),
+    [
+        pytest.param(
+            lambda new, effect, part: 0.4 if new and part >= 0.25 else 0.003,
+            5,
+            20.0,
+            id="fails only at 25% of load",
+        ),
+        pytest.param(
+            lambda new, effect, part: 0.2 if new and effect is Effect.BINDING else 0.001,
+            5,
+            20.0,
+            id="fails only for binding exchanges",
+        ),
+        pytest.param(
+            lambda new, effect, part: 0.12 if new else 0.004,
+            50,
+            2.0,
+            id="the budget burnt evenly over fifty sidecars",
+        ),
+        pytest.param(lambda new, effect, part: 0.99 if new else 0.004, 5, 20.0, id="slow, not wrong"),
+    ],
+)
 def test_a_bad_release_is_stopped(bad: Bad, size: int, rate: float) -> None:
     net, traffic = judged(bad, size, rate)
     assert set(stand(net)) & {"paused", "aborted"}, net.nodes["s0"].canary.report(net.now)
@@ -468,8 +498,12 @@
 
 
 def test_the_budget_of_forwards_binds_over_both_sides() -> None:
-    pair = Pair(dead(Outcome.UNCONNECTED), {"budget-free": 4.0, "repeat-ratio": 0.0, "counted-over": 6e4},
-                forwards=2, kind="new")
+    pair = Pair(
+        dead(Outcome.UNCONNECTED),
+        {"budget-free": 4.0, "repeat-ratio": 0.0, "counted-over": 6e4},
+        forwards=2,
+        kind="new",
+    )
     pair.start()
     further = 0
     for key in pair.in_canary()[:5]:
@@ -506,6 +540,7 @@
 def test_a_canary_of_a_setting_is_one_module_and_another_traffic_type() -> None:
     def slow(endpoint: str) -> tuple[Outcome, float]:
         return Outcome.SERVED, 0.5
+
     pair = Pair(slow, setting={"traffic_type": "read", "promised_time": 200})
     balancer = pair.core.facade.balancer
     assert isinstance(balancer, Balancer) and not pair.core.further
@@ -525,19 +560,45 @@
 def test_every_fault_of_a_table_is_named_with_its_path() -> None:
     pair = Pair(fine, kind="new")
     one = {"name": "c", "stages": [{"part": 0.5, "time": 1, "exchanges": 1}]}
-    faulty = [msgspec.convert({**one, **more}, type=CanaryPart) for more in (
-        {"kind": "nwe"}, {"kind": "new", "endpoints": ["e1"]}, {"name": "a/b", "endpoints": []},
-        {"name": "d", "setting": {"traffic_type": "red", "value": 1.0}},
-        {"name": "e", "setting": {"traffic_type": "read", "value": 7.0}},
-        {"name": "f", "endpoints": ["e9"], "stages": [{"part": 1.0, "time": -1, "exchanges": 0}]},
-        {"name": "g", "endpoints": ["e9"], "short": 400, "budget": 0, "pause_at": 20, "fresh": 0.4,
-         "alone_after": 0, "each_effect": -1})]
+    faulty = [
+        msgspec.convert({**one, **more}, type=CanaryPart)
+        for more in (
+            {"kind": "nwe"},
+            {"kind": "new", "endpoints": ["e1"]},
+            {"name": "a/b", "endpoints": []},
+            {"name": "d", "setting": {"traffic_type": "red", "value": 1.0}},
+            {"name": "e", "setting": {"traffic_type": "read", "value": 7.0}},
+            {"name": "f", "endpoints": ["e9"], "stages": [{"part": 1.0, "time": -1, "exchanges": 0}]},
+            {
+                "name": "g",
+                "endpoints": ["e9"],
+                "short": 400,
+                "budget": 0,
+                "pause_at": 20,
+                "fresh": 0.4,
+                "alone_after": 0,
+                "each_effect": -1,
+            },
+        )
+    ]
     told = list(unfit(faulty, pair.config))
-    for path in ("canary[0].kind", "canary[0].name", "canary[1]: names", "canary[2].name",
-                 "canary[2].endpoints", "canary[3].setting.traffic_type", "canary[4].setting.value",
-                 "canary[5].stages[0].part",
-                 "canary[5].stages[0]:", "canary[6].endpoints", "canary[6].budget", "canary[6].fresh",
-                 "canary[6].alone_after", "canary[6].each_effect", "canary[6]: wants 1 s"):
+    for path in (
+        "canary[0].kind",
+        "canary[0].name",
+        "canary[1]: names",
+        "canary[2].name",
+        "canary[2].endpoints",
+        "canary[3].setting.traffic_type",
+        "canary[4].setting.value",
+        "canary[5].stages[0].part",
+        "canary[5].stages[0]:",
+        "canary[6].endpoints",
+        "canary[6].budget",
+        "canary[6].fresh",
+        "canary[6].alone_after",
+        "canary[6].each_effect",
+        "canary[6]: wants 1 s",
+    ):
         assert any(line_.startswith(path) for line_ in told), (path, told)
     assert not list(unfit([msgspec.convert({**one, "kind": "new"}, type=CanaryPart)], pair.config))
 
@@ -547,6 +608,7 @@
 
     def call(method: str, *path: str) -> Any:
         return pair.run.call(pair.loop.now(), method, path, {})
+
     assert call("GET", "wallets") is None
     for path, status in ((("canaries", "x", "start"), 404), (("canaries", "c", "stop"), 404)):
         assert call("POST", *path).status == status and call("POST", *path).body["remedy"]
@@ -555,8 +617,12 @@
         with pytest.raises(kind) as refused:
             call("POST", "canaries", "c", act)
         assert "start" in refused.value.remedy
-    for act, standing in (("start", "running"), ("pause", "paused"), ("resume", "running"),
-                          ("abort", "aborted")):
+    for act, standing in (
+        ("start", "running"),
+        ("pause", "paused"),
+        ("resume", "running"),
+        ("abort", "aborted"),
+    ):
         bodies = [call("POST", "canaries", "c", act).body for _ in range(2)]
         assert bodies[0]["state"] == bodies[1]["state"] == standing and bodies[0]["run"] == bodies[1]["run"]
     with pytest.raises(RunAborted):
--- a/tests/test_canary_processes.py
+++ b/tests/test_canary_processes.py
@@ -16,14 +16,24 @@
 
 NAMES = ["a", "b", "c", "d", "e"]
 TABLE: dict[str, Any] = {
-    "name": "next", "kind": "new", "budget": 0.05, "long": 20.0, "short": 4.0, "each_effect": 5,
-    "stages": [{"part": 0.2, "time": 2.0, "exchanges": 20}, {"part": 0.5, "time": 600.0, "exchanges": 20}]}
+    "name": "next",
+    "kind": "new",
+    "budget": 0.05,
+    "long": 20.0,
+    "short": 4.0,
+    "each_effect": 5,
+    "stages": [{"part": 0.2, "time": 2.0, "exchanges": 20}, {"part": 0.5, "time": 600.0, "exchanges": 20}],
+}
 
 
 @contextmanager
 def started(folder: Path, **changes: Any) -> Iterator[tuple[Fleet, Answers, Clients]]:
-    with Answers() as answers, Fleet(folder, NAMES, 1, answers.config(quiet_config()),
-                                     lambda name: {"canary": [{**TABLE, **changes}]}) as fleet:
+    with (
+        Answers() as answers,
+        Fleet(
+            folder, NAMES, 1, answers.config(quiet_config()), lambda name: {"canary": [{**TABLE, **changes}]}
+        ) as fleet,
+    ):
         fleet.start()
         fleet.all_alive()
         with Clients({name: s.listen for name, s in fleet.sidecars.items()}, 40.0) as clients:
@@ -48,8 +58,11 @@
 def stand(fleet: Fleet, what: Callable[[dict[str, Any]], bool], *names: str) -> float:
     """Waits until it is so at all of them; when it was. How soon it is, virtual time tells."""
     chosen = names or NAMES
-    wait_until(lambda: all(what(canary(fleet, name)) for name in chosen), PATIENCE,
-               lambda: str({name: canary(fleet, name) for name in chosen}))
+    wait_until(
+        lambda: all(what(canary(fleet, name)) for name in chosen),
+        PATIENCE,
+        lambda: str({name: canary(fleet, name) for name in chosen}),
+    )
     return time.monotonic()
 
 
@@ -134,5 +147,6 @@
 
         def later() -> list[int]:
             return [a.status for a in clients.since(since) if point("next", a.key) < 0.2]
+
         wait_until(lambda: len(later()) > 60, PATIENCE, "traffic")
         assert later().count(200) >= 0.95 * len(later())
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -118,8 +118,10 @@
     fleet.wait(6.5)
     serve_some(fleet, 500, 120, gap=0.01)
     assert any(x.startswith("e0 back") for x in fleet.logs)
-    share = [sum(s.endpoint == dead for i in span for s in fleet.held[i].sent) for span in
-             (range(500, 560), range(560, 620))]
+    share = [
+        sum(s.endpoint == dead for i in span for s in fleet.held[i].sent)
+        for span in (range(500, 560), range(560, 620))
+    ]
     assert share[0] < 15  # not all keys at once
 
 
@@ -272,7 +274,8 @@
         at = -WINDOW * chance.random()
         while at < 60.0:  # the endpoint stays as cold as it began; warm ones answer all that they can
             count, lasts = budget.draw(
-                0.0, allowed / (MULTIPLE * WINDOW * COLD_FROM * 200), Histogram(), 200, chance.random())
+                0.0, allowed / (MULTIPLE * WINDOW * COLD_FROM * 200), Histogram(), 200, chance.random()
+            )
             sent += [at + lasts * chance.random() for _ in range(count)]
             at += lasts
     sent.sort()
@@ -456,9 +459,12 @@
 
 SETTINGS: dict[str, Any] = {
     "contract": {"ask-within": 1e4, "cold": 24e3, "cold-from": 0.15, "fall-multiple": 2.5, "tip-after": 3e3},
-    "discovery": "on_request", "policy-limits": {"max-forwards": 4, "new-key": 1},
-    "zone": 0, "unheard-of": [],
-    "traffic-types": [{"effect": "read_like", "expiry": 2500.0, "promised-time": 600.0}]}
+    "discovery": "on_request",
+    "policy-limits": {"max-forwards": 4, "new-key": 1},
+    "zone": 0,
+    "unheard-of": [],
+    "traffic-types": [{"effect": "read_like", "expiry": 2500.0, "promised-time": 600.0}],
+}
 HELLO = {"event_type": "Hello", "sidecar-id": "sidecar/0", "salt": 1, "settings": SETTINGS}
 
 
@@ -476,31 +482,80 @@
 def test_adapter_resolves_reused_pages_and_a_restart_in_one_batch() -> None:
     def roster(id: str) -> dict[str, Any]:
         return {"event_type": "Roster", "page": 0, "lines": [{"endpoint": id, "mode": 2, "start-time": None}]}
+
     change = {"event_type": "RosterChange", "sidecar-id": "sidecar/0", "mode": 0, "stamp": 1, "page": 0}
-    incoming = {"event_type": "Incoming", "sidecar-id": "sidecar/0", "corr": 5, "lane": 0,
-                "not-after": 9000.0}
-    late = {"event_type": "Verdict", "sidecar-id": "sidecar/0", "corr": 5, "endpoint": "a", "try": 0,
-            "over": True, "duration": 5.0, "how": "S", "feedback": None}
-    status, replies = run(batch(), batch(HELLO, roster("a"), change, incoming),
-                          batch({"event_type": "CrashNow", "sidecar-id": "sidecar/0"}, HELLO, roster("b"),
-                                change, {**incoming, "corr": 6}, late))
+    incoming = {
+        "event_type": "Incoming",
+        "sidecar-id": "sidecar/0",
+        "corr": 5,
+        "lane": 0,
+        "not-after": 9000.0,
+    }
+    late = {
+        "event_type": "Verdict",
+        "sidecar-id": "sidecar/0",
+        "corr": 5,
+        "endpoint": "a",
+        "try": 0,
+        "over": True,
+        "duration": 5.0,
+        "how": "S",
+        "feedback": None,
+    }
+    status, replies = run(
+        batch(),
+        batch(HELLO, roster("a"), change, incoming),
+        batch(
+            {"event_type": "CrashNow", "sidecar-id": "sidecar/0"},
+            HELLO,
+            roster("b"),
+            change,
+            {**incoming, "corr": 6},
+            late,
+        ),
+    )
     tries = [[(x["corr"], x["endpoint"]) for x in r["outbox"] if x["event_type"] == "Try"] for r in replies]
     assert status == 0 and tries == [[], [(5, "a")], [(6, "b")]]
 
 
-@pytest.mark.parametrize("bad, named", [
-    (b"{", "not JSON"), (b"[]", "without 'now'"),
-    (batch({"event_type": "Odd", "sidecar-id": "sidecar/9"}), "never started"),
-    (batch(HELLO, {"event_type": "Odd", "sidecar-id": "sidecar/0"}), "Odd"), (batch({"x": 1}), "event_type"),
-    (batch({**HELLO, "settings": {**SETTINGS, "contract": {}}}), "settings lack 'fall-multiple'"),
-    (batch({**HELLO, "settings": {**SETTINGS, "traffic-types": [
-        {"effect": "odd", "expiry": 1, "promised-time": 1}]}}), "unknown effect 'odd'"),
-    (batch({**HELLO, "settings": {**SETTINGS, "traffic-types": [
-        {"effect": "read_like", "dedup-scope": "odd", "expiry": 1, "promised-time": 1}]}}), "unknown group"),
-])
+@pytest.mark.parametrize(
+    "bad, named",
+    [
+        (b"{", "not JSON"),
+        (b"[]", "without 'now'"),
+        (batch({"event_type": "Odd", "sidecar-id": "sidecar/9"}), "never started"),
+        (batch(HELLO, {"event_type": "Odd", "sidecar-id": "sidecar/0"}), "Odd"),
+        (batch({"x": 1}), "event_type"),
+        (batch({**HELLO, "settings": {**SETTINGS, "contract": {}}}), "settings lack 'fall-multiple'"),
+        (
+            batch(
+                {
+                    **HELLO,
+                    "settings": {
+                        **SETTINGS,
+                        "traffic-types": [{"effect": "odd", "expiry": 1, "promised-time": 1}],
+                    },
+                }
+            ),
+            "unknown effect 'odd'",
+        ),
+        (
+            batch(
+                {
+                    **HELLO,
+                    "settings": {
+                        **SETTINGS,
+                        "traffic-types": [
+                            {"effect": "read_like", "dedup-scope": "odd", "expiry": 1, "promised-time": 1}
+                        ],
+                    },
+                }
+            ),
+            "unknown group",
+        ),
+    ],
+)
 def test_bad_input_is_named_in_one_line(bad: object, named: str, capfd: pytest.CaptureFixture[str]) -> None:
     status, _ = run(bad)
     err = capfd.readouterr().err
     assert status and named in err and err.count("\n") == 1 and "Traceback" not in err
-
-
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -51,8 +51,14 @@
 
 
 def nothing_is_held(rig: Rig) -> bool:
-    return rig.core.held == {} and rig.facade.in_flight() == 0 and not rig.front.clients \
-        and not rig.front.open_ids and not rig.front.room.waiting and rig.front.room.taken == 0
+    return (
+        rig.core.held == {}
+        and rig.facade.in_flight() == 0
+        and not rig.front.clients
+        and not rig.front.open_ids
+        and not rig.front.room.waiting
+        and rig.front.room.taken == 0
+    )
 
 
 # What the kernel knows.
@@ -152,8 +158,11 @@
 
 def connecting(rig: Rig) -> Connection:
     """The one connection to an endpoint."""
-    connection, = (owner for owner in rig.loop.watched.values()
-                   if isinstance(owner, Connection) and owner not in rig.front.clients)
+    (connection,) = (
+        owner
+        for owner in rig.loop.watched.values()
+        if isinstance(owner, Connection) and owner not in rig.front.clients
+    )
     return connection
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -57,7 +57,8 @@
 @pytest.mark.parametrize("sidecars, seed", [(2, 2), (20, 3), (30, 1)])
 @pytest.mark.parametrize("planted", [None, 1.0])
 def test_the_margin_keeps_the_bound_where_it_is_tight_and_a_larger_one_does_not(
-        planted: float | None, sidecars: int, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    planted: float | None, sidecars: int, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if planted:
         monkeypatch.setattr(ColdBudget, "MARGIN", planted)
     peak = play(replace(TIGHT, sidecars=sidecars), seed)
@@ -65,10 +66,12 @@
 
 
 @pytest.mark.parametrize("planted", [False, True])
-@pytest.mark.parametrize("name, seed", [
-    ("threefold burst, known keys, slow endpoints", 4), ("silence, then a threefold burst", 4)])
+@pytest.mark.parametrize(
+    "name, seed", [("threefold burst, known keys, slow endpoints", 4), ("silence, then a threefold burst", 4)]
+)
 def test_a_restarted_sidecar_begins_with_nothing_learnt(
-        name: str, seed: int, planted: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    name: str, seed: int, planted: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The planted fault: a new process takes all that an endpoint can answer for its own part of that."""
     start = Sidecar.start
 
@@ -76,6 +79,7 @@
         start(self, now)
         if now > 0:
             self.balancer.warm_rate = self.play.rate
+
     if planted:
         monkeypatch.setattr(Sidecar, "start", start_with_the_whole_rate)
     peak = play(replace(CASES[name], sidecars=30, restarts=1.0), seed)
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -64,8 +64,8 @@
             super().deliver(data)
             return
         if not self.is_cut:
-            super().deliver(data[:int(self.passes)]) if self.passes >= 1 else None
-            self.is_cut, data = True, data[int(self.passes):]
+            super().deliver(data[: int(self.passes)]) if self.passes >= 1 else None
+            self.is_cut, data = True, data[int(self.passes) :]
             self.pair.cut()
             if self.manner == "restart":
                 self.pair.restart()
@@ -97,8 +97,15 @@
 class Pair:
     """Two links in virtual time. The first connection is cut after so many bytes in one direction."""
 
-    def __init__(self, there: float = math.inf, back: float = math.inf, manner: str = "reset",
-                 again: float = 0.05, late: float = 2.0, rerun: bool = False) -> None:
+    def __init__(
+        self,
+        there: float = math.inf,
+        back: float = math.inf,
+        manner: str = "reset",
+        again: float = 0.05,
+        late: float = 2.0,
+        rerun: bool = False,
+    ) -> None:
         self.clock, self.rerun = Clock(), rerun
         self.faults: list[BaseException] = []
         self.loop = VirtualLoop(self.clock, self.faults.append)
@@ -115,8 +122,19 @@
 
     def link(self, site: str, epoch: int) -> Joined:
         core: Any = self.far_core if site == "rabat" else Core(self)
-        made = Joined(self.loop, site, epoch, lambda: KEYS, core, Intake(0.0, 0.9, 100, lambda line: None),
-                      ("submit",), (self.rerun,), 0.5, 1, lambda peer, up: None)
+        made = Joined(
+            self.loop,
+            site,
+            epoch,
+            lambda: KEYS,
+            core,
+            Intake(0.0, 0.9, 100, lambda line: None),
+            ("submit",),
+            (self.rerun,),
+            0.5,
+            1,
+            lambda peer, up: None,
+        )
         made.pair = self
         return made
 
@@ -135,6 +153,7 @@
 
         def mended() -> None:
             self.way = True
+
         self.clock.at(self.clock.now + self.again, mended)
 
     def restart(self) -> None:
@@ -155,10 +174,17 @@
         finals: list[tuple[float, Crossed]] = []
 
         def one() -> Coroutine[None]:
-            given = Given(0, "k", None, False, self.expires,
-                          Ask(b"x1", b"POST", b"/", BODY, (), 0, "k", None, None, False))
+            given = Given(
+                0,
+                "k",
+                None,
+                False,
+                self.expires,
+                Ask(b"x1", b"POST", b"/", BODY, (), 0, "k", None, None, False),
+            )
             final = yield from self.casa.peers["rabat"].cross(given, lambda: False, may_rerun)
             finals.append((self.clock.now, final))
+
         self.loop.spawn(one())
         self.clock.env.run(until=self.expires + settle)
         assert not self.faults, self.faults
@@ -234,6 +260,7 @@
             pair.cut()
             for end in pair.ends:
                 end_now(end)
+
         pair.again = 9.0
         pair.clock.at(0.55, cut)
         pair.clock.at(0.60, lambda pair=pair, rerun=rerun: check(pair, rerun))  # type: ignore[misc]
@@ -245,8 +272,11 @@
 
 
 def test_far_rejections_and_terminations_come_back_as_such() -> None:
-    for made, told in ((Terminated(), Terminated()), (Rejected(0.7, False), Free(True, 0.7)),
-                       (Rejected(0.7, True), Rejected(0.7, True))):
+    for made, told in (
+        (Terminated(), Terminated()),
+        (Rejected(0.7, False), Free(True, 0.7)),
+        (Rejected(0.7, True), Rejected(0.7, True)),
+    ):
         pair = Pair()
         pair.far_core.final, pair.far_core.runs = lambda made=made: made, False  # type: ignore[misc]
         assert pair.submit() == told
@@ -269,6 +299,7 @@
         ask = Ask(b"x1", b"POST", b"/", BODY, (), 0, "k", None, None, False)
         given = Given(0, "k", None, False, 2.0, ask)
         finals.append((yield from pair.casa.peers["rabat"].cross(given, lambda: gone[0], False)))
+
     task = pair.loop.spawn(one())
     pair.clock.env.run(until=0.05)
     assert pair.rabat.foreign
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -34,7 +34,8 @@
 
 
 def test_tries_to_accept_do_not_multiply_with_the_connections_that_come(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Guards against a busy loop at the limit: each arrival began a series of tries of its own."""
     accept, tries, short = socket.socket.accept, 0, True
 
@@ -77,7 +78,8 @@
 
 
 def test_one_aborted_connection_does_not_keep_the_next_waiting(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     accept, aborted = socket.socket.accept, [errno.ECONNABORTED]
 
     def once(self: socket.socket) -> tuple[socket.socket, object]:
@@ -92,7 +94,8 @@
 
 
 def test_a_fault_in_taking_one_connection_does_not_leave_the_others_unaccepted(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Guards against a lost edge: those behind it waited for the next client to connect."""
     accepted, faulty = rig.listener.accepted, [ValueError("planted")]
 
@@ -144,8 +147,9 @@
     assert {client.status() for client in clients} <= {200, 503}
 
 
-def test_what_is_opened_at_the_limit_has_another_connection_closed(rig: Rig, monkeypatch: pytest.MonkeyPatch
-                                                                   ) -> None:
+def test_what_is_opened_at_the_limit_has_another_connection_closed(
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     make, short = socket.socket, 1
 
     class Short(make):  # type: ignore[misc, valid-type]
@@ -176,7 +180,8 @@
 
 @pytest.mark.parametrize("sockets", [0, -5, 40, LEAST_SOCKETS - 1])
 def test_a_limit_under_the_reserves_is_one_line_that_names_the_key_and_the_way_out(
-        tmp_path: Path, sockets: int) -> None:
+    tmp_path: Path, sockets: int
+) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config(limits={"sockets": sockets})))
     for command in ("check", "serve"):
@@ -197,8 +202,13 @@
 
 def limited(descriptors: int, *arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "rainspindle", *arguments], cwd=ROOT, text=True, capture_output=True,
-        timeout=PATIENCE, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors,) * 2))
+        [sys.executable, "-m", "rainspindle", *arguments],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=PATIENCE,
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors,) * 2),
+    )
 
 
 def test_a_system_that_allows_fewer_than_the_reserves_is_named_by_check(tmp_path: Path) -> None:
@@ -219,16 +229,21 @@
     def __init__(self, folder: Path, descriptors: int, **changes: Any) -> None:
         self.descriptors = descriptors
         self.console_port = reserve_port()
-        super().__init__(folder, environment={"TMPDIR": str(folder)},
-                         console=f"127.0.0.1:{self.console_port}", **changes)
+        super().__init__(
+            folder, environment={"TMPDIR": str(folder)}, console=f"127.0.0.1:{self.console_port}", **changes
+        )
 
     def start(self, *arguments: str, environment: dict[str, str] | None = None) -> subprocess.Popen[bytes]:
         most = self.descriptors
         with self.log.open("ab") as log:
             return subprocess.Popen(
-                [sys.executable, "-m", "rainspindle", *arguments], cwd=ROOT, stdout=subprocess.DEVNULL,
-                stderr=log, env={**os.environ, **(environment or {})},
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)))
+                [sys.executable, "-m", "rainspindle", *arguments],
+                cwd=ROOT,
+                stdout=subprocess.DEVNULL,
+                stderr=log,
+                env={**os.environ, **(environment or {})},
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
+            )
 
     def held(self) -> int:
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
@@ -255,7 +270,8 @@
 @pytest.mark.parametrize("descriptors, configured", [(100, 100), (100, 1024)])
 @pytest.mark.parametrize("how", ["refuses", "hangs"])
 def test_idle_clients_at_the_limit_keep_nothing_from_discovery_console_and_endpoints(
-        tmp_path: Path, how: str, descriptors: int, configured: int) -> None:
+    tmp_path: Path, how: str, descriptors: int, configured: int
+) -> None:
     service = Limited(tmp_path, descriptors, limits={"sockets": configured})
     first = service.watch()
     existing = service.asked(ask("warm", wait=20_000))
@@ -304,8 +320,12 @@
     """No client is idle here: each waits for its answer, and none can be asked to close."""
     endpoints = [f"e{n}" for n in range(40)]  # at one address: one alone is sent only some at once
     port = reserve_port()
-    service = Limited(tmp_path, 100, limits={"sockets": 1024}, known={
-        "generation": 41, "reset": True, "instances": [entry(name, port) for name in endpoints]})
+    service = Limited(
+        tmp_path,
+        100,
+        limits={"sockets": 1024},
+        known={"generation": 41, "reset": True, "instances": [entry(name, port) for name in endpoints]},
+    )
     service.endpoint.close()
     service.endpoint = Stand(port, backlog=256)
     first = service.watch()
@@ -314,6 +334,7 @@
     def many() -> bool:
         service.endpoint.look()
         return len(service.endpoint.unread) >= 10
+
     service.until(many)
     first.close()
     assert "index=41" in service.watch().target
@@ -330,6 +351,7 @@
             got.answer(200)
         service.endpoint.unread.clear()
         return all(has_answer(client) for client in clients)
+
     service.until(all_answered)
     assert "event=fault" not in service.logged()
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -40,8 +40,10 @@
     for module in pkgutil.walk_packages(rainspindle.__path__, "rainspindle."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
-    return sorted({k for k in kinds(BaseException) if k.__module__.partition(".")[0] == "rainspindle"},
-                  key=lambda k: (k.__module__, k.__qualname__))
+    return sorted(
+        {k for k in kinds(BaseException) if k.__module__.partition(".")[0] == "rainspindle"},
+        key=lambda k: (k.__module__, k.__qualname__),
+    )
 
 
 def unfit(kind: type[BaseException]) -> str:
@@ -67,25 +69,37 @@
 
 
 def test_a_kind_without_a_remedy_of_its_own_is_found() -> None:
-    made = [type("Bare", (Trouble,), {}),
-            type("Two", (Trouble,), {"remedy": "Do this. Then that."}),
-            type("Other", (Exception,), {})]
+    made = [
+        type("Bare", (Trouble,), {}),
+        type("Two", (Trouble,), {"remedy": "Do this. Then that."}),
+        type("Other", (Exception,), {}),
+    ]
     assert all(unfit(kind) for kind in made)
     assert Trouble("no disk", "make room").line() == "no disk; make room"
 
 
-@pytest.mark.parametrize(("arguments", "told", "remedy"), [
-    (["check", "--config", "none.json"], "none.json: No such file or directory", "this user may open"),
-    (["check"], "no configuration: give --config or RELAY_CONFIG", "README.md tells what it holds"),
-    (["check", "--config", "README.md"], "README.md: not JSON", "see with `check` that it can be served"),
-    (["gateway", "--config", "none.toml"], "none.toml: No such file", "this user may open"),
-    (["lab", "report", "tests"], "No such file", "that `rainspindle lab run` has written"),
-    (["lab", "run", "README.md"], "README.md: not TOML", "docs/operators/lab.md"),
-])
-def test_the_one_line_of_the_command_line_ends_with_what_to_do(arguments: list[str], told: str, remedy: str
-                                                               ) -> None:
-    done = subprocess.run([sys.executable, "-m", "rainspindle", *arguments], cwd=ROOT, text=True,
-                          capture_output=True, timeout=300, env={"PATH": "/usr/bin"})
+@pytest.mark.parametrize(
+    ("arguments", "told", "remedy"),
+    [
+        (["check", "--config", "none.json"], "none.json: No such file or directory", "this user may open"),
+        (["check"], "no configuration: give --config or RELAY_CONFIG", "README.md tells what it holds"),
+        (["check", "--config", "README.md"], "README.md: not JSON", "see with `check` that it can be served"),
+        (["gateway", "--config", "none.toml"], "none.toml: No such file", "this user may open"),
+        (["lab", "report", "tests"], "No such file", "that `rainspindle lab run` has written"),
+        (["lab", "run", "README.md"], "README.md: not TOML", "docs/operators/lab.md"),
+    ],
+)
+def test_the_one_line_of_the_command_line_ends_with_what_to_do(
+    arguments: list[str], told: str, remedy: str
+) -> None:
+    done = subprocess.run(
+        [sys.executable, "-m", "rainspindle", *arguments],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=300,
+        env={"PATH": "/usr/bin"},
+    )
     first, _, last = done.stderr.strip().rpartition("; ")
     assert done.returncode == 2 and told in first and remedy in last and done.stderr.count("\n") == 1
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -83,10 +83,20 @@
         assert len(encode_told(told)) <= MOST_BYTES
         self.written.append(told)
 
-    def hear(self, now: float, owner: str, *out: Out, zone: int = 0, outs: int = 0, wall: float | None = None,
-             total: int = 0, keys: list[tuple[int, int]] | None = None) -> None:
-        self.evidence.heard(now, owner, Told(1, now if wall is None else wall, zone, outs, list(out), total,
-                                             keys or []))
+    def hear(
+        self,
+        now: float,
+        owner: str,
+        *out: Out,
+        zone: int = 0,
+        outs: int = 0,
+        wall: float | None = None,
+        total: int = 0,
+        keys: list[tuple[int, int]] | None = None,
+    ) -> None:
+        self.evidence.heard(
+            now, owner, Told(1, now if wall is None else wall, zone, outs, list(out), total, keys or [])
+        )
 
 
 def dead(tried: float = 0.0, start: int = START, **more: Any) -> Out:
@@ -163,10 +173,18 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.floats(0.01, 3.0), st.floats(0.0, 4.0), st.booleans(), st.booleans(),
-                          st.integers(0, 40)), max_size=120), st.integers(1, 4000))
+@given(
+    st.lists(
+        st.tuples(
+            st.floats(0.01, 3.0), st.floats(0.0, 4.0), st.booleans(), st.booleans(), st.integers(0, 40)
+        ),
+        max_size=120,
+    ),
+    st.integers(1, 4000),
+)
 def test_one_teller_can_put_a_trial_off_and_hasten_it_by_so_much_at_most(
-        lies: list[tuple[float, float, bool, bool, int]], members: int) -> None:
+    lies: list[tuple[float, float, bool, bool, int]], members: int
+) -> None:
     """Whatever one member tells, and however often: no warning, a bounded delay, one trial more in a trip."""
     stage = Stage(members)
     stage.evidence.tripped(0.0, MARK, START, True)
@@ -312,8 +330,9 @@
 
     def __init__(self, endpoints: int = 8, seed: int = 7) -> None:
         super().__init__()
-        self.fleet = Fleet([kind()], [line(n, started=0.5, zone=0) for n in range(endpoints)],
-                           shares=False, seed=seed)
+        self.fleet = Fleet(
+            [kind()], [line(n, started=0.5, zone=0) for n in range(endpoints)], shares=False, seed=seed
+        )
         self.fleet.now = self.fleet.now + 100.0
         self.written: list[Told] = []
         self.evidence = Evidence(self.fleet.now, 0, self, random.Random(1))
@@ -364,10 +383,15 @@
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.sampled_from("abcdefgh"), st.integers(0, 7), st.booleans(), st.booleans(),
-                          st.integers(0, 9)), max_size=60))
-def test_nothing_is_ever_out_without_an_own_failure(
-        words: list[tuple[str, int, bool, bool, int]]) -> None:
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from("abcdefgh"), st.integers(0, 7), st.booleans(), st.booleans(), st.integers(0, 9)
+        ),
+        max_size=60,
+    )
+)
+def test_nothing_is_ever_out_without_an_own_failure(words: list[tuple[str, int, bool, bool, int]]) -> None:
     """All members wrong at once, in any words."""
     side = Side()
     for who, n, served, trying, outs in words:
@@ -465,8 +489,9 @@
         for n in range(15):
             side = Side(endpoints=40, seed=n)
             for who in range(30 if word else 0):
-                side.evidence.heard(side.fleet.now, f"m{who}", Told(
-                    1, side.fleet.now, 0, 0, [], 10, [(mark_of("hot"), 1)]))
+                side.evidence.heard(
+                    side.fleet.now, f"m{who}", Told(1, side.fleet.now, 0, 0, [], 10, [(mark_of("hot"), 1)])
+                )
             side.fleet.wait(2.0)
             side.evidence.tick(side.fleet.now)
             went[word].update(side.ask(1, key="hot"))
@@ -479,12 +504,21 @@
 def test_cells_keep_their_form_and_what_is_unreadable_is_named() -> None:
     told = Told(1, 5.0, 2, 3, [dead(1.5)], 10, [(2**64 - 1, 4)], [(MARK, 2)])
     assert decode_told(encode_told(told)) == told
-    newer = msgspec.msgpack.encode([2, 5.0, 2, 3, [[MARK, START, 1.0, True, -1.0, False, "new"]], 0, [], [],
-                                    "new"])
+    newer = msgspec.msgpack.encode(
+        [2, 5.0, 2, 3, [[MARK, START, 1.0, True, -1.0, False, "new"]], 0, [], [], "new"]
+    )
     assert decode_told(newer).out == [dead(1.0)]
     assert decode_told(msgspec.msgpack.encode([1, 5.0, 2, 3])).out == []
-    full = Told(1, 1e9, 9, 99, [Out(2**64 - n, 2**45, 1.123, True, 1.1) for n in range(1, 40)], 9,
-                [(2**64 - n, 9) for n in range(1, 90)], [(MARK, 1)])
+    full = Told(
+        1,
+        1e9,
+        9,
+        99,
+        [Out(2**64 - n, 2**45, 1.123, True, 1.1) for n in range(1, 40)],
+        9,
+        [(2**64 - n, 9) for n in range(1, 90)],
+        [(MARK, 1)],
+    )
     assert len(encode_told(full)) <= MOST_BYTES
     with pytest.raises(UnreadableEvidence):
         decode_told(b"\x91\x01")
@@ -493,6 +527,7 @@
 def test_faults_of_the_table_are_named_with_their_path() -> None:
     def faults(table: Any) -> str:
         return "\n".join(unfit({"evidence": table}, cast(Any, "any")))
+
     assert "evidence.tellers: 1 is not from 2" in faults({"tellers": 1})
     assert "evidence.lasts: 2 s" in faults({"lasts": 2.0})
     assert "evidence.teller" in faults({"teller": 3}) and "tellers" in faults({"teller": 3})
@@ -500,8 +535,13 @@
 
 def test_the_lab_plays_word_off_and_on() -> None:
     path = Path(__file__).parent.parent / "experiments" / "word-trials.toml"
-    x = load(path, length=20.0, seeds=[1], warmup=1.0, faults=[
-        {"kind": "errors", "at": 2.0, "length": 16.0, "part": 0.08, "size": 1.0}])
+    x = load(
+        path,
+        length=20.0,
+        seeds=[1],
+        warmup=1.0,
+        faults=[{"kind": "errors", "at": 2.0, "length": 16.0, "part": 0.08, "size": 1.0}],
+    )
     alone, word = (play(x, "virtual", name, 1) for name in ("alone", "word"))
     assert not sum(word.rules.values()) and not word.faults
     assert alone.figures["trials_vain"] > 20 > 10 > word.figures["trials_vain"] > 0
@@ -512,5 +552,6 @@
     value = encode_told(Told(1, 0.0, 0, 0, [], 9, [(2**64 - 1 - n, 1) for n in range(12)]))
     word, none = (cost(12, cells, 4.0) for cells in ([(0.5, 3, value), (2.5, 4, value)], []))
     assert word.cells == [1, 0, 1, 0] and len(word.delays) == 22 and not none.delays
-    assert [more > less + len(value) for more, less in zip(word.sent_bytes, none.sent_bytes, strict=True)
-            ][::2] == [True, True]
+    assert [more > less + len(value) for more, less in zip(word.sent_bytes, none.sent_bytes, strict=True)][
+        ::2
+    ] == [True, True]
--- a/tests/test_evidence_processes.py
+++ b/tests/test_evidence_processes.py
@@ -18,16 +18,20 @@
 
 
 @contextmanager
-def started(folder: Path, tables: dict[str, Any], blind: str = ""
-            ) -> Iterator[tuple[Fleet, Answers, Clients]]:
+def started(
+    folder: Path, tables: dict[str, Any], blind: str = ""
+) -> Iterator[tuple[Fleet, Answers, Clients]]:
     """Five sidecars, six endpoints, 200 exchanges a second; `blind`: a member that reaches no endpoint."""
-    with Answers() as answers, Fleet(folder, NAMES, 1, answers.config(quiet_config()),
-                                     lambda name: tables) as fleet:
+    with (
+        Answers() as answers,
+        Fleet(folder, NAMES, 1, answers.config(quiet_config()), lambda name: tables) as fleet,
+    ):
         if blind:
             known = fleet[blind].config["known"]
             lost = [{**one, "hostPort": f"127.0.0.1:{reserve_port()}"} for one in known["instances"]]
-            fleet[blind].write({**fleet[blind].config, "known": {**known, "instances": lost}},
-                               fleet.file(blind))
+            fleet[blind].write(
+                {**fleet[blind].config, "known": {**known, "instances": lost}}, fleet.file(blind)
+            )
         fleet.start()
         fleet.all_alive()
         with Clients({name: s.listen for name, s in fleet.sidecars.items()}, 40.0) as clients:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -10,8 +10,12 @@
 from .examples import ROOT, Lie, play
 
 DOCS = ROOT / "docs"
-PAGES = [ROOT / "README.md", DOCS / "on-call.md", DOCS / "migration.md",
-         *sorted((DOCS / "operators").glob("*.md"))]
+PAGES = [
+    ROOT / "README.md",
+    DOCS / "on-call.md",
+    DOCS / "migration.md",
+    *sorted((DOCS / "operators").glob("*.md")),
+]
 MODULES = [path for path in sorted((ROOT / "rainspindle").rglob("*.py")) if ">>> " in path.read_text()]
 
 
@@ -54,15 +58,28 @@
 assert parse_address("[::1]:80") == ("::1", 80)
 ```
 """
-LIES = [("deploy/fleet.toml", "deploy/fleets.toml"), ("--fleet FILE", "--fleets FILE"),
-        ("--log-level", "--log"), ("fleet = ", "flet = "), ("tenant = 0", "tenant = 99"),
-        ("[members]", "[members"), ("config.json ", "old-one.json "),
-        ("deploy/config.json", "deploy/balancer.toml"),
-        ("rainspindle check", "rainspindle chek"), ("/-/members", "/-/member"),
-        ('"self"', '"itself"'), ('"heard": 0.0', '"heard": "now"'), ('"heard": 0.0', '"hears": 0.0'),
-        ("POST /-/wallets", "GET /-/wallets"), ("/top-up", "/topup"), ("/-/canaries", "/-/canary"),
-        ('("::1", 80)', '("::1", 81)'), ("```python", "```nothing"), ("    curl -s", "    wget"),
-        ("handing over", "handing on")]
+LIES = [
+    ("deploy/fleet.toml", "deploy/fleets.toml"),
+    ("--fleet FILE", "--fleets FILE"),
+    ("--log-level", "--log"),
+    ("fleet = ", "flet = "),
+    ("tenant = 0", "tenant = 99"),
+    ("[members]", "[members"),
+    ("config.json ", "old-one.json "),
+    ("deploy/config.json", "deploy/balancer.toml"),
+    ("rainspindle check", "rainspindle chek"),
+    ("/-/members", "/-/member"),
+    ('"self"', '"itself"'),
+    ('"heard": 0.0', '"heard": "now"'),
+    ('"heard": 0.0', '"hears": 0.0'),
+    ("POST /-/wallets", "GET /-/wallets"),
+    ("/top-up", "/topup"),
+    ("/-/canaries", "/-/canary"),
+    ('("::1", 80)', '("::1", 81)'),
+    ("```python", "```nothing"),
+    ("    curl -s", "    wget"),
+    ("handing over", "handing on"),
+]
 
 
 def test_a_page_that_tells_the_truth_passes(tmp_path: Path) -> None:
--- a/tests/test_fleet_network.py
+++ b/tests/test_fleet_network.py
@@ -72,7 +72,8 @@
 
 
 def test_the_sender_is_seen_under_its_advertised_address_and_answers_take_the_way_back(
-        network: Network, members: dict[str, Member]) -> None:
+    network: Network, members: dict[str, Member]
+) -> None:
     a, b = members["a"], members["b"]
     a.send(b, "ask")
     text, sender = b.got()
@@ -87,7 +88,8 @@
 
 
 def test_one_sided_cuts_and_splits_hold_until_they_are_ended(
-        network: Network, members: dict[str, Member]) -> None:
+    network: Network, members: dict[str, Member]
+) -> None:
     a, b, c, d = (members[n] for n in NAMES)
     cut = network.begin(Cut(0.0, ("a",), ("b",)))
     a.send(b, "lost")
@@ -106,7 +108,8 @@
 
 
 def test_datagrams_come_late_out_of_order_twice_or_not_at_all(
-        network: Network, members: dict[str, Member]) -> None:
+    network: Network, members: dict[str, Member]
+) -> None:
     a, b = members["a"], members["b"]
     delay = network.begin(Weather(delay=0.1))
     begun = time.monotonic()
@@ -140,6 +143,7 @@
             for _ in range(others):
                 links.pass_on("c", "d", 10)
         return fates
+
     assert fate(3, 0) == fate(3, 2) != fate(4, 0)
 
 
@@ -160,10 +164,14 @@
     def fails(tried: Schedule) -> bool:
         def touches(kind: type[Fault], name: str) -> bool:
             return any(isinstance(fault, kind) and name in getattr(fault, "names", ()) for fault in tried)
+
         return touches(Kill, "b") and touches(Stall, "c")
+
     drawn = tuple(f for f in draw(seed, NAMES, 30.0, 15) if not isinstance(f, Kill | Stall))
     assert shrink(planted[:1] + drawn + planted[1:], fails) == (
-        Kill(1.0, ("b",), 3.0), Stall(2.0, ("c",), 1.5))
+        Kill(1.0, ("b",), 3.0),
+        Stall(2.0, ("c",), 1.5),
+    )
 
 
 def test_a_schedule_that_no_part_of_fails_stays_whole() -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -182,8 +182,11 @@
                 stranger.sendto(data, at)
                 stranger.sendto(data[:-1] + bytes([data[-1] ^ 1]), at)
         fleet.all_alive()
-        wait_until(lambda: sum(source == "m3" for source, _, _ in fleet.network.recent()) >= 20, PATIENCE,
-                   "m3 has told enough")
+        wait_until(
+            lambda: sum(source == "m3" for source, _, _ in fleet.network.recent()) >= 20,
+            PATIENCE,
+            "m3 has told enough",
+        )
         fleet["m3"].kill()
         fleet.await_agreed({"m3": "dead"}, PATIENCE, *rest)
         assert sum(fleet.network.replay("m3", name) for name in rest) >= 20
@@ -221,8 +224,10 @@
 
 def test_a_second_process_of_one_name_is_a_named_fault(tmp_path: Path) -> None:
     def named(one: str) -> bool:
-        return ("another process has this name" in fleet[one].logged()
-                and "has this name" in fleet[one].call("GET", "/-/members").text)
+        return (
+            "another process has this name" in fleet[one].logged()
+            and "has this name" in fleet[one].call("GET", "/-/members").text
+        )
 
     with Fleet(tmp_path, [*names(4), "other"]) as fleet:
         fleet["other"].write(fleet["other"].config, fleet.file("other", name="m3"))
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -35,6 +35,7 @@
         while loop.now() < at:
             yield at
         order.append("due")
+
     loop.spawn(due(loop.now() + 0.5))
     loop.spawn(busy())
     loop.settle()
@@ -54,6 +55,7 @@
     def other() -> Coroutine[None]:
         yield -1.0
         went_on.append("other")
+
     loop.spawn(ends(), fails)
     loop.spawn(other())
     for _ in range(3):
@@ -100,8 +102,12 @@
 def test_requests_sent_at_once_are_each_answered_by_their_own_time(rig: Rig) -> None:
     """Guards against a time that is counted anew when more bytes come on the same connection."""
     client = rig.client()
-    client.sock.sendall(ask("a", "book", wait=1400) + ask("b", "book", wait=1000) + ask("c", "book", wait=300)
-                        + ask("d", "book", wait=1400))
+    client.sock.sendall(
+        ask("a", "book", wait=1400)
+        + ask("b", "book", wait=1000)
+        + ask("c", "book", wait=300)
+        + ask("d", "book", wait=1400)
+    )
     first = only(rig.got())
     rig.wait(0.6)
     client.sock.sendall(ask("e", "book", wait=1400))
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -34,9 +34,11 @@
 
     def at(self, seconds: float, *acts: Callable[[], None]) -> None:
         """All in one turn of the loop."""
+
         def act() -> None:
             for do in acts:
                 do()
+
         self.loop.at(START + seconds, act)
 
     def move(self) -> None:
@@ -60,8 +62,9 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "move"])
-def test_an_answer_in_the_turn_of_a_move_is_not_taken_for_the_new_service(followed: Followed, first: str
-                                                                          ) -> None:
+def test_an_answer_in_the_turn_of_a_move_is_not_taken_for_the_new_service(
+    followed: Followed, first: str
+) -> None:
     """Guards against a watch at the new service from a version of the old one: it may wait all its time."""
     acts = [followed.old.change, followed.move]
     followed.new.draining = True
@@ -72,8 +75,9 @@
 
 
 @pytest.mark.parametrize("away", [Away.RESET, Away.ENDED])
-def test_a_move_in_the_turn_in_which_the_old_service_goes_is_followed_at_once(followed: Followed, away: Away
-                                                                              ) -> None:
+def test_a_move_in_the_turn_in_which_the_old_service_goes_is_followed_at_once(
+    followed: Followed, away: Away
+) -> None:
     """Guards against a pause for the failure of a call that is not wanted any more."""
     failed: list[float] = []
     followed.follower.failed = lambda: failed.append(followed.loop.time)
@@ -138,9 +142,11 @@
 
 def test_replicas_of_which_one_is_behind_are_not_called_in_a_loop(followed: Followed) -> None:
     """Each second call is answered by the one that is behind."""
+
     def by_turns(s: Socket, call: Asked, index: int | None) -> None:
         followed.old.generation = 50 - 10 * (len(followed.old.calls) % 2)
         followed.old.answer(s, call, whole=True)
+
     followed.old.serve = by_turns  # type: ignore[method-assign]
     followed.run(30.0)
     assert 20 < len(followed.old.calls) < 30 * 4
@@ -149,11 +155,13 @@
 @pytest.mark.parametrize("form", [Form.CHANGES, Form.WHOLE])
 @pytest.mark.parametrize("lines", [True, False])
 def test_a_service_that_answers_each_watch_at_once_with_nothing_new_is_not_flooded(
-        followed: Followed, form: Form, lines: bool) -> None:
+    followed: Followed, form: Form, lines: bool
+) -> None:
     """With no lines, or the same ones each time."""
     followed.old.form = form
     followed.old.serve = (  # type: ignore[method-assign]
-        lambda s, call, index: followed.old.answer(s, call, whole=index is None, empty=not lines))
+        lambda s, call, index: followed.old.answer(s, call, whole=index is None, empty=not lines)
+    )
     followed.run(10.0)
     assert len(followed.old.calls) <= 10 / Follower.REST
 
@@ -185,8 +193,13 @@
     """On the program's own core: nothing new is sent there, although it still answers."""
     discovery = Stand()
     rig.stands.append(discovery)
-    follower = Follower(rig.loop, ("127.0.0.1", discovery.port), rig.decoder, 10.0, rig.decoder.decode(
-        {"generation": 41, "reset": True, "instances": [entry("e0", rig.stands[0].port)]}))
+    follower = Follower(
+        rig.loop,
+        ("127.0.0.1", discovery.port),
+        rig.decoder,
+        10.0,
+        rig.decoder.decode({"generation": 41, "reset": True, "instances": [entry("e0", rig.stands[0].port)]}),
+    )
     follower.core = rig.core
     follower.want()
     only(rig.got()).tell(42, True, entry("e1", rig.stands[1].port))
@@ -199,8 +212,14 @@
     assert not rig.stands[0].accepted and not rig.stands[2].accepted and rig.stands[1].accepted
 
 
-@pytest.mark.parametrize("bad", [{"generation": 1e400}, {"instances": [{**line("e0"), "cell": 1e400}]},
-                                 {"instances": [{**line("e0"), "startedAtMs": 10**400}]}])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        {"generation": 1e400},
+        {"instances": [{**line("e0"), "cell": 1e400}]},
+        {"instances": [{**line("e0"), "startedAtMs": 10**400}]},
+    ],
+)
 def test_a_figure_that_is_none_makes_a_list_unreadable(bad: dict[str, object]) -> None:
     """Guards against a fault in place of a failed call: nothing would be counted, and no pause drawn."""
     with pytest.raises(Unreadable):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -56,7 +56,10 @@
 
 def test_every_fault_of_the_file_is_named_at_once(tmp_path: Path) -> None:
     assert load_gateway(str(write(tmp_path)), {}).peers == {"rabat": None}
-    assert faults(write(tmp_path, """
+    assert faults(
+        write(
+            tmp_path,
+            """
         [gateway]
         site = "casa"
         lnik = "127.0.0.1:0"
@@ -66,12 +69,22 @@
         address = 5
         [intake]
         part = "x"
-        """)) == [
-            "gateway.lnik: unknown key; the nearest known is 'link'", "gateway.link: missing",
-            "gateway.keys: is 'link.key'; Expected `array`, got `str`", "peers[0].site: missing",
-            "peers[0].address: is 5; Expected `str`, got `int`",
-            "intake.part: is 'x'; Expected `float`, got `str`"]
-    assert [line.split(": ")[0] for line in faults(write(tmp_path, """
+        """,
+        )
+    ) == [
+        "gateway.lnik: unknown key; the nearest known is 'link'",
+        "gateway.link: missing",
+        "gateway.keys: is 'link.key'; Expected `array`, got `str`",
+        "peers[0].site: missing",
+        "peers[0].address: is 5; Expected `str`, got `int`",
+        "intake.part: is 'x'; Expected `float`, got `str`",
+    ]
+    assert [
+        line.split(": ")[0]
+        for line in faults(
+            write(
+                tmp_path,
+                """
         [gateway]
         site = "casa"
         link = "casa.example.org:9"
@@ -83,15 +96,30 @@
         address = "127.0.0.1"
         [intake]
         part = 1.0
-        """))] == ["gateway.link", "peers[0].address", "gateway.site", "peers[0].site", "gateway.keys",
-                   "gateway.stall", "intake.part"]
+        """,
+            )
+        )
+    ] == [
+        "gateway.link",
+        "peers[0].address",
+        "gateway.site",
+        "peers[0].site",
+        "gateway.keys",
+        "gateway.stall",
+        "intake.part",
+    ]
     assert "gateway.platform: " in faults(write(tmp_path, GOOD.replace("platform.json", "none.json")))[0]
     assert "600 is needed" in faults(write(tmp_path, mode=0o644))[0]
     write(tmp_path).with_name("link.key").write_bytes(b"short")
     assert "16 are needed" in faults(tmp_path / "gateway.toml")[0]
     assert "not TOML" in faults(write(tmp_path, "[gateway"))[0]
-    refused = subprocess.run([sys.executable, "-m", "rainspindle", "gateway", "--config", "none.toml"],
-                             cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE)
+    refused = subprocess.run(
+        [sys.executable, "-m", "rainspindle", "gateway", "--config", "none.toml"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE,
+    )
     assert refused.returncode == 2 and "Traceback" not in refused.stderr
 
 
@@ -134,6 +162,7 @@
 def test_strangers_are_few_are_told_why_and_are_ended(gateway: Started) -> None:
     def stranger() -> socket.socket:
         return socket.create_connection(("127.0.0.1", gateway.link_port), PATIENCE)
+
     rude = stranger()
     rude.sendall(b"GET / HTTP/1.1\r\n\r\n")
     told = b""
@@ -159,15 +188,29 @@
 
 
 def day(**changes: Any) -> Any:
-    return experiment(**{"sidecars": {"count": 2, "skew": 0.0}, "sites": {}, "links": {
-        "cross": {"delay": 0.004, "loss": 0.002}}, "variants": [
-            {"name": "module"}, {"name": "alone", "sites": {"lean": False}}], **changes})
+    return experiment(
+        **{
+            "sidecars": {"count": 2, "skew": 0.0},
+            "sites": {},
+            "links": {"cross": {"delay": 0.004, "loss": 0.002}},
+            "variants": [{"name": "module"}, {"name": "alone", "sites": {"lean": False}}],
+            **changes,
+        }
+    )
 
 
 def test_one_site_leans_on_the_other_in_virtual_time_and_runs_nothing_twice() -> None:
     silent = {"kind": "silent", "at": 3.0, "length": 8.0, "zone": "b"}
-    flapping = [{"kind": "link_silent", "at": 4.0 + 2 * n, "length": 1.0, "zone": "b",
-                 "direction": ("both", "in", "out")[n % 3]} for n in range(3)]
+    flapping = [
+        {
+            "kind": "link_silent",
+            "at": 4.0 + 2 * n,
+            "length": 1.0,
+            "zone": "b",
+            "direction": ("both", "in", "out")[n % 3],
+        }
+        for n in range(3)
+    ]
     for faults_, better in (([silent], 0.15), ([silent, *flapping], 0.02)):
         x = day(faults=faults_)
         leaning, alone = (runs.play(x, "virtual", v, 1) for v in ("module", "alone"))
@@ -177,17 +220,28 @@
 
 
 def test_a_killed_gateway_comes_back_and_its_peer_is_unharmed() -> None:
-    x = day(faults=[{"kind": "sidecar_crash", "at": 4.0, "length": 3.0, "names": ["s1"]},
-                    {"kind": "errors", "at": 2.0, "length": 9.0, "zone": "a", "size": 0.8}])
+    x = day(
+        faults=[
+            {"kind": "sidecar_crash", "at": 4.0, "length": 3.0, "names": ["s1"]},
+            {"kind": "errors", "at": 2.0, "length": 9.0, "zone": "a", "size": 0.8},
+        ]
+    )
     one = runs.play(x, "virtual", "module", 1)
     assert one.breaks == [] and one.faults == [] and one.figures["goodput"] > 0.5
 
 
 def test_two_gateways_on_sockets_with_a_silent_site_a_cut_link_and_a_frozen_gateway() -> None:
-    x = day(length=6.0, settle=2.6, clients={"rate": 50.0, "keys": 200}, lateness=5.0,
-            rules={"tolerance": 2.0}, faults=[
-                {"kind": "silent", "at": 1.0, "length": 4.0, "zone": "b"},
-                {"kind": "link_silent", "at": 2.5, "length": 1.0, "zone": "b"},
-                {"kind": "sidecar_freeze", "at": 4.5, "length": 1.0, "names": ["s0"]}])
+    x = day(
+        length=6.0,
+        settle=2.6,
+        clients={"rate": 50.0, "keys": 200},
+        lateness=5.0,
+        rules={"tolerance": 2.0},
+        faults=[
+            {"kind": "silent", "at": 1.0, "length": 4.0, "zone": "b"},
+            {"kind": "link_silent", "at": 2.5, "length": 1.0, "zone": "b"},
+            {"kind": "sidecar_freeze", "at": 4.5, "length": 1.0, "names": ["s0"]},
+        ],
+    )
     one = runs.play(x, "sockets", "module", 1)
     assert one.faults == [] and one.breaks == [] and one.figures["goodput"] > 0.3
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -68,8 +68,10 @@
 def test_what_is_released_stays_as_it_is(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     for release in releases():
         files = {one.path.name: one.sha256 for one in golden(release)}
-        assert files == {path.name: hashlib.sha256(path.read_bytes()).hexdigest()
-                         for path in (FOLDER / release).glob("*.hex")}
+        assert files == {
+            path.name: hashlib.sha256(path.read_bytes()).hexdigest()
+            for path in (FOLDER / release).glob("*.hex")
+        }
     with pytest.raises(FileExistsError):
         kept.add(releases()[0])
     place = tmp_path / "tests" / "golden"
@@ -85,8 +87,15 @@
 
 
 def build(folder: Path, act: str, stdin: str = "") -> dict[str, Any]:
-    done = subprocess.run([sys.executable, str(FOLDER / "forms.py"), act], cwd=folder, input=stdin, text=True,
-                          capture_output=True, timeout=300, env={"PYTHONPATH": str(folder)})
+    done = subprocess.run(
+        [sys.executable, str(FOLDER / "forms.py"), act],
+        cwd=folder,
+        input=stdin,
+        text=True,
+        capture_output=True,
+        timeout=300,
+        env={"PYTHONPATH": str(folder)},
+    )
     assert done.returncode == 0, done.stderr
     return dict(json.loads(done.stdout))
 
@@ -129,7 +138,8 @@
 
 
 def test_a_history_without_the_older_build_is_told(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     gone = "1234567890123456789012345678901234567890"
     with pytest.raises(NoBuild, match="no build of 123456789012"):
         older(tmp_path, gone)
@@ -140,8 +150,13 @@
 
 
 def test_a_shallow_clone_has_no_older_build(tmp_path: Path) -> None:
-    made = subprocess.run(["git", "clone", "-q", "--bare", "--depth", "1", f"file://{ROOT}", "shallow"],
-                          cwd=tmp_path, capture_output=True, text=True, timeout=60)
+    made = subprocess.run(
+        ["git", "clone", "-q", "--bare", "--depth", "1", f"file://{ROOT}", "shallow"],
+        cwd=tmp_path,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     if made.returncode:
         pytest.skip(f"no history to clone: {made.stderr.strip()}")
     for commit in builds.BY_NAME.values():
@@ -155,8 +170,11 @@
 
 def modules() -> list[ModuleType]:
     names = [found.name for found in pkgutil.walk_packages(rainspindle.__path__, "rainspindle.")]
-    return [importlib.import_module(name) for name in names
-            if not name.endswith("__main__") and not name.startswith("rainspindle.lab")]
+    return [
+        importlib.import_module(name)
+        for name in names
+        if not name.endswith("__main__") and not name.startswith("rainspindle.lab")
+    ]
 
 
 def structs_in(value: Any) -> Iterator[msgspec.Struct]:
@@ -172,8 +190,9 @@
 def parts(one: Golden) -> Iterator[msgspec.Struct]:
     """Of the bytes of a form, whatever reading them gives."""
     form = FORMS[one.name]
-    yield from structs_in(msgspec.msgpack.decode(one.data(), type=form.shape) if form.shape else
-                          form.read(one.data()))
+    yield from structs_in(
+        msgspec.msgpack.decode(one.data(), type=form.shape) if form.shape else form.read(one.data())
+    )
 
 
 def tables(of: type[msgspec.Struct]) -> set[type[msgspec.Struct]]:
@@ -191,12 +210,22 @@
 
 def of_the_program() -> set[type[msgspec.Struct]]:
     """Every type that this program sends or stores."""
-    found = {kind for module in modules() for kind in vars(module).values()
-             if inspect.isclass(kind) and issubclass(kind, msgspec.Struct)
-             and kind.__module__ == module.__name__}
-    tables_of_files = tables(FleetFile) | {kind for kind in found if kind.__module__ in (
-        "rainspindle.program.fleet.config", "rainspindle.program.gateway_config",
-        "rainspindle.program.mysql_config")}
+    found = {
+        kind
+        for module in modules()
+        for kind in vars(module).values()
+        if inspect.isclass(kind) and issubclass(kind, msgspec.Struct) and kind.__module__ == module.__name__
+    }
+    tables_of_files = tables(FleetFile) | {
+        kind
+        for kind in found
+        if kind.__module__
+        in (
+            "rainspindle.program.fleet.config",
+            "rainspindle.program.gateway_config",
+            "rainspindle.program.mysql_config",
+        )
+    }
     return {kind for kind in found - tables_of_files if kind.__struct_fields__ or not kind.__subclasses__()}
 
 
@@ -208,13 +237,24 @@
             for field in msgspec.structs.fields(type(part)):
                 if getattr(part, field.name) not in (field.default, b"", "", 0, [], ()):
                     told.add(field.name)
-    views = {kind for kind in of_the_program() if any(  # other shapes of one that has a file: Draft, Head
-        kind is not whole and kind.__module__ == whole.__module__ and not kind.__struct_config__.array_like
-        and set(kind.__struct_encode_fields__) <= set(whole.__struct_encode_fields__) for whole in seen)}
+    views = {
+        kind
+        for kind in of_the_program()
+        if any(  # other shapes of one that has a file: Draft, Head
+            kind is not whole
+            and kind.__module__ == whole.__module__
+            and not kind.__struct_config__.array_like
+            and set(kind.__struct_encode_fields__) <= set(whole.__struct_encode_fields__)
+            for whole in seen
+        )
+    }
     lacking = of_the_program() - views - seen.keys()
     assert {f"{kind.__module__}.{kind.__qualname__}" for kind in lacking} == set()
-    assert {f"{kind.__qualname__}.{name}" for kind, told in seen.items()
-            for name in set(kind.__struct_fields__) - told} == set()
+    assert {
+        f"{kind.__qualname__}.{name}"
+        for kind, told in seen.items()
+        for name in set(kind.__struct_fields__) - told
+    } == set()
 
 
 def numbered(module: ModuleType, known: str) -> dict[str, int]:
@@ -232,7 +272,8 @@
     messages = [FORMS[name].read(one.data()) for name, one in NEWEST.items() if name.startswith("members-")]
     assert {message.kind for message in messages} == set(numbered(wire, "PING").values())
     assert {news.standing for message in messages for news in message.members} == set(
-        numbered(wire, "ALIVE").values())
+        numbered(wire, "ALIVE").values()
+    )
 
 
 def test_each_literal_of_a_frame_has_a_file() -> None:
@@ -240,8 +281,7 @@
     for one in NEWEST.values():
         for part in parts(one):
             for field in msgspec.structs.fields(type(part)):
-                seen.setdefault((type(part).__name__, field.name), set()).add(
-                    repr(getattr(part, field.name)))
+                seen.setdefault((type(part).__name__, field.name), set()).add(repr(getattr(part, field.name)))
     for kind in of_the_program():
         for field in msgspec.structs.fields(kind):
             if typing.get_origin(field.type) is typing.Literal:
@@ -265,8 +305,12 @@
     stores = [module for module in modules() if module.__name__.startswith("rainspindle.store.")]
     assert {module.__name__ for module in stores} <= {form.module for form in FORMS.values()}
     used: set[Any] = set()
-    for kept_by in {one for module in stores for one in vars(module).values()
-                    if inspect.isclass(one) and one.__module__ == module.__name__}:
+    for kept_by in {
+        one
+        for module in stores
+        for one in vars(module).values()
+        if inspect.isclass(one) and one.__module__ == module.__name__
+    }:
         names = list(getattr(kept_by, "__match_args__", ()) or inspect.signature(kept_by).parameters)
         for module, call in calls(kept_by.__name__) if "kind" in names else ():
             kind = ast.unparse(call.args[names.index("kind")])
@@ -298,8 +342,11 @@
 
 def test_each_cell_has_a_file() -> None:
     """All that is written as a cell, by the names in the source; of those handed in, what `*_cell` makes."""
-    names = {pattern(module, call.args[1]) for module, call in calls("write")
-             if len(call.args) > 2 and "cells" in ast.unparse(call.func)}
+    names = {
+        pattern(module, call.args[1])
+        for module, call in calls("write")
+        if len(call.args) > 2 and "cells" in ast.unparse(call.func)
+    }
     for module, node in sources():
         if isinstance(node, ast.FunctionDef) and node.name.endswith("_cell"):
             names |= {pattern(module, back.value) for back in ast.walk(node) if isinstance(back, ast.Return)}
@@ -315,7 +362,7 @@
 
 def resealed(form: Form, data: bytes, payload: bytes) -> bytes:
     """A stored file with another payload, and a header that fits it: length and checksum end it."""
-    head = data[:form.header - 12] + len(payload).to_bytes(8, "big")
+    head = data[: form.header - 12] + len(payload).to_bytes(8, "big")
     return head + zlib.crc32(payload, zlib.crc32(head)).to_bytes(4, "big") + payload
 
 
@@ -325,7 +372,7 @@
 
 def with_more(form: Form, data: bytes) -> bytes | None:
     """With a key or an item that this release does not know; None for a bare number."""
-    payload = data[form.header:]
+    payload = data[form.header :]
     try:
         value = json.loads(payload) if payload[:1] == b"{" else msgspec.msgpack.decode(payload)
     except ValueError:
@@ -355,8 +402,11 @@
     assert FORMS["link-hello"].read(NEWEST["link-hello"].data()).versions == (1,)
 
 
-BYTES = [(one.name, one.data()) for one in ALL  # SQLite reads the one, nobody is sent the others
-         if one.name != "stored-wallets" and not one.name.startswith("reckoned-")]
+BYTES = [
+    (one.name, one.data())
+    for one in ALL  # SQLite reads the one, nobody is sent the others
+    if one.name != "stored-wallets" and not one.name.startswith("reckoned-")
+]
 
 
 @st.composite
@@ -364,12 +414,14 @@
     """Golden bytes with some of them changed, cut, doubled or put into others; of forms that begin so."""
     name, whole = draw(st.sampled_from([one for one in BYTES if one[0].startswith(of)]))
     form = FORMS[name]
-    data = bytearray(whole[form.header:])
+    data = bytearray(whole[form.header :])
     if form.shape or form.cell:  # an item that is none, though its type is
         items = msgspec.msgpack.decode(data)
         at = draw(st.integers(0, len(items) - 1))
-        odd: dict[type, list[Any]] = {float: [math.nan, math.inf, -math.inf, -1.0],
-                                      int: [-1, 1 << 62, (1 << 64) - 1, -(1 << 63)]}
+        odd: dict[type, list[Any]] = {
+            float: [math.nan, math.inf, -math.inf, -1.0],
+            int: [-1, 1 << 62, (1 << 64) - 1, -(1 << 63)],
+        }
         items[at] = draw(st.sampled_from(odd.get(type(items[at]), [b"", "", True, None, [-1] * 16])))
         if draw(st.booleans()):
             return name, msgspec.msgpack.encode(items)
@@ -379,7 +431,7 @@
         if act == "set" and at < len(data):
             data[at] = draw(st.integers(0, 255))
         elif act == "cut":
-            del data[at:at + draw(st.integers(1, 8))]
+            del data[at : at + draw(st.integers(1, 8))]
         elif act == "put":
             data[at:at] = draw(st.binary(max_size=9))
         elif act == "end":
@@ -401,8 +453,17 @@
 
 def message(kind: int, number: int, life: int, **head: int) -> bytes:
     plain: dict[str, Any] = {
-        "v": wire.VERSION, "r": wire.LOWEST, "f": "virtual", "n": "m1", "l": life, "i": 0,
-        "a": wire.pack_address(("10.0.0.2", 7946)), "q": number, "k": kind, **head}
+        "v": wire.VERSION,
+        "r": wire.LOWEST,
+        "f": "virtual",
+        "n": "m1",
+        "l": life,
+        "i": 0,
+        "a": wire.pack_address(("10.0.0.2", 7946)),
+        "q": number,
+        "k": kind,
+        **head,
+    }
     return msgspec.msgpack.encode(plain)
 
 
@@ -421,8 +482,11 @@
     members.received(world.now, message(wire.PING, top + 3, other.life, r=wire.VERSION + 1))
     members.received(world.now, b"\xc1" + message(wire.PING, top + 4, other.life))
     after = members.counts.drops()
-    assert after == {**before, "other_release": before["other_release"] + 1,
-                     "unreadable": before["unreadable"] + 1}
+    assert after == {
+        **before,
+        "other_release": before["other_release"] + 1,
+        "unreadable": before["unreadable"] + 1,
+    }
 
 
 @settings(max_examples=200, deadline=None)
@@ -440,8 +504,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(damaged(("wallet", "canary")), max_size=8))
-def test_a_wallet_and_a_canary_stand_whatever_is_in_a_cell(
-        found: list[tuple[str, bytes]]) -> None:
+def test_a_wallet_and_a_canary_stand_whatever_is_in_a_cell(found: list[tuple[str, bytes]]) -> None:
     day = WalletDay(3, 5)
     day.top_up("one", 300)
     day.traffic("m01", 20.0, 3.0)
@@ -457,18 +520,29 @@
                     day.members["m01"].wallet.on_word(day.now, owner, words.decode_word(data))
             day.run(0.3)
         elif cell.startswith("canary/") and len(data) <= 900:
-            net.nodes["s0"].cells.heard(net.now, Cell(
-                "s1", "canary/c/state" if cell.endswith("/state") else "canary/c", 1, 10_000 + n, data))
+            net.nodes["s0"].cells.heard(
+                net.now,
+                Cell("s1", "canary/c/state" if cell.endswith("/state") else "canary/c", 1, 10_000 + n, data),
+            )
             net.nodes["s0"].canary.tick(net.now + 0.3 * n)
     day.run(1.0)
     net.nodes["s0"].canary.report(net.now + 5.0)
 
 
-
-@pytest.mark.parametrize(("name", "field", "value"), [
-    ("wallet-word", "rate", math.nan), ("wallet-word", "rate", math.inf), ("wallet-word", "rate", -1.0),
-    ("wallet-word", "paused", math.nan), ("canary-counts", "stage", -1), ("canary-counts", "stage", 256),
-    ("canary-counts", "epoch", -1), ("canary-counts", "run", -1), ("canary-counts", "fine_age", math.nan)])
+@pytest.mark.parametrize(
+    ("name", "field", "value"),
+    [
+        ("wallet-word", "rate", math.nan),
+        ("wallet-word", "rate", math.inf),
+        ("wallet-word", "rate", -1.0),
+        ("wallet-word", "paused", math.nan),
+        ("canary-counts", "stage", -1),
+        ("canary-counts", "stage", 256),
+        ("canary-counts", "epoch", -1),
+        ("canary-counts", "run", -1),
+        ("canary-counts", "fine_age", math.nan),
+    ],
+)
 def test_figures_that_are_none_are_refused(name: str, field: str, value: float) -> None:
     """By the first of these a wallet's look at others ended in a fault, by a stage below 0 a canary's."""
     form = FORMS[name]
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -182,7 +182,8 @@
 @settings(max_examples=25, deadline=None)
 @given(seconds=st.floats(0.0, 700.0), age=st.floats(0.5, 60.0), told=st.integers(0, 6))
 def test_nothing_kept_or_told_gives_a_cold_endpoint_more_than_the_module_alone(
-        seconds: float, age: float, told: int) -> None:
+    seconds: float, age: float, told: int
+) -> None:
     """Rule 4: the rate of warm ones begins at nothing, and of a cold one no times are taken, as at any
     start."""
     old = known()
@@ -227,14 +228,19 @@
     return msgspec.structs.replace(forms.Record("a", "f", 77, 10_000.0, "b1", 100.0), **changes)
 
 
-@pytest.mark.parametrize(("clock", "age"), [
-    (At(10_003.0, "b1", 103.0), 3.0),
-    (At(10_003.0 - HOUR, "b1", 103.0), 3.0),  # set back by an hour, and the machine's own count goes on
-    (At(10_003.0 - HOUR, "b2", 50.0), float("inf")),  # set back, and no other count: never fresh
-    (At(10_003.0, "b2", 50.0), 60.0),  # a machine that was started anew took its time
-    (At(10_000.0 + WEEK, "b1", 100.0 + WEEK), WEEK), (At(10_000.0 + WEEK, "", 0.0), WEEK),
-    (At(10_000.0 + WEEK, "b1", 103.0), WEEK),  # a machine put back to an earlier state
-    (At(10_003.0, "b1", 50.0), float("inf"))])
+@pytest.mark.parametrize(
+    ("clock", "age"),
+    [
+        (At(10_003.0, "b1", 103.0), 3.0),
+        (At(10_003.0 - HOUR, "b1", 103.0), 3.0),  # set back by an hour, and the machine's own count goes on
+        (At(10_003.0 - HOUR, "b2", 50.0), float("inf")),  # set back, and no other count: never fresh
+        (At(10_003.0, "b2", 50.0), 60.0),  # a machine that was started anew took its time
+        (At(10_000.0 + WEEK, "b1", 100.0 + WEEK), WEEK),
+        (At(10_000.0 + WEEK, "", 0.0), WEEK),
+        (At(10_000.0 + WEEK, "b1", 103.0), WEEK),  # a machine put back to an earlier state
+        (At(10_003.0, "b1", 50.0), float("inf")),
+    ],
+)
 def test_how_old_a_record_is_when_clocks_differ(clock: At, age: float) -> None:
     assert clock.since(record()) == age
 
@@ -242,14 +248,22 @@
 class Start:
     """One start of a sidecar in a stepped loop, with its folder."""
 
-    def __init__(self, folder: Path | None, clocks: Clocks | None = None, member: str = "a",
-                 rig: Rig | None = None, others: int = 0, seeds: bool = True, table: KeepPart | None = None
-                 ) -> None:
+    def __init__(
+        self,
+        folder: Path | None,
+        clocks: Clocks | None = None,
+        member: str = "a",
+        rig: Rig | None = None,
+        others: int = 0,
+        seeds: bool = True,
+        table: KeepPart | None = None,
+    ) -> None:
         self.rig = rig or Rig(3)
         loop = self.rig.loop
         self.clocks = clocks or At(10_000.0)
-        self.members = [Member(f"m{n}", ("127.0.0.1", n + 1), 5, 0, Standing.ALIVE, 0.0, 0.0)
-                        for n in range(others)]
+        self.members = [
+            Member(f"m{n}", ("127.0.0.1", n + 1), 5, 0, Standing.ALIVE, 0.0, 0.0) for n in range(others)
+        ]
         self.members.append(Member(member, ("127.0.0.1", 99), 9, 0, Standing.ALIVE, 0.0, 0.0))
         view = SimpleNamespace(own_name=member, own_life=9, members=lambda: self.members)
         self.cells = Cells(member, 9)
@@ -311,8 +325,15 @@
     rig.tell(entry("e0", 1), entry("e1", 2), entry("e2", 3, started=77_000.0), whole=True)
     second = Start(tmp_path, At(10_002.0, "b1", 502.0), rig=rig)
     assert second.balancer.endpoints["e1"].breaker and not second.balancer.endpoints["e2"].breaker
-    assert second.body()["start"] == {"generation": 1, "age": 2.0, "refused": None, "waited": 0.0, "words": 0,
-                                      "folder": ["e1"], "members": []}
+    assert second.body()["start"] == {
+        "generation": 1,
+        "age": 2.0,
+        "refused": None,
+        "waited": 0.0,
+        "words": 0,
+        "folder": ["e1"],
+        "members": [],
+    }
     assert second.run.ready_from(rig.loop.now()) <= rig.loop.now(), "it needs nobody's word"
     second.close()
 
@@ -329,6 +350,7 @@
             start.run.tick(start.rig.loop.now())
             assert writer.flush(20.0)
         return writer.outcome.writes - before
+
     start.run.tick(start.rig.loop.now())
     assert writer.flush(20.0) and writes_in(3.0) == 0, "nothing is new"
     trip(start, "e1")
@@ -339,7 +361,8 @@
 
 
 def test_a_start_is_known_again_whatever_clocks_did_and_what_is_known_by_now_is_not_overruled(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     first = Start(tmp_path)
     first.rig.tell(*(entry(f"e{n}", n + 1, started=50_000.0) for n in range(3)), whole=True)
     for n in range(3):
@@ -348,8 +371,12 @@
     first.rig.close()
     rig = Rig(0)
     rig.decoder.clock_offset = -3600.0  # the clock was set; the starts that the list tells are the same
-    rig.tell(entry("e0", 1, started=50_000.0), entry("e1", 2, started=52_000.0),
-             entry("e2", 3, started=50_000.0), whole=True)
+    rig.tell(
+        entry("e0", 1, started=50_000.0),
+        entry("e1", 2, started=52_000.0),
+        entry("e2", 3, started=50_000.0),
+        whole=True,
+    )
     rig.balancer.touched[rig.balancer.endpoints["e2"]] = None  # as a predecessor's word leaves it
     second = Start(tmp_path, At(10_002.0 - HOUR, "b1", 502.0), rig=rig)
     assert [id for id, e in rig.balancer.endpoints.items() if e.breaker] == ["e0"]
@@ -376,11 +403,17 @@
     second.close()
 
 
-@pytest.mark.parametrize(("clocks", "member", "age"), [
-    (At(10_000.0 + WEEK, "b1", 500.0 + WEEK), "a", WEEK), (At(10_000.0 - HOUR, "b9", 1.0), "a", None),
-    (At(10_001.0, "b1", 501.0), "b", None)])
+@pytest.mark.parametrize(
+    ("clocks", "member", "age"),
+    [
+        (At(10_000.0 + WEEK, "b1", 500.0 + WEEK), "a", WEEK),
+        (At(10_000.0 - HOUR, "b9", 1.0), "a", None),
+        (At(10_001.0, "b1", 501.0), "b", None),
+    ],
+)
 def test_a_folder_of_last_week_a_clock_set_back_and_another_members_folder(
-        tmp_path: Path, clocks: At, member: str, age: float | None) -> None:
+    tmp_path: Path, clocks: At, member: str, age: float | None
+) -> None:
     first = Start(tmp_path)
     trip(first, "e1")
     write(first)
@@ -415,7 +448,8 @@
 
 
 def test_a_disk_that_stalls_holds_up_nothing_and_is_told_once(
-        tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+) -> None:
     start = Start(tmp_path, table=KeepPart(every=1.0))
     files = Faulty(tmp_path)
     files.stalled = threading.Event()
@@ -436,7 +470,8 @@
 
 
 def test_a_disk_that_stalls_at_the_start_is_done_without_and_is_not_believed_later(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     first = Start(tmp_path)
     write(first)
     first.rig.close()
@@ -448,6 +483,7 @@
             return before(files, name, most)
         finally:
             ended.set()
+
     monkeypatch.setattr(keep, "READ_TIME", 0.01)
     monkeypatch.setattr(DiskFiles, "read", stalls)
     second = Start(tmp_path)
@@ -474,6 +510,7 @@
                 start.told("m1", word)
         start.close()
         return now - begun
+
     word = forms.encode(9, [], [])
     assert waits(seeds=False) == 0.0 == waits(table=KeepPart(wait=0.0), others=3)
     assert waits(word, others=2) < 0.2
@@ -543,6 +580,7 @@
 
 def test_a_thousand_that_start_with_no_word_and_one_teller() -> None:
     """What goes to the dead one: one trial of each, where each alone sends three or more."""
+
     def sent(word: bool) -> int:
         total = 0
         for seed in range(40):  # each is like each other: the thousand are forty, times twenty-five
@@ -558,6 +596,7 @@
                         fleet.end(n, m, Outcome.ERROR if one.endpoint == "e0" else Outcome.SERVED)
                 fleet.wait(0.05)
         return total
+
     assert sent(True) <= 40 < 3 * 40 <= sent(False)
     herd = Herd(60, seed=1)  # in virtual time with the classes that run
     assert herd.doors[-1] <= 1.0 + keep.LOOK and herd.told == len(herd.starters), "in time, and each is told"
@@ -589,5 +628,7 @@
     config: Any = None
     assert not list(unfit(KeepPart(), config, None))
     assert [f.partition(":")[0] for f in unfit(KeepPart(every=0.0, wait=9.0), config, None)] == [
-        "keep.every", "keep.wait"]
+        "keep.every",
+        "keep.wait",
+    ]
     assert FailoverTable.RESET_WINDOW < learnt.LOAD_LASTS < learnt.KEYS_LAST
--- a/tests/test_keep_processes.py
+++ b/tests/test_keep_processes.py
@@ -26,12 +26,20 @@
 
 
 @contextmanager
-def serving(folder: Path, every: float = 0.2, odd: str = "", keeps: str = "abc"
-            ) -> Iterator[tuple[Fleet, dict[str, restarts.Clients]]]:
+def serving(
+    folder: Path, every: float = 0.2, odd: str = "", keeps: str = "abc"
+) -> Iterator[tuple[Fleet, dict[str, restarts.Clients]]]:
     """Three members under load, with twelve endpoints of which three are bad."""
-    with restarts.endpoints() as servers, Fleet(
-            folder, NAMES, 1, restarts.config(servers),
-            lambda name: {"keep": {"every": every}} if name in keeps else {}) as fleet:
+    with (
+        restarts.endpoints() as servers,
+        Fleet(
+            folder,
+            NAMES,
+            1,
+            restarts.config(servers),
+            lambda name: {"keep": {"every": every}} if name in keeps else {},
+        ) as fleet,
+    ):
         fleet.start(odd=odd)
         fleet.all_alive()
         clients = {name: restarts.Clients(s.listen, 60.0) for name, s in fleet.sidecars.items()}
@@ -60,8 +68,12 @@
 
 def told(fleet: Fleet, name: str) -> int:
     """How many endpoints it last told the others of as bad, by what has come over the network."""
-    news = [cell for _, _, data in fleet.network.recent() for cell in wire.decode(data, "lab").cells
-            if (cell.owner, cell.name) == (name, forms.CELL) and cell.value]
+    news = [
+        cell
+        for _, _, data in fleet.network.recent()
+        for cell in wire.decode(data, "lab").cells
+        if (cell.owner, cell.name) == (name, forms.CELL) and cell.value
+    ]
     word = forms.decode(max(news, key=lambda cell: cell.sequence).value) if news else forms.Told(0, (), {})
     return len(word.out) + len(word.slow)
 
@@ -100,8 +112,11 @@
 def test_with_no_folder_the_others_tell_and_with_links_cut_it_begins_anew_in_time(tmp_path: Path) -> None:
     with serving(tmp_path) as (fleet, _):
         for other in ("b", "c"):
-            wait_until(lambda other=other: told(fleet, other) >= len(BAD), PATIENCE,  # type: ignore[misc]
-                       "others tell")
+            wait_until(
+                lambda other=other: told(fleet, other) >= len(BAD),  # type: ignore[misc]
+                PATIENCE,
+                "others tell",
+            )
         a = fleet["a"]
         a.kill()
         shutil.rmtree(a.folder / "kept")  # and there is none while it lasts
@@ -141,9 +156,13 @@
     with serving(tmp_path, odd="bad-disk") as (fleet, clients):
         a = fleet["a"]
         asked, state = clients["a"].asked, a.folder / "kept" / "disk"
-        for n, (how, why) in enumerate((("full", "No space left on device"),
-                                        ("read-only", "Read-only file system"),
-                                        ("stalled", "the disk stalls"))):
+        for n, (how, why) in enumerate(
+            (
+                ("full", "No space left on device"),
+                ("read-only", "Read-only file system"),
+                ("stalled", "the disk stalls"),
+            )
+        ):
             wait_until(lambda: body(a)["writes"] > 2 and not body(a)["trouble"], PATIENCE, "it keeps")
             state.write_text(how)
             begun = time.monotonic()
@@ -167,8 +186,9 @@
     with serving(tmp_path) as (fleet, _):
         a, b = fleet["a"], fleet["b"]
         kept = a.folder / "kept"
-        wait_until(lambda: body(a)["writes"] > 3 and body(b)["writes"] > 3 and out(a) >= BAD, PATIENCE,
-                   "records")
+        wait_until(
+            lambda: body(a)["writes"] > 3 and body(b)["writes"] > 3 and out(a) >= BAD, PATIENCE, "records"
+        )
         a.leave()
         a.gone()
         # Half aged, and last week's: as it is, but for when it was written.
@@ -218,8 +238,12 @@
 
 
 def test_an_abort_outlasts_the_loss_of_the_canarys_own_file_at_all(tmp_path: Path) -> None:
-    table: dict[str, Any] = {"keep": {"every": 600.0}, "canary": [
-        {"name": "next", "kind": "new", "stages": [{"part": 0.5, "time": 600.0, "exchanges": 20}]}]}
+    table: dict[str, Any] = {
+        "keep": {"every": 600.0},
+        "canary": [
+            {"name": "next", "kind": "new", "stages": [{"part": 0.5, "time": 600.0, "exchanges": 20}]}
+        ],
+    }
     base = quiet_config()
     config = {**base, "settings": {**base["settings"], "kinds": ["old", "new"]}}
     with Fleet(tmp_path, NAMES, 1, config, lambda name: table) as fleet:
@@ -231,8 +255,12 @@
 
         def kept(name: str) -> bool:
             record = Lasting(fleet[name].folder / "kept", name, "lab").record
-            return record is not None and any(state.decode(cell.value)[0].aborted for cell in record.cells
-                                              if cell.name == "canary/next/state")
+            return record is not None and any(
+                state.decode(cell.value)[0].aborted
+                for cell in record.cells
+                if cell.name == "canary/next/state"
+            )
+
         assert fleet["a"].call("POST", "/-/canaries/next/start").status == 200
         assert fleet["a"].call("POST", "/-/canaries/next/abort").status == 200
         wait_until(lambda: all(aborted(name) for name in NAMES), PATIENCE, "the abort is everywhere")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -59,15 +59,22 @@
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
         environment.pop("PYTEST_ADDOPTS", None)
         done = subprocess.run(
-            [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "-q", *arguments], cwd=self.root,
-            env=environment, text=True, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, timeout=PATIENCE)
+            [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "-q", *arguments],
+            cwd=self.root,
+            env=environment,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            timeout=PATIENCE,
+        )
         return done.returncode, done.stdout
 
     def counts(self, *arguments: str) -> tuple[int, dict[str, int]]:
         """Status, and how many tests ended in which way."""
         status, output = self.run(*arguments)
-        found = re.findall(r"(\d+) (passed|failed|xfailed|xpassed|deselected|errors?)\b",
-                           output.splitlines()[-1])
+        found = re.findall(
+            r"(\d+) (passed|failed|xfailed|xpassed|deselected|errors?)\b", output.splitlines()[-1]
+        )
         return status, {kind: int(count) for count, kind in found}
 
 
@@ -110,8 +117,16 @@
     assert folder.counts() == (FAILED, {"failed": 2, "passed": 3, "xfailed": 1})
 
 
-@pytest.mark.parametrize("chosen", [("checks/test_b.py",), ("-k", "other"), ("checks/test_a.py::test_good",),
-                                    ("--ignore", "checks/test_a.py"), ("-n", "2", "checks/test_b.py")])
+@pytest.mark.parametrize(
+    "chosen",
+    [
+        ("checks/test_b.py",),
+        ("-k", "other"),
+        ("checks/test_a.py::test_good",),
+        ("--ignore", "checks/test_a.py"),
+        ("-n", "2", "checks/test_b.py"),
+    ],
+)
 def test_a_listed_test_that_was_not_chosen_is_no_error(folder: Folder, chosen: tuple[str, ...]) -> None:
     folder.known(BAD, HALF)
     status, output = folder.run(*chosen)
@@ -125,9 +140,16 @@
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "2")], ids=["alone", "xdist"])
-@pytest.mark.parametrize("name", [
-    "checks/test_a.py::test_nowhere", "checks/test_a.py::TestMany::test_good",
-    "checks/test_a.py::TestFew::test_bad", "checks/test_a.py::helper", "checks/test_a.py::test_half[3]"])
+@pytest.mark.parametrize(
+    "name",
+    [
+        "checks/test_a.py::test_nowhere",
+        "checks/test_a.py::TestMany::test_good",
+        "checks/test_a.py::TestFew::test_bad",
+        "checks/test_a.py::helper",
+        "checks/test_a.py::test_half[3]",
+    ],
+)
 def test_a_test_that_does_not_exist_is_an_error(folder: Folder, name: str, workers: tuple[str, ...]) -> None:
     folder.known(f"{name} | none | issue 7")
     status, output = folder.run(*workers)
@@ -140,11 +162,20 @@
     assert status == USAGE and "checks/test_c.py::test_bad: " in output and "No such file" in output, output
 
 
-@pytest.mark.parametrize("line", [
-    "checks/test_a.py::test_bad", "checks/test_a.py::test_bad | it is slow", "# none",
-    "checks/test_a.py::test_bad | | issue 7", "checks/test_a.py::test_bad | it is slow | 7", "",
-    "checks/test_a.py | it is slow | issue 7", "test_bad | it is slow | issue 7",
-    "checks/test_a.py::test_bad | it is slow | issue 7 or so"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "checks/test_a.py::test_bad",
+        "checks/test_a.py::test_bad | it is slow",
+        "# none",
+        "checks/test_a.py::test_bad | | issue 7",
+        "checks/test_a.py::test_bad | it is slow | 7",
+        "",
+        "checks/test_a.py | it is slow | issue 7",
+        "test_bad | it is slow | issue 7",
+        "checks/test_a.py::test_bad | it is slow | issue 7 or so",
+    ],
+)
 def test_a_malformed_line_is_an_error(folder: Folder, line: str) -> None:
     folder.known(line)
     status, output = folder.run()
--- a/tests/test_lab_audit.py
+++ b/tests/test_lab_audit.py
@@ -19,9 +19,11 @@
 
 from .lab import experiment, plant_lie, played
 
-ROUGH = [{"kind": "crash", "at": 3.0, "length": 4.0, "part": 0.3},
-         {"kind": "drain", "at": 2.0, "length": 6.0, "names": ["e1"], "size": 1.0},
-         {"kind": "errors", "at": 4.0, "length": 4.0, "part": 0.3, "size": 0.5}]
+ROUGH = [
+    {"kind": "crash", "at": 3.0, "length": 4.0, "part": 0.3},
+    {"kind": "drain", "at": 2.0, "length": 6.0, "names": ["e1"], "size": 1.0},
+    {"kind": "errors", "at": 4.0, "length": 4.0, "part": 0.3, "size": 0.5},
+]
 
 
 def rough(**changes: Any) -> Experiment:
@@ -53,6 +55,7 @@
         honest(self, holding, kind, hold_off, token)
         if holding.op.number == 60:
             holding.asked.answers.append(("rejected", self.clock.now, ""))
+
     monkeypatch.setattr(VirtualRun, "client_told", doubling)
     _, _, found, _ = played(experiment())
     assert {(b.rule, b.id.split(".")[0]) for b in found.breaks if b.rule == 1} == {(1, "o50"), (1, "o60")}
@@ -68,6 +71,7 @@
 
 class Reckless(Balancer):
     """Takes every endpoint for warm and lets queues grow."""
+
     MOST_TURNED = 0.0
 
     def cold_age(self, e: Any, now: float) -> float | None:
@@ -82,7 +86,9 @@
         with monkeypatch.context() as patch:
             patch.setattr("rainspindle.protocol.settings.Balancer", module)
             from rainspindle.protocol.settings import make_balancer
+
             return make_balancer(host, seed, now, s)
+
     monkeypatch.setattr(decide, "make_balancer", make)
 
 
@@ -96,9 +102,12 @@
 def test_a_module_that_floods_a_cold_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     changes: dict[str, Any] = {
         "faults": [{"kind": "crash", "at": 3.0, "length": 0.5, "part": 0.5}],
-        "registry": {"lag": [0.2, 0.3], "add_lag": [0.1, 0.2]}, "length": 16.0, "clients": {"rate": 140.0},
+        "registry": {"lag": [0.2, 0.3], "add_lag": [0.1, 0.2]},
+        "length": 16.0,
+        "clients": {"rate": 140.0},
         "rules": {"cold_multiple": 1.5, "cold_window": 2.0},
-        "fleet": {"kinds": [{"count": 6, "cold": 10.0, "cold_from": 0.1}]}}
+        "fleet": {"kinds": [{"count": 6, "cold": 10.0, "cold_from": 0.1}]},
+    }
     _, ledger, found, _ = played(experiment(**changes))
     assert found.by_rule()[4] == 0 and any(s.cold for s in ledger.starts)
     planted(Reckless, monkeypatch)
@@ -118,14 +127,31 @@
 
 
 def asked(id: str = "o1.1", type: int = 1, **changes: Any) -> Asked:
-    fields: dict[str, Any] = {"sent": 1.0, "wait": 1.5, "expiry": 1.5, "due": 1.0, "sidecar": 0,
-                              "op": id.split(".")[0], "answers": [("finished", 1.2, "t1")]}
+    fields: dict[str, Any] = {
+        "sent": 1.0,
+        "wait": 1.5,
+        "expiry": 1.5,
+        "due": 1.0,
+        "sidecar": 0,
+        "op": id.split(".")[0],
+        "answers": [("finished", 1.2, "t1")],
+    }
     return Asked(id, type=type, **{**fields, **changes})
 
 
 def run(id: str = "o1.1", type: int = 1, **changes: Any) -> Run:
-    fields: dict[str, Any] = {"sidecar": 0, "endpoint": 0, "start": 0, "token": "t1", "first": 1.05,
-                              "arrived": 1.05, "work": 0.05, "began": 1.06, "ended": 1.1, "how": "served"}
+    fields: dict[str, Any] = {
+        "sidecar": 0,
+        "endpoint": 0,
+        "start": 0,
+        "token": "t1",
+        "first": 1.05,
+        "arrived": 1.05,
+        "work": 0.05,
+        "began": 1.06,
+        "ended": 1.1,
+        "how": "served",
+    }
     return Run(id, id.split(".")[0], type, **{**fields, **changes})
 
 
@@ -157,16 +183,25 @@
 
 def test_word_of_a_drain_holds_until_the_next_start() -> None:
     def sent_at(at: float) -> tuple[list[int], int]:
-        words = [Told(0, 0, "draining", 0.0), Told(0, 0, "gone", 0.6), Told(0, 0, "ready", 2.0),
-                 Told(1, 0, "gone", 2.0)]
+        words = [
+            Told(0, 0, "draining", 0.0),
+            Told(0, 0, "gone", 0.6),
+            Told(0, 0, "ready", 2.0),
+            Told(1, 0, "gone", 2.0),
+        ]
         one = asked(sent=at - 0.01, answers=[("finished", at + 0.2, "t1")])
         return told(Ledger([one], [run(first=at, arrived=at, began=at, ended=at + 0.1)], [], words))
+
     assert [sent_at(at)[0] for at in (0.45, 0.55, 1.9, 2.1)] == [[], [3], [3], []]
 
 
 def test_ledgers_that_do_not_balance_are_the_labs_own_fault() -> None:
     for ledger in (
-            Ledger([asked()], []), Ledger([], [run()]), Ledger([asked()], [run(ended=1.3)]),
-            Ledger([asked(answers=[("finished", 1.2, "t9")])], [run()]),
-            Ledger([asked(), asked()], [run()]), Ledger([asked()], [run(first=0.5)])):
+        Ledger([asked()], []),
+        Ledger([], [run()]),
+        Ledger([asked()], [run(ended=1.3)]),
+        Ledger([asked(answers=[("finished", 1.2, "t9")])], [run()]),
+        Ledger([asked(), asked()], [run()]),
+        Ledger([asked()], [run(first=0.5)]),
+    ):
         assert audit(ledger, world(), 0.0).faults
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -24,15 +24,24 @@
     """One endpoint and a clock moved by hand."""
 
     def __init__(self, mean_work: float = 0.1, **kind: Any) -> None:
-        self.model = EndpointModel(0, 0, Kind.model_validate({"count": 1, **kind}), 1.0, Rules(), lambda: 0.5,
-                                   mean_work)
+        self.model = EndpointModel(
+            0, 0, Kind.model_validate({"count": 1, **kind}), 1.0, Rules(), lambda: 0.5, mean_work
+        )
         self.ended: list[tuple[str, float, str]] = []
 
-    def send(self, at: float, work: float = 1.0, key: str = "", expires: float = math.inf, name: str = "x",
-             new: bool = False) -> Job:
+    def send(
+        self,
+        at: float,
+        work: float = 1.0,
+        key: str = "",
+        expires: float = math.inf,
+        name: str = "x",
+        new: bool = False,
+    ) -> Job:
         run = Run(name, name, 0, 0, 0, self.model.start, name, at, at, work)
-        job = Job(run, key, expires,
-                  lambda j: self.ended.append((j.run.id, round(j.run.ended, 6), j.run.how)))
+        job = Job(
+            run, key, expires, lambda j: self.ended.append((j.run.id, round(j.run.ended, 6), j.run.how))
+        )
         self.model.arrive(at, job, new)
         return job
 
@@ -42,8 +51,12 @@
     for n in range(4):
         b.send(0.0, name=f"j{n}")
     b.model.advance(5.0)
-    assert b.ended == [("j3", 0.0, "full"), ("j0", 1.0, "served"), ("j1", 1.0, "served"),
-                       ("j2", 2.0, "served")]
+    assert b.ended == [
+        ("j3", 0.0, "full"),
+        ("j0", 1.0, "served"),
+        ("j1", 1.0, "served"),
+        ("j2", 2.0, "served"),
+    ]
 
 
 def test_slowness_and_pauses_begin_in_the_middle_of_work() -> None:
@@ -64,7 +77,13 @@
         b.send(at, key=key)
         b.model.advance(at + 1.0)
     assert [round(end - at, 3) for (_, end, _), at in zip(b.ended, (0, 1, 5, 6, 7, 8), strict=True)] == [
-        1.0, 0.5, 1.0, 1.0, 1.0, 1.0]
+        1.0,
+        0.5,
+        1.0,
+        1.0,
+        1.0,
+        1.0,
+    ]
 
 
 def test_cold_start_is_slow_and_too_much_work_pushes_it_over() -> None:
@@ -125,8 +144,9 @@
 
 
 def test_links_delay_stall_and_fall_silent() -> None:
-    link = LinkModel(Link(delay=0.1, jitter=0.0, bandwidth=1000.0), [Cut(2.0, 5.0), Cut(7.0, 8.0, 0.5)],
-                     lambda: 0.0)
+    link = LinkModel(
+        Link(delay=0.1, jitter=0.0, bandwidth=1000.0), [Cut(2.0, 5.0), Cut(7.0, 8.0, 0.5)], lambda: 0.0
+    )
     assert link.arrival(0.0, 100) == pytest.approx(0.2)
     assert link.arrival(0.0, 100) == pytest.approx(0.3)  # behind the first
     assert link.arrival(3.0, 0) == pytest.approx(5.1) and not link.whole(3.0) and link.whole(5.0)
@@ -139,24 +159,36 @@
 
 
 def test_new_connections_over_a_long_way_do_not_wait_for_each_other() -> None:
-    _, _, _, figures = played(experiment(
-        links={"same": {"delay": 0.03}}, limits={"idle_time": 0.01}, length=4.0,
-        clients={"rate": 150.0, "keys": 0}, fleet={"zones": ["a"], "kinds": [{"count": 60}]}))
+    _, _, _, figures = played(
+        experiment(
+            links={"same": {"delay": 0.03}},
+            limits={"idle_time": 0.01},
+            length=4.0,
+            clients={"rate": 150.0, "keys": 0},
+            fleet={"zones": ["a"], "kinds": [{"count": 60}]},
+        )
+    )
     assert figures["handshakes"] > 0.9 and figures["goodput"] > 0.95
 
 
 def test_the_list_lags_and_never_goes_back() -> None:
-    x = experiment(faults=[{"kind": "crash", "at": 1.0, "length": 1.0, "names": ["e0"]},
-                           {"kind": "drain", "at": 3.0, "length": 2.0, "names": ["e1"], "size": 1.0},
-                           {"kind": "list_outage", "at": 4.0, "length": 2.0}],
-                   registry={"lag": [0.5, 0.9], "add_lag": [0.1, 0.2], "stale_part": 0.5, "stale_more": 3.0})
+    x = experiment(
+        faults=[
+            {"kind": "crash", "at": 1.0, "length": 1.0, "names": ["e0"]},
+            {"kind": "drain", "at": 3.0, "length": 2.0, "names": ["e1"], "size": 1.0},
+            {"kind": "list_outage", "at": 4.0, "length": 2.0},
+        ],
+        registry={"lag": [0.5, 0.9], "add_lag": [0.1, 0.2], "stale_part": 0.5, "stale_more": 3.0},
+    )
     for seed in range(20):
         registry = World(x, x.variants[0], seed).registry
         states = {id: [c.line.state for c in registry.changes if c.line.id == id] for id in ("e0", "e1")}
         assert states == {"e0": [State.GONE, State.READY], "e1": [State.DRAINING, State.GONE, State.READY]}
         assert registry.version(0.0) == 1 and registry.since(1, 0.9) == []
         assert {line.id: line.state for line in registry.since(1, 99.0)} == {
-            "e0": State.READY, "e1": State.READY}
+            "e0": State.READY,
+            "e1": State.READY,
+        }
         assert registry.down(5.0) and not registry.down(6.5) and registry.next_outage(1.0) == 4.0
 
 
@@ -167,16 +199,19 @@
 
 
 def test_a_further_fault_changes_nobodys_schedule() -> None:
-    plain, rough = experiment(), experiment(faults=[{"kind": "slow", "at": 1.0, "length": 1.0, "part": 0.5,
-                                                     "size": 2.0}])
+    plain, rough = (
+        experiment(),
+        experiment(faults=[{"kind": "slow", "at": 1.0, "length": 1.0, "part": 0.5, "size": 2.0}]),
+    )
     assert World(plain, plain.variants[0], 4).schedule == World(rough, rough.variants[0], 4).schedule
     assert World(plain, plain.variants[0], 4).schedule != World(plain, plain.variants[0], 5).schedule
 
 
 @pytest.mark.parametrize("tail", ["lognormal", "pareto"])
 def test_work_has_the_stated_mean(tail: str) -> None:
-    kind = Traffic.model_validate({"name": "x", "work": 0.05, "spread": 0.8, "tail": tail, "promised": 1.0,
-                                   "expiry": 1.0})
+    kind = Traffic.model_validate(
+        {"name": "x", "work": 0.05, "spread": 0.8, "tail": tail, "promised": 1.0, "expiry": 1.0}
+    )
     drawn = draw_work(kind, 400_000, np.random.default_rng(3))
     assert drawn.mean() == pytest.approx(0.05, rel=0.02) and drawn.min() > 0
 
@@ -189,9 +224,10 @@
 
 
 def test_what_a_client_does_after_an_answer() -> None:
-    retriable, binding = (Traffic.model_validate({
-        "name": "x", "work": 0.1, "promised": 1.0, "expiry": 1.0, "effect": e})
-        for e in ("retriable", "binding"))
+    retriable, binding = (
+        Traffic.model_validate({"name": "x", "work": 0.1, "promised": 1.0, "expiry": 1.0, "effect": e})
+        for e in ("retriable", "binding")
+    )
     clients = Clients(rate=1.0, retries=2, wait=0.1, backoff="exponential")
     keeps, rushes = (Operation(1, 0, 0.0, 0, "", 0.1, 1.0, honours) for honours in (True, False))
     assert next_try(clients, retriable, keeps, 1, "rejected", 2.0, 0.5) == 2.0
