--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -22,8 +22,12 @@
 class Pair:
     """Two sessions and the bytes between them; time is moved by hand, and the two clocks differ."""
 
-    def __init__(self, keys: Sequence[bytes] = (KEY,), other_keys: Sequence[bytes] = (KEY,),
-                 cut: Callable[[bytes], list[bytes]] = lambda data: [data]) -> None:
+    def __init__(
+        self,
+        keys: Sequence[bytes] = (KEY,),
+        other_keys: Sequence[bytes] = (KEY,),
+        cut: Callable[[bytes], list[bytes]] = lambda data: [data],
+    ) -> None:
         self.now, self.apart, self.cut = 100.0, 5000.0, cut
         self.a = Session(self.now, "casa", 11, keys, dialer=True, expected="rabat")
         self.b = Session(self.now + self.apart, "rabat", 22, other_keys, dialer=False)
@@ -49,8 +53,23 @@
 
     def opened(self, id: int, body: bytes = b"", left: float = 1.5, of: Session | None = None) -> None:
         of = of or self.a
-        of.open(f.Open(id, self.clock(of), left, "submit", "k", None, False, b"x%d" % id, b"POST", b"/",
-                       ((b"a", b"b"),), len(body)), body)
+        of.open(
+            f.Open(
+                id,
+                self.clock(of),
+                left,
+                "submit",
+                "k",
+                None,
+                False,
+                b"x%d" % id,
+                b"POST",
+                b"/",
+                ((b"a", b"b"),),
+                len(body),
+            ),
+            body,
+        )
 
     def came(self, of: Session | None = None) -> list[tuple[int, bytes]]:
         return [(e.open.id, e.body) for e in self.events[of or self.b] if isinstance(e, Came)]
@@ -72,12 +91,14 @@
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.lists(st.tuples(st.booleans(), st.integers(0, f.MOST_BODY)), max_size=40))
 def test_bodies_cross_whole_and_in_credit_however_they_are_cut(
-        seed: int, bodies: list[tuple[bool, int]]) -> None:
+    seed: int, bodies: list[tuple[bool, int]]
+) -> None:
     rng = random.Random(seed)
 
     def cut(data: bytes) -> list[bytes]:
         at = sorted(rng.randrange(len(data) + 1) for _ in range(rng.randrange(6)))
         return [data[i:j] for i, j in zip([0, *at], [*at, len(data)], strict=True) if i < j]
+
     pair = Pair(cut=cut)
     pair.settle()
     sent: dict[Session, list[tuple[int, bytes]]] = {pair.a: [], pair.b: []}
@@ -102,10 +123,13 @@
 
 
 def test_what_is_no_frame_ends_the_connection_by_name() -> None:
-    for data, name in ((b"\x00\x00\x00\x00", "frame_length"), (b"\xff\xff\xff\xff", "frame_length"),
-                       (b"\x00\x00\x00\x01\xc1", "frame_unreadable"),
-                       (b"\x00\x00\x00\x02\x91\xa1", "frame_unreadable"),
-                       (b"\x00\x00\x00\x07\x92\xa5Pingg", "frame_unreadable")):
+    for data, name in (
+        (b"\x00\x00\x00\x00", "frame_length"),
+        (b"\xff\xff\xff\xff", "frame_length"),
+        (b"\x00\x00\x00\x01\xc1", "frame_unreadable"),
+        (b"\x00\x00\x00\x02\x91\xa1", "frame_unreadable"),
+        (b"\x00\x00\x00\x07\x92\xa5Pingg", "frame_unreadable"),
+    ):
         with pytest.raises(f.LinkFault) as raised:
             f.Reader().receive(data)
         assert raised.value.name == name
@@ -144,6 +168,7 @@
 def test_strangers_cost_little_and_say_nothing() -> None:
     def stranger() -> tuple[Session, float]:
         return Session(0.0, "rabat", 22, (KEY,), dialer=False), 0.0
+
     hello = f.Hello((1,), "casa", 11, b"n" * 16)
     assert fault(*stranger(), f.Ping(1.0)) == "greeting_expected"
     assert fault(*stranger(), f.Hello((9,), "casa", 11, b"n" * 16)) == "version"
@@ -162,17 +187,25 @@
 def test_whoever_breaks_the_protocol_is_named() -> None:
     def opened(id: int, size: int = 0, sent: float = 0.0) -> f.Open:
         return f.Open(id, sent, 1.0, "submit", None, None, False, b"", b"POST", b"/", (), size)
+
     for frames, name in (
-            ([f.Hello((1,), "casa", 11, b"n" * 16)], "greeting_again"), ([f.Pong(0.0, 1.0)], "clock"),
-            ([opened(2), opened(2)], "id_order"), ([opened(2), opened(1)], "id_order"),
-            ([opened(1, f.MOST_BODY + 1)], "body_size"), ([opened(1, -1)], "body_size"),
-            ([opened(1, sent=float("nan"))], "clock"), ([f.Data(5, False, b"x")], "id_unknown"),
-            ([opened(1, 10), f.Data(1, False, b"x" * 11)], "no_credit"),
-            ([opened(1, 10), f.Data(1, False, b"")], "no_credit"),
-            ([opened(1, f.MOST_BODY), *[f.Data(1, False, b"x" * 8192)] * 5], "no_credit"),
-            ([f.Credit(0, False, 1)], "credit"), ([f.Credit(0, False, -1)], "credit"),
-            ([f.Cancel(9)], "id_unknown"), ([f.Fault("no_credit")], "peer_fault"),
-            ([f.Answer(1, "finished", 0.0, (), 5, True)] * 2, "id_order")):
+        ([f.Hello((1,), "casa", 11, b"n" * 16)], "greeting_again"),
+        ([f.Pong(0.0, 1.0)], "clock"),
+        ([opened(2), opened(2)], "id_order"),
+        ([opened(2), opened(1)], "id_order"),
+        ([opened(1, f.MOST_BODY + 1)], "body_size"),
+        ([opened(1, -1)], "body_size"),
+        ([opened(1, sent=float("nan"))], "clock"),
+        ([f.Data(5, False, b"x")], "id_unknown"),
+        ([opened(1, 10), f.Data(1, False, b"x" * 11)], "no_credit"),
+        ([opened(1, 10), f.Data(1, False, b"")], "no_credit"),
+        ([opened(1, f.MOST_BODY), *[f.Data(1, False, b"x" * 8192)] * 5], "no_credit"),
+        ([f.Credit(0, False, 1)], "credit"),
+        ([f.Credit(0, False, -1)], "credit"),
+        ([f.Cancel(9)], "id_unknown"),
+        ([f.Fault("no_credit")], "peer_fault"),
+        ([f.Answer(1, "finished", 0.0, (), 5, True)] * 2, "id_order"),
+    ):
         pair = up()
         if name == "no_credit" and len(frames) > 3:
             pair.b.granted = 32 * 1024  # of the link, as after many bodies
@@ -287,9 +320,10 @@
 
 def test_the_checker_finds_planted_faults() -> None:
     for checker, what in (
-            (Checker(Size(2, 2, 0, 0, names=1), make_ledger=Forgetful), "ran"),
-            (Checker(Size(1, 2, 0, 0), make_ledger=Unbinding), "ran"),
-            (Checker(Size(1, 2, 0, 0), make_claim=Hopeful), "ran"),
-            (Checker(Size(1, 2, 1, 0), epochs_matter=False), "ran")):
+        (Checker(Size(2, 2, 0, 0, names=1), make_ledger=Forgetful), "ran"),
+        (Checker(Size(1, 2, 0, 0), make_ledger=Unbinding), "ran"),
+        (Checker(Size(1, 2, 0, 0), make_claim=Hopeful), "ran"),
+        (Checker(Size(1, 2, 1, 0), epochs_matter=False), "ran"),
+    ):
         found = checker.run(400_000)
         assert what in found.violation and found.trace
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -31,11 +31,17 @@
 OTHERS = [name for name in NAMES if name not in ASKERS]
 
 
-def service(changes: Sequence[float] = (), outages: Sequence[tuple[float, float]] = (), rate: float = 0.0,
-            size: int = 12) -> Service:
+def service(
+    changes: Sequence[float] = (),
+    outages: Sequence[tuple[float, float]] = (),
+    rate: float = 0.0,
+    size: int = 12,
+) -> Service:
     """A list of which an endpoint drains, or is back, at each of these times."""
-    turns = [Change(at, listed(n // 2 % size, State.READY if n % 2 else State.DRAINING))
-             for n, at in enumerate(changes)]
+    turns = [
+        Change(at, listed(n // 2 % size, State.READY if n % 2 else State.DRAINING))
+        for n, at in enumerate(changes)
+    ]
     return Service(Registry([listed(n) for n in range(size)], turns, list(outages)), rate)
 
 
@@ -134,17 +140,25 @@
             far = 2**62 + count[0] if how == "too high" else head.version + 1
             gone = [(f"e{n}", b"") for n in range(12)]
             ways: dict[str, dict[str, Any]] = {
-                "too high": {"version": far, "delta": gone}, "one ahead": {"version": far, "delta": gone},
-                "wrong changes": {"delta": gone}, "wrong digest": {"digest": b"x" * words.MARK},
-                "never old": {"age": 0, "failing": False}, "unreadable": {}, "wrong chunk": {}}
+                "too high": {"version": far, "delta": gone},
+                "one ahead": {"version": far, "delta": gone},
+                "wrong changes": {"delta": gone},
+                "wrong digest": {"digest": b"x" * words.MARK},
+                "never old": {"age": 0, "failing": False},
+                "unreadable": {},
+                "wrong chunk": {},
+            }
             lied = words.encode(msgspec.structs.replace(head, **ways[how]))
             return b"\xc1" if how == "unreadable" else lied
         return value[:-1] + b"\0" if how == "wrong chunk" else value
+
     return told
 
 
-@pytest.mark.parametrize("how", [
-    "too high", "one ahead", "wrong changes", "wrong digest", "never old", "unreadable", "wrong chunk"])
+@pytest.mark.parametrize(
+    "how",
+    ["too high", "one ahead", "wrong changes", "wrong digest", "never old", "unreadable", "wrong chunk"],
+)
 def test_one_that_lies_changes_no_list_and_costs_few_calls(how: str) -> None:
     net = begun([30.0, 41.0, 52.0])
     net.lies[ASKERS[1]] = lie(how)
@@ -170,9 +184,17 @@
     def told(name: str, value: bytes) -> bytes:
         if name != words.HEAD or not value:
             return value
-        return words.encode(msgspec.structs.replace(
-            words.decode(value, Head), version=900, digest=words.digest(left), age=0, since=0,
-            delta=[(id, b"") for id in sorted(truth)[:gone]]))
+        return words.encode(
+            msgspec.structs.replace(
+                words.decode(value, Head),
+                version=900,
+                digest=words.digest(left),
+                age=0,
+                since=0,
+                delta=[(id, b"") for id in sorted(truth)[:gone]],
+            )
+        )
+
     net.lies = dict.fromkeys(ASKERS[:2], told)
     believed: dict[str, float] = dict.fromkeys(NAMES, 0.0)
     while net.now < 145.0:
@@ -251,7 +273,8 @@
 
 @pytest.mark.parametrize(("known", "least", "most"), [({"e1": b"x"}, 24.0, 42.1), ({}, 3.5, 7.1)])
 def test_without_a_list_a_newcomer_asks_in_time_however_long_the_asking_period(
-        known: dict[str, bytes], least: float, most: float) -> None:
+    known: dict[str, bytes], least: float, most: float
+) -> None:
     for n in range(20):
         relay = Relay(0.0, f"s{n}", n, Terms(3, 60.0), AT, Alone([]), random.Random(1))
         relay.lines = known
@@ -302,8 +325,13 @@
 
 def test_the_lab_plays_the_list_relayed_beside_exchanges() -> None:
     drains = {"kind": "drain", "at": 6.0, "length": 2.0, "part": 0.5, "spread": 2.0, "size": 0.3}
-    x = experiment(length=16.0, sidecars={"count": 30}, faults=[drains], registry={"calls": 8.0},
-                   variants=[{"name": "alone"}, {"name": "relayed", "relay": True}])
+    x = experiment(
+        length=16.0,
+        sidecars={"count": 30},
+        faults=[drains],
+        registry={"calls": 8.0},
+        variants=[{"name": "alone"}, {"name": "relayed", "relay": True}],
+    )
     (_, _, _, alone), (_, ledger, found, relayed) = (played(x, variant=v.name) for v in x.variants)
     assert sum(found.by_rule().values()) == 0 and not found.faults
     assert relayed["calls"] < 0.5 * alone["calls"] and relayed["calls_refused"] < alone["calls_refused"]
@@ -349,6 +377,7 @@
 
     def at_service(now: float) -> int:
         return sum(at <= now for at in moved_at)
+
     arrivals: list[tuple[float, str, Head, float]] = []
     for owner in "abc":
         told_at, beat, now, writes = -math.inf, 0, chance.random(), list[tuple[float, Head]]()
@@ -358,8 +387,24 @@
             beat += 1
             if told_at > -math.inf:
                 age = int((now - told_at) * 1000) + 1
-                writes.append((now, Head(1, AT, 1, beat, version, words.digest(lists[version]), age,
-                                         now > told_at, [], 0, [("e", lists[version]["e"])])))
+                writes.append(
+                    (
+                        now,
+                        Head(
+                            1,
+                            AT,
+                            1,
+                            beat,
+                            version,
+                            words.digest(lists[version]),
+                            age,
+                            now > told_at,
+                            [],
+                            0,
+                            [("e", lists[version]["e"])],
+                        ),
+                    )
+                )
             now += chance.choice([0.02, 1.0, 2.0, 9.0]) * chance.random()
         for n, (at, head) in enumerate(writes):
             came = at + chance.choice([0.01, 0.5, 8.0]) * chance.random()
@@ -367,8 +412,14 @@
             arrivals.append((came, owner, head, held if chance.random() < 0.8 else at))
     for n in range(30):
         told = chance.choice([0, 7, 39, 2**50])
-        arrivals.append((chance.uniform(0, 60), "liar", Head(
-            1, AT, 1, n, told, words.digest(lists[chance.randrange(40)]), 0), 60.0))
+        arrivals.append(
+            (
+                chance.uniform(0, 60),
+                "liar",
+                Head(1, AT, 1, n, told, words.digest(lists[chance.randrange(40)]), 0),
+                60.0,
+            )
+        )
     host = Alone(["a", "b", "c", "liar", "own", "y", "z"])
     relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, host, random.Random(seed))
     relay.start(0, lists[0])
@@ -407,8 +458,9 @@
             relay.heard(now, owner, Head(1, AT, 1, beat, 1, relay.digest, 1), now)
     assert relay.confirmed == pytest.approx(0.999)
     for owner, told in (("a", b"wrong"), ("b", b"2")):
-        relay.heard(6.5, owner, Head(1, AT, 1, 4, 2, words.digest({"e": b"2"}), 1, False, [], 1,
-                                     [("e", told)]), 6.5)
+        relay.heard(
+            6.5, owner, Head(1, AT, 1, 4, 2, words.digest({"e": b"2"}), 1, False, [], 1, [("e", told)]), 6.5
+        )
     assert relay.version == 2 and relay.lines == {"e": b"2"}
 
 
@@ -416,10 +468,13 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(st.dictionaries(st.text(min_size=1, max_size=40), st.binary(min_size=1, max_size=120), max_size=300),
-       st.randoms())
-def test_a_list_is_the_same_from_its_chunks_and_nothing_else_is(lines: dict[str, bytes],
-                                                                chance: random.Random) -> None:
+@given(
+    st.dictionaries(st.text(min_size=1, max_size=40), st.binary(min_size=1, max_size=120), max_size=300),
+    st.randoms(),
+)
+def test_a_list_is_the_same_from_its_chunks_and_nothing_else_is(
+    lines: dict[str, bytes], chance: random.Random
+) -> None:
     chunks = words.split(lines)
     told = words.Set(1, AT, 3, words.digest(lines), len(chunks))
     assert words.joined(told, chunks) == lines
@@ -438,9 +493,11 @@
         data = words.encode_line(line, ("::1", 80), offset)
         other = 99.5 - 1_700_000_400.125
         assert words.decode_line("e", data, other) == (
-            Listed("e", 2, 1, 0.75, State.DRAINING, started and started + other, 3), ("::1", 80))
+            Listed("e", 2, 1, 0.75, State.DRAINING, started and started + other, 3),
+            ("::1", 80),
+        )
     whole = words.encode(Head(1, AT, 1, 1, 5, b"d", 0))
-    assert whole[0] == 0x9b, "eleven fields"
+    assert whole[0] == 0x9B, "eleven fields"
     assert words.decode(b"\x9d" + whole[1:] + b"\xc0\xc0", Head).version == 5, "a newer release has more"
     assert words.decode(b"\x97" + whole[1:-4], Head).version == 5, "an older one has fewer"
     for bad in (b"", b"\xc1", b"\x93\x01\x02\x03", b"\x9b\x00" + whole[2:]):
@@ -470,16 +527,22 @@
 def test_a_spared_call_waits_and_then_asks_for_the_whole_list(rig: Rig) -> None:
     discovery = Stand()
     rig.stands.append(discovery)
-    follower = Follower(rig.loop, ("127.0.0.1", discovery.port), rig.decoder, 10.0, rig.decoder.decode(
-        {"generation": 41, "reset": True, "instances": [entry("e0", rig.stands[0].port)]}))
+    follower = Follower(
+        rig.loop,
+        ("127.0.0.1", discovery.port),
+        rig.decoder,
+        10.0,
+        rig.decoder.decode({"generation": 41, "reset": True, "instances": [entry("e0", rig.stands[0].port)]}),
+    )
     until, failed = [rig.loop.now() + 5.0], list[float]()
     follower.spared, follower.failed = lambda: until[0], lambda: failed.append(rig.loop.now())
     follower.core = rig.core
     follower.want()
     rig.wait(4.0)
     assert rig.got() == []
-    drains = rig.decoder.decode({"generation": 43, "reset": False, "instances": [
-        entry("e0", rig.stands[0].port, "DRAINING")]})
+    drains = rig.decoder.decode(
+        {"generation": 43, "reset": False, "instances": [entry("e0", rig.stands[0].port, "DRAINING")]}
+    )
     follower.take(drains)
     assert rig.balancer.endpoints["e0"].line.state is State.DRAINING
     rig.wait(1.1)
--- a/tests/test_listing_processes.py
+++ b/tests/test_listing_processes.py
@@ -22,15 +22,23 @@
 
 
 @contextmanager
-def started(folder: Path, relayed: bool = True, names: list[str] = NAMES, within: float = WITHIN
-            ) -> Iterator[tuple[Fleet, Lists, Answers]]:
+def started(
+    folder: Path, relayed: bool = True, names: list[str] = NAMES, within: float = WITHIN
+) -> Iterator[tuple[Fleet, Lists, Answers]]:
     """All know each other, and all but the askers are spared."""
     with Answers() as answers:
         config = answers.config(quiet_config())
         config["settings"]["contract"]["ask-within"] = within * 1000
-        with Lists(config["known"]["instances"]) as lists, \
-                Fleet(folder, names, 1, {**config, "discovery": lists.address},
-                      lambda name: {"list": {}} if relayed else {}) as fleet:
+        with (
+            Lists(config["known"]["instances"]) as lists,
+            Fleet(
+                folder,
+                names,
+                1,
+                {**config, "discovery": lists.address},
+                lambda name: {"list": {}} if relayed else {},
+            ) as fleet,
+        ):
             fleet.start()
             fleet.all_alive()
             if relayed:
@@ -48,8 +56,11 @@
 def stand(fleet: Fleet, what: Callable[[str, dict[str, Any]], bool], *names: str) -> None:
     """Waits until it is so at all of them."""
     chosen = names or list(fleet.sidecars)
-    wait_until(lambda: all(what(name, told(fleet, name)) for name in chosen), PATIENCE,
-               lambda: str({name: told(fleet, name) for name in chosen}))
+    wait_until(
+        lambda: all(what(name, told(fleet, name)) for name in chosen),
+        PATIENCE,
+        lambda: str({name: told(fleet, name) for name in chosen}),
+    )
 
 
 def three(fleet: Fleet, there: list[str]) -> None:
@@ -131,8 +142,10 @@
 
 
 def test_a_silent_service_and_another_address(tmp_path: Path) -> None:
-    with started(tmp_path) as (fleet, lists, _), Lists(
-            [entry for _, entry in lists.entries.values()]) as other:
+    with (
+        started(tmp_path) as (fleet, lists, _),
+        Lists([entry for _, entry in lists.entries.values()]) as other,
+    ):
         lists.switch(silent=True)
         wait_until(lambda: any(told(fleet, name)["own"]["failed"] for name in ASKERS), PATIENCE, "calls fail")
         version = lists.tell("new0", "DRAINING")
@@ -153,8 +166,10 @@
 
 def test_nothing_is_sent_past_the_grace_after_word_of_a_drain(tmp_path: Path) -> None:
     """No exchange that comes once a sidecar says that it knows begins at such an endpoint."""
-    with started(tmp_path) as (fleet, lists, answers), Clients(
-            {name: s.listen for name, s in fleet.sidecars.items()}, 40.0) as clients:
+    with (
+        started(tmp_path) as (fleet, lists, answers),
+        Clients({name: s.listen for name, s in fleet.sidecars.items()}, 40.0) as clients,
+    ):
         wait_until(lambda: len(answers.on_new()) > 50, PATIENCE, "traffic")
         fleet[ASKERS[0]].stall()
         for n in range(3):
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -37,8 +37,18 @@
     assert not out.broken, "\n".join(out.broken[:10])
     figures = out.figures
     assert figures["debits"] > 10_000 and figures["runs"] == 2 and figures["to_new"] and figures["to_old"]
-    assert {"rolling", "split", "cut", "weather", "stall", "kill", "lost", "copied", "booted", "set-back"} \
-        <= figures["befell"].keys()
+    assert {
+        "rolling",
+        "split",
+        "cut",
+        "weather",
+        "stall",
+        "kill",
+        "lost",
+        "copied",
+        "booted",
+        "set-back",
+    } <= figures["befell"].keys()
     assert 0 <= figures["gone_now"] <= 0.5 * figures["paid"] and figures["held_now"] >= 0
 
 
@@ -49,8 +59,14 @@
 
 @pytest.mark.parametrize("planted", BROKEN)
 def test_what_is_planted_is_found(planted: str) -> None:
-    found = next((out.ledger.broken[0].what for out in (play(small(seed), planted, first=True)
-                  for seed in range(1, 9)) if out.broken), "")
+    found = next(
+        (
+            out.ledger.broken[0].what
+            for out in (play(small(seed), planted, first=True) for seed in range(1, 9))
+            if out.broken
+        ),
+        "",
+    )
     assert found == BROKEN[planted]
 
 
@@ -93,7 +109,8 @@
 
 
 def test_the_command_says_what_held_and_refuses_what_it_cannot_play(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     few = ["--members", "8", "--wallets", "4", "--canaries", "0", "--days", "1", "--looks", "1"]
     assert main(few) == 0
     *days, last = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
@@ -185,6 +202,7 @@
     def counted() -> None:
         looks.append(member.day.now)
         look()
+
     member.look = counted  # type: ignore[method-assign]
     return looks
 
@@ -197,8 +215,9 @@
     with rig(tmp_path, 3, alone=2.0) as r:
         r.top_up("one", 600)
         short = Folder(2.5, ("c",), "copied", back=0.5, age=1.5)
-        played = play_on_processes(r.fleet, (short, Rolling(5.0, ("a", "b"), 1.0, killed=True)),
-                                   lambda now: r.watch(0.0), 7.0)
+        played = play_on_processes(
+            r.fleet, (short, Rolling(5.0, ("a", "b"), 1.0, killed=True)), lambda now: r.watch(0.0), 7.0
+        )
         assert played.over and "not the one that was written last" in r.fleet["c"].logged()
         r.top_up("two", 100)
         r.spend_all(2 * 2.0 * RATE + 3 * LOST)  # the copied one's, three crashes
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -44,11 +44,26 @@
 told = st.builds(wire.News, texts, addresses, numbers, numbers, st.integers(0, 3), texts, numbers)
 cell_news = st.builds(wire.CellNews, texts, texts, numbers, numbers, st.binary(max_size=60), numbers)
 messages = st.builds(
-    wire.Message, st.just(1), st.just(1), st.just("f"), texts, numbers, numbers, addresses, numbers, numbers,
-    numbers, texts, st.just(b"") | addresses, st.lists(told, max_size=5), st.lists(cell_news, max_size=3),
+    wire.Message,
+    st.just(1),
+    st.just(1),
+    st.just("f"),
+    texts,
+    numbers,
+    numbers,
+    addresses,
+    numbers,
+    numbers,
+    numbers,
+    texts,
+    st.just(b"") | addresses,
+    st.lists(told, max_size=5),
+    st.lists(cell_news, max_size=3),
     st.lists(st.builds(wire.Sum, texts, numbers, st.binary(min_size=8, max_size=8), numbers), max_size=3),
-    st.lists(st.builds(wire.Want, texts, st.binary(max_size=256)), max_size=2), st.binary(max_size=256),
-    texts)
+    st.lists(st.builds(wire.Want, texts, st.binary(max_size=256)), max_size=2),
+    st.binary(max_size=256),
+    texts,
+)
 
 
 def readable(data: bytes) -> wire.Message | None:
@@ -71,14 +86,15 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=1300), messages, st.data())
-def test_what_is_damaged_is_unreadable_and_nothing_else(noise: bytes, message: wire.Message,
-                                                        data: Any) -> None:
+def test_what_is_damaged_is_unreadable_and_nothing_else(
+    noise: bytes, message: wire.Message, data: Any
+) -> None:
     readable(noise)
     good = bytearray(wire.encode_one(message))
     for _ in range(data.draw(st.integers(1, 4))):
         good[data.draw(st.integers(0, len(good) - 1))] = data.draw(st.integers(0, 255))
     readable(bytes(good))
-    readable(bytes(good[:data.draw(st.integers(0, len(good)))]))
+    readable(bytes(good[: data.draw(st.integers(0, len(good)))]))
 
 
 def plain(**changes: Any) -> dict[str, Any]:
@@ -99,14 +115,23 @@
     world = settled(2)
     members = world.processes["m0"].members
     record = members.table.records["m1"]
-    data = plain(v=9, f="virtual", l=record.life, a=record.packed, q=record.top + 1, k=77, zz=1,
-                 m=[["new", HERE, 5, 0, 0, "", 0, "more"]])
+    data = plain(
+        v=9,
+        f="virtual",
+        l=record.life,
+        a=record.packed,
+        q=record.top + 1,
+        k=77,
+        zz=1,
+        m=[["new", HERE, 5, 0, 0, "", 0, "more"]],
+    )
     members.received(world.now, msgspec.msgpack.encode(data))
     assert members.member("new") is not None and not any(members.counts.drops().values())
 
 
 # A fleet in virtual time.
 
+
 def settled(size: int, seed: int = 1, **network: float) -> World:
     world = World(seed)
     for name, value in network.items():
@@ -327,8 +352,11 @@
     world.run(world.now + 12)
     assert first.members.outnamed and not second.members.outnamed
     assert first.members.twin == "10.9.9.9:7946" and second.members.twin == "10.0.0.5:7946"
-    assert first.events["members: another process has this name"] == 1 == second.events[
-        "members: another process has this name"]
+    assert (
+        first.events["members: another process has this name"]
+        == 1
+        == second.events["members: another process has this name"]
+    )
     assert world.agreed()
     world.kill("m4")
     world.processes["m4"] = first
@@ -352,6 +380,7 @@
 
 # Bounds.
 
+
 def flood(kind: str, n: int, record: Record) -> bytes:
     chance = random.Random(n)
     if kind == "unreadable":
@@ -362,10 +391,21 @@
     if kind == "other fleet":
         return msgspec.msgpack.encode(plain(f="other", n=f"m{n}", q=n))
     if kind == "older life":
-        return msgspec.msgpack.encode(plain(f="virtual", n="m1", l=7, q=n, k=wire.PING, t="m0",
-                                            m=[["m2", HERE, 1, 9, wire.DEAD]]))
-    return msgspec.msgpack.encode(plain(f="virtual", n="m1", l=record.life, q=record.top, k=wire.PING, t="m0",
-                                        a=record.packed, m=[["m2", HERE, 2**61, 9, wire.DEAD]]))
+        return msgspec.msgpack.encode(
+            plain(f="virtual", n="m1", l=7, q=n, k=wire.PING, t="m0", m=[["m2", HERE, 1, 9, wire.DEAD]])
+        )
+    return msgspec.msgpack.encode(
+        plain(
+            f="virtual",
+            n="m1",
+            l=record.life,
+            q=record.top,
+            k=wire.PING,
+            t="m0",
+            a=record.packed,
+            m=[["m2", HERE, 2**61, 9, wire.DEAD]],
+        )
+    )
 
 
 @pytest.mark.parametrize("kind", ["unreadable", "strangers", "other fleet", "older life", "replayed"])
@@ -379,7 +419,8 @@
         members.received(now + n / 5000, flood(kind, n, record))
     assert time.process_time() - began < 2.0
     assert [(m.name, m.standing, m.life) for m in members.members()] == [
-        (m.name, m.standing, m.life) for m in views]
+        (m.name, m.standing, m.life) for m in views
+    ]
     assert process.sent - sent <= 2 * members.tuning.greetings + 1
     assert len(members.greeted) - size <= 256
     assert sum(members.counts.drops().values()) >= 5000 - 2 * members.tuning.greetings
@@ -412,8 +453,9 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 9), st.booleans())), st.integers(1, 5))
-def test_news_are_told_a_bounded_number_of_times_the_least_told_first(steps: list[tuple[int, bool]],
-                                                                      most: int) -> None:
+def test_news_are_told_a_bounded_number_of_times_the_least_told_first(
+    steps: list[tuple[int, bool]], most: int
+) -> None:
     queue, limit, told_of = Repeats[int](most), times(10), dict.fromkeys(range(10), 0)
     for key, add in steps:
         if add:
@@ -422,8 +464,10 @@
         else:
             picked = queue.pick(2, 9, lambda key: 1)
             assert len(picked) == min(2, len(queue))
-            assert all(told_of[one] <= min((told_of[k] for k in queue.at if k not in picked), default=99)
-                       for one in picked)
+            assert all(
+                told_of[one] <= min((told_of[k] for k in queue.at if k not in picked), default=99)
+                for one in picked
+            )
             for one in picked:
                 queue.told(one, limit)
                 told_of[one] += 1
@@ -440,6 +484,7 @@
 
 # Random histories.
 
+
 def play(world: World, seconds: float, size: int) -> None:
     """Kills, restarts, stalls, cuts and loss at random; what is still wrong at the end is mended."""
     chance, end = world.chance, world.now + seconds
@@ -477,7 +522,9 @@
 
     def changed(process: Any, before: Member | None, after: Member) -> None:
         if before is not None and (after.life, after.life == before.life and after.incarnation) < (
-                before.life, after.life == before.life and before.incarnation):
+            before.life,
+            after.life == before.life and before.incarnation,
+        ):
             older.append((before, after))
 
     world.on_change.append(changed)
@@ -494,12 +541,24 @@
 
 def same_cells(world: World) -> bool:
     running = {p.name for p in world.running()}
-    return len({frozenset((s.cell.owner, s.cell.name, s.cell.order, s.cell.value)
-                          for s in p.cells.all() if s.cell.owner in running) for p in world.running()}) == 1
+    return (
+        len(
+            {
+                frozenset(
+                    (s.cell.owner, s.cell.name, s.cell.order, s.cell.value)
+                    for s in p.cells.all()
+                    if s.cell.owner in running
+                )
+                for p in world.running()
+            }
+        )
+        == 1
+    )
 
 
 # Cells.
 
+
 def test_a_change_is_everywhere_at_once_and_ages_tell_how_old_word_is() -> None:
     world = settled(12)
     at: list[float] = []
@@ -557,10 +616,18 @@
 
 
 @settings(derandomize=True, max_examples=80)
-@given(st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from(["x/1", "y/2"]), st.integers(1, 3),
-                          st.integers(1, 3)), max_size=30), st.randoms(use_true_random=False))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from("ab"), st.sampled_from(["x/1", "y/2"]), st.integers(1, 3), st.integers(1, 3)
+        ),
+        max_size=30,
+    ),
+    st.randoms(use_true_random=False),
+)
 def test_cells_merge_to_the_highest_in_any_order_and_sums_tell_it(
-        told_of: list[tuple[str, str, int, int]], chance: random.Random) -> None:
+    told_of: list[tuple[str, str, int, int]], chance: random.Random
+) -> None:
     first, second = Cells("me", 5, 50), Cells("me", 5, 50)
     shuffled = list(told_of)
     chance.shuffle(shuffled)
@@ -598,7 +665,8 @@
     words: list[tuple[str, str, str]] = []
     for process in world.running():
         process.members.on_word = partial(
-            lambda me, now, who, text: words.append((me, who, text)), process.name)
+            lambda me, now, who, text: words.append((me, who, text)), process.name
+        )
     world.processes["m1"].members.tell(world.now, "=" + "7" * 300)
     world.run(world.now + 1)
     assert sorted(me for me, _, _ in words) == ["m0", "m2", "m3"]
@@ -613,6 +681,7 @@
 
 # On sockets.
 
+
 @pytest.fixture
 def loop() -> Iterator[Loop]:
     faults: list[BaseException] = []
@@ -712,16 +781,23 @@
     run.close()
 
 
-@pytest.mark.parametrize(("changes", "faults"), [
-    ({}, []),
-    ({"fleet": "", "listen": "somewhere"}, ["members.fleet", "members.listen"]),
-    ({"listen": "0.0.0.0:7000"}, ["members.advertise"]),
-    ({"listen": "0.0.0.0:7000", "advertise": "10.0.0.1:7000"}, []),
-    ({"seeds": ["10.0.0.1:0", "x", "[::1]:5"]}, ["members.seeds[0]", "members.seeds[1]", "members.seeds"]),
-    ({"folder": "/nowhere/at/all"}, ["members.folder"])])
-def test_all_faults_of_the_table_are_named_with_their_places(changes: dict[str, Any],
-                                                             faults: list[str]) -> None:
+@pytest.mark.parametrize(
+    ("changes", "faults"),
+    [
+        ({}, []),
+        ({"fleet": "", "listen": "somewhere"}, ["members.fleet", "members.listen"]),
+        ({"listen": "0.0.0.0:7000"}, ["members.advertise"]),
+        ({"listen": "0.0.0.0:7000", "advertise": "10.0.0.1:7000"}, []),
+        (
+            {"seeds": ["10.0.0.1:0", "x", "[::1]:5"]},
+            ["members.seeds[0]", "members.seeds[1]", "members.seeds"],
+        ),
+        ({"folder": "/nowhere/at/all"}, ["members.folder"]),
+    ],
+)
+def test_all_faults_of_the_table_are_named_with_their_places(
+    changes: dict[str, Any], faults: list[str]
+) -> None:
     table = part(**{"listen": "127.0.0.1:7000", **changes})
     found = list(unfit(table, CONFIG))
     assert [one.split(": ")[0] for one in found] == faults
-
--- a/tests/test_mysql.py
+++ b/tests/test_mysql.py
@@ -38,23 +38,35 @@
 from .fleet import SETTINGS, entry
 
 USERS = {"anna": b"secret", "omar": b"other", "bare": b""}
-RULES = (Rule(0, frozenset(("select", "show")), key="column:k"),
-         Rule(1, frozenset(("insert",)), key="column:k"))
+RULES = (
+    Rule(0, frozenset(("select", "show")), key="column:k"),
+    Rule(1, frozenset(("insert",)), key="column:k"),
+)
 PATIENCE = 120.0  # far beyond anything needed: no verdict hangs on speed
 
 
 def site(promised: float) -> dict[str, Any]:
     """Settings, with times in milliseconds that nothing takes here but what falls silent."""
-    return {**SETTINGS, "traffic-types": [
-        {"name": "look", "effect": "read_like", "promised-time": promised, "expiry": 60000.0},
-        {"name": "book", "effect": "non_idempotent", "promised-time": promised, "expiry": 4000.0}]}
+    return {
+        **SETTINGS,
+        "traffic-types": [
+            {"name": "look", "effect": "read_like", "promised-time": promised, "expiry": 60000.0},
+            {"name": "book", "effect": "non_idempotent", "promised-time": promised, "expiry": 4000.0},
+        ],
+    }
 
 
 class Rig:
     """The front and stand-in databases on a loop of their own, in a thread of its own."""
 
-    def __init__(self, servers: int = 3, plugin: str = auth.CACHING, most_each: int = 8,
-                 most_prepared: int = 1000, promised: float = 1000.0) -> None:
+    def __init__(
+        self,
+        servers: int = 3,
+        plugin: str = auth.CACHING,
+        most_each: int = 8,
+        most_prepared: int = 1000,
+        promised: float = 1000.0,
+    ) -> None:
         self.faults: list[BaseException] = []
         self.loop = Loop(self.faults.append)
         store = Store()
@@ -66,10 +78,12 @@
         directory = Directory()
         self.servers = Servers(self.loop, most_each)
         self.back = MysqlBack(self.loop, self.servers, settings, directory)
-        self.core = Core(self.loop, self.facade, settings, directory, self.back, lambda: None,
-                         self.servers.sweep)
-        self.front = MysqlFront(self.loop, self.core, self.core, self.back,
-                                Statements(RULES, 1, [0, 2], parse), USERS, 200)
+        self.core = Core(
+            self.loop, self.facade, settings, directory, self.back, lambda: None, self.servers.sweep
+        )
+        self.front = MysqlFront(
+            self.loop, self.core, self.core, self.back, Statements(RULES, 1, [0, 2], parse), USERS, 200
+        )
         self.listener = Listener(self.loop, ("127.0.0.1", 0), self.front.accepted, self.front.make_room)
         self.port = self.listener.address[1]
         self.decoder = ListDecoder(settings.zones, 0.0)
@@ -79,8 +93,10 @@
 
     def tell(self, *changes: dict[str, Any]) -> None:
         """The list: by database, what is other than that it serves."""
-        entries = [{**entry(f"e{n}", d.port), **change} for n, (d, change)
-                   in enumerate(zip(self.databases, changes, strict=True))]
+        entries = [
+            {**entry(f"e{n}", d.port), **change}
+            for n, (d, change) in enumerate(zip(self.databases, changes, strict=True))
+        ]
         change = self.decoder.decode({"generation": 1, "reset": False, "instances": entries})
         self.do(lambda: self.core.list_changed(change.lines, change.addresses, whole=False, stale=False))
 
@@ -92,6 +108,7 @@
             what()
             done.set()
             yield from ()
+
         self.loop.spawn(doing())
         assert done.wait(PATIENCE)
 
@@ -105,8 +122,14 @@
 
     def connect(self, user: str = "anna", **more: Any) -> Any:
         more = {"database": "reg", "autocommit": True, **more}
-        return pymysql.connect(host="127.0.0.1", port=self.port, user=user, password=USERS[user].decode(),
-                               read_timeout=PATIENCE, **more)
+        return pymysql.connect(
+            host="127.0.0.1",
+            port=self.port,
+            user=user,
+            password=USERS[user].decode(),
+            read_timeout=PATIENCE,
+            **more,
+        )
 
     def executed(self, part: str) -> int:
         return sum(part in sql for d in self.databases for sql in d.executed)
@@ -161,8 +184,9 @@
             with pytest.raises(pymysql.err.OperationalError, match="1045"):
                 pymysql.connect(host="127.0.0.1", port=rig.port, user=user, password=password)
         assert ask(rig.connect("bare"), "SELECT USER()") == (("bare",),)
-        pure = mysql.connector.connect(host="127.0.0.1", port=rig.port, user="omar", password="other",
-                                       use_pure=True, ssl_disabled=True)
+        pure = mysql.connector.connect(
+            host="127.0.0.1", port=rig.port, user="omar", password="other", use_pure=True, ssl_disabled=True
+        )
         cursor = pure.cursor(prepared=True)
         cursor.execute("SELECT answer FROM exams WHERE k = ?", ("k1",))
         assert len(cursor.fetchall()) == 1
@@ -171,13 +195,15 @@
         pure.close()
 
         async def later() -> Any:
-            connection = await aiomysql.connect(host="127.0.0.1", port=rig.port, user="anna",
-                                                password="secret")
+            connection = await aiomysql.connect(
+                host="127.0.0.1", port=rig.port, user="anna", password="secret"
+            )
             cursor = await connection.cursor()
             await cursor.execute("SELECT COUNT(*) FROM exams")
             found = await cursor.fetchall()
             connection.close()
             return found
+
         assert asyncio.run(later()) == (("1",),)
     finally:
         rig.end()
@@ -255,6 +281,7 @@
             failed.append(sql)
             return how
         return ""
+
     rig.all_at(fault)
     one = rig.connect()
     # Retriable: another server answers at once, or after a silence the client is told that it may ask again.
@@ -329,8 +356,15 @@
     small = Rig(most_prepared=100)
     try:
         table(small)
-        pure = mysql.connector.connect(host="127.0.0.1", port=small.port, user="anna", password="secret",
-                                       use_pure=True, ssl_disabled=True, autocommit=True)
+        pure = mysql.connector.connect(
+            host="127.0.0.1",
+            port=small.port,
+            user="anna",
+            password="secret",
+            use_pure=True,
+            ssl_disabled=True,
+            autocommit=True,
+        )
         cursors = [pure.cursor(prepared=True) for _ in range(300)]
         for n, cursor in enumerate(cursors):
             cursor.execute(f"SELECT '{n}' FROM exams WHERE k = ?", ("x",))
@@ -353,8 +387,10 @@
     store = Rig(most_each=2)
     try:
         table(store)
-        people = [{"c": store.connect(rng.choice(["anna", "omar"])), "sets": {}, "temp": False, "last": "0"}
-                  for _ in range(6)]
+        people = [
+            {"c": store.connect(rng.choice(["anna", "omar"])), "sets": {}, "temp": False, "last": "0"}
+            for _ in range(6)
+        ]
         for step in range(400):
             who = rng.choice(people)
             act = rng.randrange(8)
@@ -387,8 +423,11 @@
 
 def test_what_is_refused_and_why(rig: Rig) -> None:
     one = rig.connect()
-    for command, text in ((0x1E, "BINLOG_DUMP_GTID is not passed on"), (0x15, "not passed on"),
-                          (0x42, "unknown")):
+    for command, text in (
+        (0x1E, "BINLOG_DUMP_GTID is not passed on"),
+        (0x15, "not passed on"),
+        (0x42, "unknown"),
+    ):
         one._execute_command(command, b"x")
         with pytest.raises(pymysql.err.MySQLError, match=text):
             one._read_ok_packet()
@@ -414,6 +453,7 @@
         except Refused as fault:
             assert fault.full
             told.put((name, None))
+
     try:
         # Asked of the pool alone: whether the module lets four clients wait there goes by times.
         ask(rig.connect(), "SELECT 1")
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -38,7 +38,7 @@
     assert file.read() == b"payload" and os.stat(file.path).st_mode & 0o777 == 0o600
     good = Path(file.path).read_bytes()
     for n in range(len(good)):
-        for bad in (good[:n], good[:n] + bytes((good[n] ^ 0x40,)) + good[n + 1:]):
+        for bad in (good[:n], good[:n] + bytes((good[n] ^ 0x40,)) + good[n + 1 :]):
             Path(file.path).write_bytes(bad)
             with pytest.raises(Unfit):
                 file.read()
@@ -63,13 +63,15 @@
         file.read()
 
 
-def test_a_write_that_fails_leaves_the_old_file_and_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-                                                             ) -> None:
+def test_a_write_that_fails_leaves_the_old_file_and_no_other(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     file = StoredFile(str(tmp_path / "x"), 1, 1, 1000)
     file.write(b"old", "a")
 
     def full(*_: object) -> None:
         raise OSError(28, "no space")
+
     for step in ("replace", "fdopen"):
         with monkeypatch.context() as patch:
             patch.setattr(os, step, full)
@@ -85,8 +87,9 @@
 
 @settings(deadline=None, derandomize=True)
 @given(GIVEN, st.lists(st.integers(0, 11), max_size=4))
-def test_two_processes_come_to_the_same_orders(given_to: list[tuple[str, bool, int]], merges: list[int]
-                                               ) -> None:
+def test_two_processes_come_to_the_same_orders(
+    given_to: list[tuple[str, bool, int]], merges: list[int]
+) -> None:
     """Guards against a ban lost, or brought back, by two files that cross."""
     sides = Orders(), Orders()
     for n, (matter, out, side) in enumerate(given_to):
@@ -115,13 +118,21 @@
     assert len(orders.listed) == MOST_IDS and "banned" in orders.listed and "other" not in orders.listed
 
 
-@pytest.mark.parametrize("plain", [None, [], {}, {"last": -1, "given": {}, "listed": []},
-                                   {"last": 1, "given": {"a": [1, 2]}, "listed": []},
-                                   {"last": 1, "given": {"a": 5}, "listed": []},
-                                   {"last": 1, "given": {"a": [True, True]}, "listed": []},
-                                   {"last": 1, "given": {"x" * 300: [1, True]}, "listed": []},
-                                   {"last": 1, "given": {}, "listed": [5]},
-                                   {"last": 1, "given": {}, "listed": 5}])
+@pytest.mark.parametrize(
+    "plain",
+    [
+        None,
+        [],
+        {},
+        {"last": -1, "given": {}, "listed": []},
+        {"last": 1, "given": {"a": [1, 2]}, "listed": []},
+        {"last": 1, "given": {"a": 5}, "listed": []},
+        {"last": 1, "given": {"a": [True, True]}, "listed": []},
+        {"last": 1, "given": {"x" * 300: [1, True]}, "listed": []},
+        {"last": 1, "given": {}, "listed": [5]},
+        {"last": 1, "given": {}, "listed": 5},
+    ],
+)
 def test_orders_that_are_none_are_refused(plain: object) -> None:
     with pytest.raises(ValueError):
         Orders.of(plain)
@@ -186,35 +197,47 @@
 
 
 def test_calls_are_understood_in_pieces_and_whole() -> None:
-    for data, order in ((call("GET", "/-/ready"), Call(Act.READY)),
-                        (call("POST", "/-/drain"), Call(Act.DRAIN)),
-                        (call("POST", "/-/resume?x=1"), Call(Act.RESUME)),
-                        (call("POST", "/-/endpoints/s-1/disable", b"why"), Call(Act.DISABLE, "s-1")),
-                        (call("POST", "/-/endpoints/a%2Fb/enable"), Call(Act.ENABLE, "a/b"))):
+    for data, order in (
+        (call("GET", "/-/ready"), Call(Act.READY)),
+        (call("POST", "/-/drain"), Call(Act.DRAIN)),
+        (call("POST", "/-/resume?x=1"), Call(Act.RESUME)),
+        (call("POST", "/-/endpoints/s-1/disable", b"why"), Call(Act.DISABLE, "s-1")),
+        (call("POST", "/-/endpoints/a%2Fb/enable"), Call(Act.ENABLE, "a/b")),
+    ):
         assert said(data) == order
         side = ConsoleSide()
-        got = [side.receive(data[n:n + 1]) for n in range(len(data))]
+        got = [side.receive(data[n : n + 1]) for n in range(len(data))]
         assert got[-1] == order and set(got[:-1]) == {None}
 
 
 def test_what_is_no_call_gets_its_status() -> None:
-    for data, status in ((call("GET", "/nowhere"), 404), (call("POST", "/-/ready"), 405),
-                         (call("GET", "/-/drain"), 405), (call("GET", "/-/endpoints/a/disable"), 405),
-                         (call("POST", "/-/endpoints//disable"), 404), (b"nonsense\r\n\r\n", 400),
-                         (call("POST", "/-/endpoints/%ff/disable"), 404),
-                         (call("POST", "/-/drain", b"x" * (MOST_BODY + 1)), 413),
-                         (call("POST", "/-/drain", headers="Content-Length: 7\r\n"), 400),
-                         (b"GET /-/ready HTTP/1.1\r\nX: " + b"y" * 20000, 431), (b"", 400)):
+    for data, status in (
+        (call("GET", "/nowhere"), 404),
+        (call("POST", "/-/ready"), 405),
+        (call("GET", "/-/drain"), 405),
+        (call("GET", "/-/endpoints/a/disable"), 405),
+        (call("POST", "/-/endpoints//disable"), 404),
+        (b"nonsense\r\n\r\n", 400),
+        (call("POST", "/-/endpoints/%ff/disable"), 404),
+        (call("POST", "/-/drain", b"x" * (MOST_BODY + 1)), 413),
+        (call("POST", "/-/drain", headers="Content-Length: 7\r\n"), 400),
+        (b"GET /-/ready HTTP/1.1\r\nX: " + b"y" * 20000, 431),
+        (b"", 400),
+    ):
         got = said(data)
         assert isinstance(got, No) and got.status == status, data[:60]
         assert (got.status == 405) == bool(got.allow)
 
 
 def test_whoever_is_refused_is_told_what_to_do_and_in_json_about_what_is_shared() -> None:
-    for path, remedy in (("/-/nowhere", b"no such call; docs/on-call.md lists the calls\n"),
-                         ("/-/drain", b"/-/drain wants POST; call with POST\n"),
-                         ("/-/wallets?x=1&x=2", b'{"error":"a field of the query is there twice",'
-                                                b'"remedy":"leave one of them out"}\n')):
+    for path, remedy in (
+        ("/-/nowhere", b"no such call; docs/on-call.md lists the calls\n"),
+        ("/-/drain", b"/-/drain wants POST; call with POST\n"),
+        (
+            "/-/wallets?x=1&x=2",
+            b'{"error":"a field of the query is there twice","remedy":"leave one of them out"}\n',
+        ),
+    ):
         side = ConsoleSide()
         got = side.receive(call("GET", path))
         assert isinstance(got, No)
@@ -350,9 +373,14 @@
 def test_what_cannot_be_taken_over_changes_nothing() -> None:
     old = learnt_fleet()
     cases: tuple[dict[str, Any], ...] = (
-        {"endpoints": {"e1": {}}}, {"endpoints": []}, {"keys": {"k": [1]}}, {"keys": None},
+        {"endpoints": {"e1": {}}},
+        {"endpoints": []},
+        {"keys": {"k": [1]}},
+        {"keys": None},
         {"times": [[1.0]]},
-        {"times": [["x"] * 24] * 3}, {"put_back": {"e1": "x"}})
+        {"times": [["x"] * 24] * 3},
+        {"put_back": {"e1": "x"}},
+    )
     for broken in cases:
         given = {**orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))), **broken}
         rig = Rig(2)
@@ -403,6 +431,7 @@
             got.append(name)
         except Late:
             got.append(name + " late")
+
     for n in range(FEWEST + 3):
         loop.spawn(stream(str(n), 1.0 if n == FEWEST else 9.0))
     loop.settle()
@@ -417,14 +446,17 @@
     loop.epoll.close()
 
 
-def test_a_full_disk_costs_one_log_line_and_no_order(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                    caplog: pytest.LogCaptureFixture) -> None:
+def test_a_full_disk_costs_one_log_line_and_no_order(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     out = dict[str, bool]()
     operation = Operation("n1", str(tmp_path), out.__setitem__, lambda drained: None, lambda: True, dict)
     operation.listed(["e1"])
     with monkeypatch.context() as patch:
+
         def full(*_: object) -> None:
             raise OSError(28, "no space")
+
         patch.setattr(StoredFile, "write", full)
         assert operation.call(Call(Act.DISABLE, "e1"))[0] == 200 and out == {"e1": True}
         for _ in range(10):
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -92,6 +92,7 @@
         served(fleet, 400, took=0.02)
         words = [told for told in fleet.told_peers if not isinstance(told, Facts)]
         return 19 * sum(len(peers.encode_held(*word)) for word in words) / 256 / 400
+
     free, dear = bytes_told(0.0), bytes_told(0.1)
     assert dear < 0.7 * free
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, peer_price=99.0, **POOL)
@@ -178,17 +179,20 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(marks=st.lists(st.integers(0, 2**24 - 1), max_size=100),
-       rates=st.lists(st.integers(0, 9999), max_size=8),
-       kinds=st.dictionaries(st.integers(0, 9), st.tuples(st.floats(0.001, 9.0), st.floats(1.0, 40.0)),
-                             max_size=4))
+@given(
+    marks=st.lists(st.integers(0, 2**24 - 1), max_size=100),
+    rates=st.lists(st.integers(0, 9999), max_size=8),
+    kinds=st.dictionaries(
+        st.integers(0, 9), st.tuples(st.floats(0.001, 9.0), st.floats(1.0, 40.0)), max_size=4
+    ),
+)
 def test_messages_come_back_as_they_went_and_fit(marks, rates, kinds):  # type: ignore[no-untyped-def]
     for whole in (True, False):
         word = peers.encode_held(marks, marks[:9], whole)
         told = peers.decode(word)
         assert len(word) <= 256 and isinstance(told, peers.Word)
         assert (told.began, told.whole) == (marks[:63], whole)
-        assert told.ended == ([] if whole else marks[:min(9, 63 - len(told.began))])
+        assert told.ended == ([] if whole else marks[: min(9, 63 - len(told.began))])
     text = peers.encode_facts(Facts(tuple(map(float, rates)), kinds))
     facts = peers.decode(text)
     assert len(text) <= 256 and isinstance(facts, Facts) and facts.rates == tuple(map(float, rates))
@@ -219,20 +223,26 @@
     return {**CALM, "discovery": "pushed", "weight-kind": "off", "policy-limits": limits, **changes}
 
 
-@pytest.mark.parametrize(("changes", "named"), [
-    ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1"}}, "peers has no 'listen'"),
-    ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["127.0.0.1:1"]}}, "its own addr"),
-    ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["[::1]:1"]}}, "IPv4 and IPv6"),
-    ({"settings": {**SETTINGS, "kinds": "fast"}}, "kinds is no list"),
-    ({"peers": {"listen": "127.0.0.1:1", "others": []}}, "policy-limits.peers is not true"),
-    ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["there:1"]}}, "not a numeric"),
-    ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": [], "otters": 1}}, "'otters'"),
-    ({"settings": {**SETTINGS, "weight-kind": "heavy"}}, "weight-kind is none of"),
-    ({"settings": {**SETTINGS, "discovery": "guessed"}}, "discovery is none of"),
-    ({"settings": {**SETTINGS, "tenants": [{"allowance-per-s": -1}]}}, "allowance-per-s"),
-    ({"settings": {**SETTINGS, "excess-value": "much"}}, "excess-value"),
-    ({"settings": {**SETTINGS, "prices": {"peer": -1}}}, "peer is no number"),
-])
+@pytest.mark.parametrize(
+    ("changes", "named"),
+    [
+        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1"}}, "peers has no 'listen'"),
+        (
+            {"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["127.0.0.1:1"]}},
+            "its own addr",
+        ),
+        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["[::1]:1"]}}, "IPv4 and IPv6"),
+        ({"settings": {**SETTINGS, "kinds": "fast"}}, "kinds is no list"),
+        ({"peers": {"listen": "127.0.0.1:1", "others": []}}, "policy-limits.peers is not true"),
+        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["there:1"]}}, "not a numeric"),
+        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": [], "otters": 1}}, "'otters'"),
+        ({"settings": {**SETTINGS, "weight-kind": "heavy"}}, "weight-kind is none of"),
+        ({"settings": {**SETTINGS, "discovery": "guessed"}}, "discovery is none of"),
+        ({"settings": {**SETTINGS, "tenants": [{"allowance-per-s": -1}]}}, "allowance-per-s"),
+        ({"settings": {**SETTINGS, "excess-value": "much"}}, "excess-value"),
+        ({"settings": {**SETTINGS, "prices": {"peer": -1}}}, "peer is no number"),
+    ],
+)
 def test_a_bad_setting_is_named_in_one_line(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
     (tmp_path / "config.json").write_text(json.dumps(config(**changes)))
     done = run("check", "--config", str(tmp_path / "config.json"))
@@ -245,8 +255,11 @@
         other.bind(("127.0.0.1", 0))
         other.settimeout(0.02)
         here = "127.0.0.1", reserve_port()
-        service = Service(tmp_path, settings=pooled(), peers={
-            "listen": f"127.0.0.1:{here[1]}", "others": [f"127.0.0.1:{other.getsockname()[1]}"]})
+        service = Service(
+            tmp_path,
+            settings=pooled(),
+            peers={"listen": f"127.0.0.1:{here[1]}", "others": [f"127.0.0.1:{other.getsockname()[1]}"]},
+        )
         assert "index=41" in service.watch().target  # pushed, yet on sockets it comes by a watch
         client = service.asked(ask("x"))
         got = service.got()
@@ -258,6 +271,7 @@
             except TimeoutError:
                 return False
             return any(word.startswith(b".") and len(word) > 1 for word in words)
+
         service.until(heard)
         got.answer(200)
         assert service.answer(client)[0] == 200
@@ -271,12 +285,15 @@
             while service.endpoint.unread:
                 service.endpoint.unread.pop().answer(200)
             return service.answer(again)[0] == 503
+
         service.until(refused)
 
 
 OLD: dict[str, Any] = {
-    "settings": {**SETTINGS, "weight-kind": "nominal"}, "colour": "red",
-    "known": {"generation": 41, "reset": True, "instances": [{**entry("e0", 9), "weight": 2.5}]}}
+    "settings": {**SETTINGS, "weight-kind": "nominal"},
+    "colour": "red",
+    "known": {"generation": 41, "reset": True, "instances": [{**entry("e0", 9), "weight": 2.5}]},
+}
 PEERS = ("--peer-listen", "127.0.0.1:7400", "--peer", "127.0.0.1:7401", "--kinds", "fast, small")
 
 
@@ -294,10 +311,15 @@
     new = json.loads(target.read_text())
     assert status == 0 and new["peers"] == {"listen": "127.0.0.1:7400", "others": ["127.0.0.1:7401"]}
     assert target.stat().st_mode & 0o777 == 0o640 and len(list(tmp_path.iterdir())) == 2
-    for told in ("not carried over: colour", "not carried over: settings.weight-kind nominal",
-                 "not carried over: settings.traffic-types[2].overdue-value 0.4",
-                 "to fill in: settings.tenants", "not carried over: known.instances[].weight",
-                 "carried: settings.contract\n", 'changed: settings.discovery: "on_request" -> "pushed"'):
+    for told in (
+        "not carried over: colour",
+        "not carried over: settings.weight-kind nominal",
+        "not carried over: settings.traffic-types[2].overdue-value 0.4",
+        "to fill in: settings.tenants",
+        "not carried over: known.instances[].weight",
+        "carried: settings.contract\n",
+        'changed: settings.discovery: "on_request" -> "pushed"',
+    ):
         assert told in said
     for file in ("new.json", "old.json"):
         place = tmp_path / f"run-{file}"
@@ -336,6 +358,7 @@
 def test_a_full_disk_leaves_no_part_of_a_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def full(fd: int, mode: int) -> None:
         raise OSError(28, "No space left on device")
+
     monkeypatch.setattr("os.fchmod", full)
     with pytest.raises(OSError, match="No space"):
         migrate.write(tmp_path / "new.json", b"{}", 0o600, force=False)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,28 +30,49 @@
 ROOT = Path(__file__).parent.parent
 PATIENCE = 120.0  # far beyond anything needed: no verdict hangs on speed
 # Nor on how soon the stand-ins here answer.
-CALM = {**SETTINGS, "traffic-types": [{**kind, "promised-time": 6000.0, "expiry": 30000.0}
-                                      for kind in SETTINGS["traffic-types"]]}
+CALM = {
+    **SETTINGS,
+    "traffic-types": [
+        {**kind, "promised-time": 6000.0, "expiry": 30000.0} for kind in SETTINGS["traffic-types"]
+    ],
+}
 ask = partial(fleet.ask, wait=20_000)
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    whole = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": CALM,
-             "known": {"generation": 41, "reset": True, "instances": []}}
+    whole = {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": CALM,
+        "known": {"generation": 41, "reset": True, "instances": []},
+    }
     return {**whole, **changes}
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "rainspindle", *arguments], cwd=ROOT, text=True,
-                          capture_output=True, timeout=PATIENCE)
+    return subprocess.run(
+        [sys.executable, "-m", "rainspindle", *arguments],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=PATIENCE,
+    )
 
 
 class Service(Open):
     """The program under way, an endpoint and discovery beside it."""
 
-    def __init__(self, folder: Path, beside: Service | None = None,
-                 environment: dict[str, str] | None = None, wait: bool = True, **changes: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        beside: Service | None = None,
+        environment: dict[str, str] | None = None,
+        wait: bool = True,
+        **changes: Any,
+    ) -> None:
         super().__init__()
         self.endpoint: Stand = beside.endpoint if beside else Stand()
         self.discovery = Stand()
@@ -61,16 +82,25 @@
         file.write_text(json.dumps(self.config))
         self.log = folder / "log"
         self.process = self.start("serve", "--config", str(file), environment=environment)
-        self.port = int(self.until(lambda: re.search(r"event=serving listen=127.0.0.1:(\d+)", self.logged())
-                                   ).group(1)) if wait else 0
+        self.port = (
+            int(
+                self.until(lambda: re.search(r"event=serving listen=127.0.0.1:(\d+)", self.logged())).group(1)
+            )
+            if wait
+            else 0
+        )
 
     def start(self, *arguments: str, environment: dict[str, str] | None = None) -> subprocess.Popen[bytes]:
         """A process of the program. Its log is its own to write: a descriptor shared with a reader has one
         offset, and lines are then written over earlier ones."""
         with self.log.open("ab") as log:
-            return subprocess.Popen([sys.executable, "-m", "rainspindle", *arguments], cwd=ROOT,
-                                    stdout=subprocess.DEVNULL, stderr=log,
-                                    env={**os.environ, **(environment or {})})
+            return subprocess.Popen(
+                [sys.executable, "-m", "rainspindle", *arguments],
+                cwd=ROOT,
+                stdout=subprocess.DEVNULL,
+                stderr=log,
+                env={**os.environ, **(environment or {})},
+            )
 
     def logged(self) -> str:
         return self.log.read_text()
@@ -86,6 +116,7 @@
         def one() -> Got | None:
             stand.look()
             return stand.unread.pop(0) if stand.unread else None
+
         return self.until(one)
 
     def got(self) -> Got:
@@ -160,6 +191,7 @@
     def seen() -> bool:
         other.look()
         return bool(other.unread)
+
     service.until(seen)
     other.unread.pop().answer(200)
     assert service.answer(client)[0] == 200
@@ -222,8 +254,9 @@
     assert "faults=0 broken={}" in service.logged()
 
 
-def test_a_client_that_goes_on_after_sigterm_is_answered_until_its_connection_says_so(service: Service
-                                                                                         ) -> None:
+def test_a_client_that_goes_on_after_sigterm_is_answered_until_its_connection_says_so(
+    service: Service,
+) -> None:
     clients = [service.asked(ask(f"first{n}")) for n in range(3)]
     for client in clients:
         service.got().answer(200)
@@ -250,6 +283,7 @@
 
 def test_sighup_reads_the_configuration_again_and_discovery_moves(service: Service) -> None:
     """Guards against an end by SIGHUP, and against following the old list service."""
+
     def reload(text: str, log: str) -> None:
         before = service.logged().count(log)
         service.file.write_text(text)
@@ -288,6 +322,7 @@
         with contextlib.suppress(OSError):
             got.answer(200, b"ok")
         return got.id == "x"
+
     service.until(mine)
     assert service.answer(client)[:2] == (200, b"ok")
     assert "Traceback" not in service.logged() and "event=fault" not in service.logged()
@@ -304,11 +339,19 @@
     assert fds <= 80
 
 
-BAD = [config(listen="nowhere"), config(seed="xyz"), config(settings={}), config(listen=None), [1],
-       config(settings={**SETTINGS, "traffic-types": [{"name": "x", "effect": "odd"}]}),
-       config(known={"generation": 1}), config(limits={"sockets": "many"}), config(limits=[]),
-       config(limits={"cores": "some"}),
-       config(settings={k: v for k, v in SETTINGS.items() if k != "zone"})]
+BAD = [
+    config(listen="nowhere"),
+    config(seed="xyz"),
+    config(settings={}),
+    config(listen=None),
+    [1],
+    config(settings={**SETTINGS, "traffic-types": [{"name": "x", "effect": "odd"}]}),
+    config(known={"generation": 1}),
+    config(limits={"sockets": "many"}),
+    config(limits=[]),
+    config(limits={"cores": "some"}),
+    config(settings={k: v for k, v in SETTINGS.items() if k != "zone"}),
+]
 
 
 @pytest.mark.parametrize("number", range(len(BAD) + 2))
@@ -350,8 +393,12 @@
         own = folder / f"of-{self.console}"
         own.mkdir()
         listen = f"127.0.0.1:{beside.port}" if beside else "127.0.0.1:0"
-        super().__init__(own, beside, environment={"TMPDIR": str(self.shared)}, **{
-            "console": f"127.0.0.1:{self.console}", "listen": listen, **changes})
+        super().__init__(
+            own,
+            beside,
+            environment={"TMPDIR": str(self.shared)},
+            **{"console": f"127.0.0.1:{self.console}", "listen": listen, **changes},
+        )
 
     def call(self, path: str, method: str = "POST") -> int:
         with socket.create_connection(("127.0.0.1", self.console), PATIENCE) as sock:
@@ -378,10 +425,17 @@
     client = operated.asked(ask("x"))
     operated.got().answer(200)
     assert operated.answer(client)[0] == 200
-    for path, status in (("endpoints/e0/disable", 200), ("endpoints/e0/disable", 200),
-                         ("endpoints/e0/enable", 200), ("endpoints/e5/disable", 404),
-                         ("endpoints/e5/enable", 404), ("drain", 200), ("resume", 200), ("nowhere", 404),
-                         ("ready", 405)):
+    for path, status in (
+        ("endpoints/e0/disable", 200),
+        ("endpoints/e0/disable", 200),
+        ("endpoints/e0/enable", 200),
+        ("endpoints/e5/disable", 404),
+        ("endpoints/e5/enable", 404),
+        ("drain", 200),
+        ("resume", 200),
+        ("nowhere", 404),
+        ("ready", 405),
+    ):
         assert operated.call(path) == status, path
     for sock in idle:
         sock.close()
@@ -430,7 +484,7 @@
             assert new.call("endpoints/e0/disable") == 200 and new.call("drain") == 200
         old.term()
         assert old.process.wait(PATIENCE) == 0
-        assert "event=\"handing over\"" in old.logged() and "faults=0 broken={}" in old.logged()
+        assert 'event="handing over"' in old.logged() and "faults=0 broken={}" in old.logged()
     left = ["rainspindle-n1.orders", "rainspindle-n1.serving"]  # but for what is just being written
     operated.until(lambda: sorted(path.name for path in operated.shared.iterdir()) == left)
 
@@ -467,8 +521,9 @@
     assert set(outcomes) == {200} and len(outcomes) > 60
 
 
-def test_a_second_process_that_cannot_serve_leaves_the_first_alone(operated: Operated, tmp_path: Path
-                                                                   ) -> None:
+def test_a_second_process_that_cannot_serve_leaves_the_first_alone(
+    operated: Operated, tmp_path: Path
+) -> None:
     unknown = {"generation": 0, "reset": True, "instances": list[Any]()}
     new = Operated(tmp_path, operated, wait=False, known=unknown)
 
@@ -476,6 +531,7 @@
         with contextlib.suppress(ConnectionError):
             return new.call("ready", "GET") == 503
         return False
+
     operated.until(opened)
     for n in range(8):  # all of them come to the first
         client = operated.asked(ask(f"x{n}"))
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -29,8 +29,13 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(cuts=st.lists(st.integers(0, 2000), max_size=12), body=st.binary(max_size=600),
-       name=st.sampled_from(NAMES), wait=st.integers(0, 10**6), repeat=st.booleans())
+@given(
+    cuts=st.lists(st.integers(0, 2000), max_size=12),
+    body=st.binary(max_size=600),
+    name=st.sampled_from(NAMES),
+    wait=st.integers(0, 10**6),
+    repeat=st.booleans(),
+)
 def test_a_request_in_any_pieces_is_one_ask(cuts, body, name, wait, repeat):  # type: ignore[no-untyped-def]
     side = ApplicationSide(NAMES)
     extra = "X-Retried: 1\r\nX-Cost: 12500\r\n" if repeat else "X-Attrs: predicted=12.5,other=x\r\n"
@@ -47,9 +52,15 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(data=st.one_of(st.binary(max_size=300), st.builds(
-    lambda at, junk: ask("x")[:at] + junk + ask("x")[at:], st.integers(0, 140), st.binary(max_size=12))),
-    ends=st.booleans())
+@given(
+    data=st.one_of(
+        st.binary(max_size=300),
+        st.builds(
+            lambda at, junk: ask("x")[:at] + junk + ask("x")[at:], st.integers(0, 140), st.binary(max_size=12)
+        ),
+    ),
+    ends=st.booleans(),
+)
 def test_any_bytes_give_a_message_a_4xx_or_nothing(data, ends):  # type: ignore[no-untyped-def]
     side = ApplicationSide(NAMES)
     side.receive(data)
@@ -62,19 +73,39 @@
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(at=st.integers(0, 170), cut=st.integers(0, 12), junk=st.one_of(st.binary(max_size=6), st.sampled_from(
-    [b"Host: b\r\n", b"Content-Length: 3\r\n", b"Transfer-Encoding: chunked\r\n", b"Connection: close\r\n",
-     b" ", b"\t", b"\r", b"\n", b":", b"x", b"0"])), body=st.sampled_from([b"", b"abc"]))
+@given(
+    at=st.integers(0, 170),
+    cut=st.integers(0, 12),
+    junk=st.one_of(
+        st.binary(max_size=6),
+        st.sampled_from(
+            [
+                b"Host: b\r\n",
+                b"Content-Length: 3\r\n",
+                b"Transfer-Encoding: chunked\r\n",
+                b"Connection: close\r\n",
+                b" ",
+                b"\t",
+                b"\r",
+                b"\n",
+                b":",
+                b"x",
+                b"0",
+            ]
+        ),
+    ),
+    body=st.sampled_from([b"", b"abc"]),
+)
 def test_what_is_taken_as_plain_is_what_the_parser_takes(at, cut, junk, body):  # type: ignore[no-untyped-def]
     """Guards against two readings of one message: in one piece it may be plain, in two it never is."""
     whole, pieces, good = ApplicationSide(NAMES), ApplicationSide(NAMES), ask("x", "book", body)
-    data = good[:at] + junk + good[at + cut:]
+    data = good[:at] + junk + good[at + cut :]
     whole.receive(data)
     pieces.receive(data[:1])
     pieces.receive(data[1:])
     if whole.connection is None:
         assert whole.next() == pieces.next() and pieces.goes_on()
-    answer = told(body)[:at] + junk + told(body)[at + cut:]
+    answer = told(body)[:at] + junk + told(body)[at + cut :]
     found = plain.answer(answer, 9999, 9999)
     if found is not None:
         call = Call(9999)
@@ -93,20 +124,33 @@
     return found if found is not None or not then_end else side.receive(b"")
 
 
-@pytest.mark.parametrize(("head", "outcome"), [
-    (b"200 OK", Outcome.SERVED), (b"500 X", Outcome.ERROR), (b"503 X", Outcome.ERROR),
-    (b"503 X\r\nX-Not-Processed: 1", Outcome.FULL), (b"504 X\r\nX-Not-Processed: 1", Outcome.FULL),
-    (b"500 X\r\nX-Not-Processed: 1", Outcome.ERROR), (b"503 X\r\nX-Not-Processed: 0", Outcome.ERROR),
-    (b"201 X", Outcome.ERROR), (b"302 X", Outcome.ERROR), (b"400 X", Outcome.ERROR)])
+@pytest.mark.parametrize(
+    ("head", "outcome"),
+    [
+        (b"200 OK", Outcome.SERVED),
+        (b"500 X", Outcome.ERROR),
+        (b"503 X", Outcome.ERROR),
+        (b"503 X\r\nX-Not-Processed: 1", Outcome.FULL),
+        (b"504 X\r\nX-Not-Processed: 1", Outcome.FULL),
+        (b"500 X\r\nX-Not-Processed: 1", Outcome.ERROR),
+        (b"503 X\r\nX-Not-Processed: 0", Outcome.ERROR),
+        (b"201 X", Outcome.ERROR),
+        (b"302 X", Outcome.ERROR),
+        (b"400 X", Outcome.ERROR),
+    ],
+)
 def test_only_a_plain_word_proves_that_it_never_ran(head: bytes, outcome: Outcome) -> None:
     found = ended(b"HTTP/1.1 " + head + b"\r\nContent-Length: 2\r\n\r\nab")
     assert found is not None and found.outcome is outcome and found.reusable
 
 
 def test_connection_is_kept_only_where_both_sides_may() -> None:
-    for data in (b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
-                 b"HTTP/1.0 200 X\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 200 X\r\n\r\nto the end",
-                 b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\nunasked for"):
+    for data in (
+        b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+        b"HTTP/1.0 200 X\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 X\r\n\r\nto the end",
+        b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\nunasked for",
+    ):
         found = ended(data)
         assert found is not None and found.outcome is Outcome.SERVED and not found.reusable
     early = ended(b"HTTP/1.1 102 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nz")
@@ -121,9 +165,19 @@
 def test_a_list_change_is_decoded_on_the_sidecars_clock() -> None:
     side = DiscoverySide(ListDecoder(("north", "south"), clock_offset=-1000.0))
     assert b"index=41&wait=10000" in side.watch(b"d:1", 41, 10.0)
-    found = side.receive(told({"generation": 43, "reset": True, "instances": [
-        entry("a", 81, "DRAINING", 1_250_500.0, "south"), entry("b", 82), entry("c", 83, "DELETED", zone="?")
-    ]}))
+    found = side.receive(
+        told(
+            {
+                "generation": 43,
+                "reset": True,
+                "instances": [
+                    entry("a", 81, "DRAINING", 1_250_500.0, "south"),
+                    entry("b", 82),
+                    entry("c", 83, "DELETED", zone="?"),
+                ],
+            }
+        )
+    )
     assert found is not None
     change, reusable = found
     a, b, c = change.lines
@@ -136,11 +190,21 @@
 GOOD = {"generation": 2, "reset": False, "instances": [entry("a", 81)]}
 
 
-@pytest.mark.parametrize("data", [
-    told(b"{"), told([1]), told({"generation": 1}), told({**GOOD, "generation": None}), told(GOOD, 503),
-    told({**GOOD, "instances": [1]}), told({**GOOD, "instances": [{**entry("a", 81), "lifecycle": "NEW"}]}),
-    told({**GOOD, "instances": [{**entry("a", 81), "startedAtMs": "soon"}]}),
-    told({**GOOD, "instances": [{**entry("a", 81), "hostPort": "nowhere"}]}), told(GOOD)[:-5]])
+@pytest.mark.parametrize(
+    "data",
+    [
+        told(b"{"),
+        told([1]),
+        told({"generation": 1}),
+        told({**GOOD, "generation": None}),
+        told(GOOD, 503),
+        told({**GOOD, "instances": [1]}),
+        told({**GOOD, "instances": [{**entry("a", 81), "lifecycle": "NEW"}]}),
+        told({**GOOD, "instances": [{**entry("a", 81), "startedAtMs": "soon"}]}),
+        told({**GOOD, "instances": [{**entry("a", 81), "hostPort": "nowhere"}]}),
+        told(GOOD)[:-5],
+    ],
+)
 def test_a_list_that_cannot_be_read_changes_nothing(data: bytes) -> None:
     side = DiscoverySide(ListDecoder(("north",), 0.0))
     side.whole(b"d:1")
@@ -156,9 +220,18 @@
         parse_address(text)
 
 
-@pytest.mark.parametrize("key,value", [
-    ("budget-free", "many"), ("budget-free", -1), ("repeat-ratio", True), ("counted-over", 0),
-    ("counted-over", None), ("soft-removal", 1), ("counted-over", float("inf"))])
+@pytest.mark.parametrize(
+    "key,value",
+    [
+        ("budget-free", "many"),
+        ("budget-free", -1),
+        ("repeat-ratio", True),
+        ("counted-over", 0),
+        ("counted-over", None),
+        ("soft-removal", 1),
+        ("counted-over", float("inf")),
+    ],
+)
 def test_settings_of_further_rules_that_are_nonsense_are_named(key: str, value: object) -> None:
     contract = {**SETTINGS["contract"], "budget-free": 1, "repeat-ratio": 0.15, "counted-over": 2000}
     with pytest.raises(ValueError, match=key):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -16,12 +16,19 @@
 from .fleet import SETTINGS, Got, Rig, Stand, ask, entry, only
 
 
-def followed(rig: Rig, *known: dict[str, object], generation: int = 41, within: float = 10.0,
-             pushed: bool = False) -> Follower:
+def followed(
+    rig: Rig, *known: dict[str, object], generation: int = 41, within: float = 10.0, pushed: bool = False
+) -> Follower:
     """Of a list service that is one more stand-in."""
     rig.stands.append(Stand())
-    follower = Follower(rig.loop, ("127.0.0.1", rig.stands[-1].port), rig.decoder, within, rig.decoder.decode(
-        {"generation": generation, "reset": True, "instances": known}), pushed)
+    follower = Follower(
+        rig.loop,
+        ("127.0.0.1", rig.stands[-1].port),
+        rig.decoder,
+        within,
+        rig.decoder.decode({"generation": generation, "reset": True, "instances": known}),
+        pushed,
+    )
     follower.core = rig.core
     return follower
 
@@ -29,8 +36,15 @@
 def test_body_goes_both_ways_unchanged_and_connections_are_kept(rig: Rig) -> None:
     client = rig.client()
     for n in range(3):
-        client.send(ask(f"x{n}", "book", body=b"\x00\xff" * 700, wait=1400,
-                        headers="Idempotency-Key: abc\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"))
+        client.send(
+            ask(
+                f"x{n}",
+                "book",
+                body=b"\x00\xff" * 700,
+                wait=1400,
+                headers="Idempotency-Key: abc\r\nConnection: X-Hop\r\nX-Hop: 1\r\n",
+            )
+        )
         got = only(rig.got())
         assert (got.method, got.target, got.id, got.body) == (b"POST", "/api?q=1", f"x{n}", b"\x00\xff" * 700)
         assert got.headers["idempotency-key"] == "abc" and got.headers["cookie"] == f"a=b; user=ux{n}"
@@ -74,9 +88,13 @@
     assert answer and answer[:2] == (200, b"second")
 
 
-BROKEN = [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\n",
-          b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70000,
-          b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"]
+BROKEN = [
+    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
+    b"garbage\r\n\r\n",
+    b"HTTP/1.1 200 OK\r\n",
+    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70000,
+    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+]
 
 
 @pytest.mark.parametrize("data", BROKEN)
@@ -191,8 +209,14 @@
         assert rig.pool.open == 1, "word on the old one has touched the new one"
         rig.wait(1.0)
     balancer = rig.balancer
-    for kept in (rig.core.directory.addresses, rig.core.directory.started, rig.back.heard, rig.pool.idle,
-                 balancer.endpoints, balancer.touched):
+    for kept in (
+        rig.core.directory.addresses,
+        rig.core.directory.started,
+        rig.back.heard,
+        rig.pool.idle,
+        balancer.endpoints,
+        balancer.touched,
+    ):
         assert len(kept) <= 2
 
 
@@ -204,6 +228,7 @@
     def connect() -> Coroutine[None]:
         for _ in range(3):
             made.append((yield from pool.connect(peer, math.inf)))
+
     rig.loop.spawn(connect())
     rig.settle()
     for connection, idle in zip(made, (0.05, 0.005, 0.0), strict=True):
@@ -262,6 +287,7 @@
         assert client.status() == 200
     assert rig.balancer.latency.quantile(0.9) < 0.1
 
+
 def test_idle_connections_to_an_endpoint_that_turned_silent_are_dropped() -> None:
     rig = Rig(1)
     clients = [rig.client() for _ in range(4)]
@@ -420,20 +446,26 @@
         rig = Rig(endpoints=0, settings={**SETTINGS, "policy-limits": limits})  # nothing to send to
         answer = rig.asked(ask("x")).answer()
         assert answer and answer[0] == 503 and ("retry-after" in answer[2]) is allowed
-    
+
 
 def test_bad_requests_get_their_status_and_only_theirs(rig: Rig) -> None:
     beside = rig.asked(ask("good"))
-    bad = [(b"nonsense\r\n\r\n", 400), (ask("x", "unknown"), 400), (ask("x", wait=-1), 400),
-           (ask("x").replace(b"X-Request-ID: x\r\n", b""), 400),
-           *((ask("x").replace(b"X-Timeout-Ms: 2000", b"X-Timeout-Ms: " + n), 400)
-             for n in (b"nan", b"1_000", b"1e3", b"-1", b"soon", "²".encode())),
-           (ask("x").replace(b"X-Timeout-Ms: 2000\r\n", b"X-Timeout-Ms: 9\r\nContent-Length: -1\r\n"), 400),
-           (ask("x", "book", b"in") + b"a rest that a wrong length leaves", 400),
-           (ask("x", "book").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
-           (ask("x", "book", b"0\r\n\r\n" + ask("hidden"), headers="Transfer-Encoding: chunked\r\n"), 400),
-           (ask("x", headers="X-Long: " + "z" * 20000 + "\r\n"), 431),
-           (b"POST /ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405)]
+    bad = [
+        (b"nonsense\r\n\r\n", 400),
+        (ask("x", "unknown"), 400),
+        (ask("x", wait=-1), 400),
+        (ask("x").replace(b"X-Request-ID: x\r\n", b""), 400),
+        *(
+            (ask("x").replace(b"X-Timeout-Ms: 2000", b"X-Timeout-Ms: " + n), 400)
+            for n in (b"nan", b"1_000", b"1e3", b"-1", b"soon", "²".encode())
+        ),
+        (ask("x").replace(b"X-Timeout-Ms: 2000\r\n", b"X-Timeout-Ms: 9\r\nContent-Length: -1\r\n"), 400),
+        (ask("x", "book", b"in") + b"a rest that a wrong length leaves", 400),
+        (ask("x", "book").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
+        (ask("x", "book", b"0\r\n\r\n" + ask("hidden"), headers="Transfer-Encoding: chunked\r\n"), 400),
+        (ask("x", headers="X-Long: " + "z" * 20000 + "\r\n"), 431),
+        (b"POST /ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405),
+    ]
     for request, expected in bad:
         client = rig.asked(request)
         assert client.status() == expected, request[:60]
@@ -469,7 +501,7 @@
         rig.serve_all()
         assert kept[n].status() == 200
     for n in range(4):
-        rig.client().sock.sendall(ask("half")[:20 * (n % 2)])
+        rig.client().sock.sendall(ask("half")[: 20 * (n % 2)])
     rig.wait(0.6)
     for _ in range(4):
         rig.client()
@@ -503,6 +535,7 @@
     def counted(self: Connection) -> bool:
         looks.append(self)
         return sound(self)
+
     monkeypatch.setattr(Connection, "sound", counted)
     for n in range(200):
         rig.client().send(ask(f"x{n}"))
@@ -540,7 +573,8 @@
     rig.settle()
     data = client.sock.recv(10000)
     assert [data.index(b"of " + id) for id in (b"a", b"b", b"c")] == sorted(
-        data.index(b"of " + id) for id in (b"a", b"b", b"c")) and data.count(b"HTTP/1.1 200") == 3
+        data.index(b"of " + id) for id in (b"a", b"b", b"c")
+    ) and data.count(b"HTTP/1.1 200") == 3
     assert b"close" not in data and len(rig.front.clients) == 1
 
 
@@ -641,8 +675,9 @@
 
 
 @pytest.mark.parametrize("wait", [8.5, 24.0, 0.0])
-def test_a_call_that_falls_silent_is_begun_anew_before_what_it_misses_counts_as_told(rig: Rig, wait: float
-                                                                                     ) -> None:
+def test_a_call_that_falls_silent_is_begun_anew_before_what_it_misses_counts_as_told(
+    rig: Rig, wait: float
+) -> None:
     """What a silent watch misses counts as told 2 s after its wait; what another misses, 6 s after it."""
     lines = [entry("e0", rig.stands[0].port)] if wait else []
     follower = followed(rig, *lines, within=10.0 if wait < 20 else 0.0)
@@ -698,8 +733,13 @@
     rig = Rig(settings={**SETTINGS, "contract": {**SETTINGS["contract"], "ask-within": 60000.0}})
     discovery = Stand()
     rig.stands.append(discovery)
-    follower = Follower(rig.loop, ("127.0.0.1", discovery.port), rig.decoder, 60.0,
-                        rig.decoder.decode({"generation": 41, "reset": True, "instances": [entry("e0", 9)]}))
+    follower = Follower(
+        rig.loop,
+        ("127.0.0.1", discovery.port),
+        rig.decoder,
+        60.0,
+        rig.decoder.decode({"generation": 41, "reset": True, "instances": [entry("e0", 9)]}),
+    )
     follower.core, rig.core.on_watch = rig.core, follower.want
     follower.want()
     for _ in range(9):
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -32,6 +32,7 @@
             return older(place, commit)
         except NoBuild as fault:
             pytest.skip(fault.line())
+
     return of
 
 
@@ -40,10 +41,14 @@
     return had(OLDER)
 
 
-@pytest.mark.parametrize(("commit", "size"), [
-    (OLDER, rolling.Size(late=2.0)), (SHARING, rolling.Size(4, 45.0, 36.0, late=2.0))], ids=[*BY_NAME])
+@pytest.mark.parametrize(
+    ("commit", "size"),
+    [(OLDER, rolling.Size(late=2.0)), (SHARING, rolling.Size(4, 45.0, 36.0, late=2.0))],
+    ids=[*BY_NAME],
+)
 def test_a_fleet_is_rolled_to_this_build_and_back(
-        tmp_path: Path, had: Callable[[str], Build], commit: str, size: rolling.Size) -> None:
+    tmp_path: Path, had: Callable[[str], Build], commit: str, size: rolling.Size
+) -> None:
     """Half the fleet one release behind, cut, with one killed and one stalled, on the way there and back."""
     old = had(commit)
     day, run = rolling.play(size.world(7), tmp_path, old)
@@ -60,8 +65,12 @@
 
 def test_a_release_that_keeps_orders_in_a_form_of_its_own_is_found(tmp_path: Path, old: Build) -> None:
     """Brought back, the older build cannot read them, and the endpoint that staff left out has traffic."""
-    other = changed(tmp_path / "other", "program/operation.py", "ORDERS_VERSION, MOST_ORDERS = 1, 1,",
-                    "ORDERS_VERSION, MOST_ORDERS = 1, 2,")
+    other = changed(
+        tmp_path / "other",
+        "program/operation.py",
+        "ORDERS_VERSION, MOST_ORDERS = 1, 1,",
+        "ORDERS_VERSION, MOST_ORDERS = 1, 2,",
+    )
     day, _ = rolling.play(rolling.Size(3, 45.0, 26.0, late=2.0).world(2), tmp_path / "day", old, new=other)
     assert any("which is left out" in line for line in day.broken)
     assert any("orders cannot be read" in line for line in day.broken)
@@ -110,6 +119,7 @@
 def test_what_came_to_an_endpoint_that_was_left_out_is_found() -> None:
     def run(at: float, endpoint: int) -> Run:
         return Run("x", "x", 0, 0, endpoint, 0, "k", at, at, 0.01, began=at)
+
     called = [Called(Call(0.0, "POST", "/-/endpoints/e9/disable", ("s0",)), "s0", 1.0, 200, "")]
     ledger = Ledger(runs=[run(0.5, 9), run(1.4, 9), run(1.6, 9), run(9.0, 8)])
     found = list(rolling.left_out_faults(["s0", "s1"], called, ledger))
@@ -125,12 +135,16 @@
     assert found["executed"] > 0.8 * found["topped"] > 0
 
 
-@pytest.mark.parametrize(("module", "name", "value", "found"), [
-    ("protocol.members", "LOWEST", 2, "lacks cells of"),  # read by none of the release before
-    ("decisions.canary.state", "VERSION", 2, "canary state unreadable"),  # comes by the counts too
-])
+@pytest.mark.parametrize(
+    ("module", "name", "value", "found"),
+    [
+        ("protocol.members", "LOWEST", 2, "lacks cells of"),  # read by none of the release before
+        ("decisions.canary.state", "VERSION", 2, "canary state unreadable"),  # comes by the counts too
+    ],
+)
 def test_a_release_that_the_one_before_cannot_read_is_found(
-        old: Build, monkeypatch: pytest.MonkeyPatch, module: str, name: str, value: int, found: str) -> None:
+    old: Build, monkeypatch: pytest.MonkeyPatch, module: str, name: str, value: int, found: str
+) -> None:
     there = importlib.import_module(f"rainspindle.{module}")
     monkeypatch.setattr(there, name, value)
     if name == "LOWEST":
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -20,13 +20,23 @@
 
 def keyed(scope: str = "all", span: float = SPAN, **other: Any) -> dict[str, Any]:
     """A class with an idempotency key, and time enough to connect late."""
-    return {"name": "note", "effect": "idempotency_key", "dedup-scope": scope, "memory-span": span * 1000,
-            "promised-time": 4000.0, "expiry": 8000.0, **other}
+    return {
+        "name": "note",
+        "effect": "idempotency_key",
+        "dedup-scope": scope,
+        "memory-span": span * 1000,
+        "promised-time": 4000.0,
+        "expiry": 8000.0,
+        **other,
+    }
 
 
 def settings(*types: dict[str, Any], **limits: Any) -> dict[str, Any]:
-    return {**SETTINGS, "traffic-types": list(types),
-            "policy-limits": {**SETTINGS["policy-limits"], "connect-timeout": 2000.0, **limits}}
+    return {
+        **SETTINGS,
+        "traffic-types": list(types),
+        "policy-limits": {**SETTINGS["policy-limits"], "connect-timeout": 2000.0, **limits},
+    }
 
 
 class Gate:
@@ -43,6 +53,7 @@
             while connection in self.waiting:
                 yield from connection.await_it(until, unless)
             yield from establish(connection, until, unless)
+
         monkeypatch.setattr(Connection, "establish", held)
 
     def open(self) -> None:
@@ -71,7 +82,8 @@
 @pytest.mark.parametrize("scope, answer", [("all", 503), ("zone", 502)])
 @pytest.mark.parametrize("late", [-JUST, 0.0, JUST])
 def test_a_repeat_whose_connection_comes_up_late_is_sent_inside_the_window_only(
-        gate: Gate, late: float, scope: str, answer: int) -> None:
+    gate: Gate, late: float, scope: str, answer: int
+) -> None:
     """Guards against a repeat that was decided in time and is written when the group has forgotten."""
     rig = Rig(settings=settings(keyed(scope)))
     client, first = first_attempt(rig)
@@ -104,12 +116,13 @@
         def limited(connection: Connection, view: memoryview) -> int:
             if connection.sock.getpeername()[1] not in ports:
                 return send_some(connection, view)
-            taken = send_some(connection, view[:self.room]) if self.room else 0
+            taken = send_some(connection, view[: self.room]) if self.room else 0
             self.room -= taken
             if taken < len(view):
                 connection.writable = False
                 self.stalled.append(connection)
             return taken
+
         monkeypatch.setattr(Connection, "send_some", limited)
 
     def give(self, room: int) -> None:
@@ -122,7 +135,8 @@
 
 @pytest.mark.parametrize("late", [-JUST, 0.0, JUST])
 def test_a_repeat_that_is_written_slowly_becomes_whole_inside_the_window_only(
-        monkeypatch: pytest.MonkeyPatch, late: float) -> None:
+    monkeypatch: pytest.MonkeyPatch, late: float
+) -> None:
     rig = Rig(settings=settings(keyed()))
     throttle = Throttle(monkeypatch, rig)
     client, first = first_attempt(rig, body=b"y" * 30_000)
@@ -261,12 +275,14 @@
 MARK = b"X-Not-Processed: 1\r\n"
 SPOILT = {
     "turned away, but its body breaks off": b"HTTP/1.1 503 X\r\n" + MARK + b"Content-Length: 9\r\n\r\nhalf",
-    "turned away, but its chunks break off": b"HTTP/1.1 503 X\r\n" + MARK
+    "turned away, but its chunks break off": b"HTTP/1.1 503 X\r\n"
+    + MARK
     + b"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
     "turned away, but its head breaks off": b"HTTP/1.1 503 X\r\n" + MARK,
     "turned away by another status": b"HTTP/1.1 500 X\r\n" + MARK + b"Content-Length: 0\r\n\r\n",
     "turned away with another mark": b"HTTP/1.1 503 X\r\nX-Not-Processed: 10\r\nContent-Length: 0\r\n\r\n",
-    "a mark ahead of the answer": b"HTTP/1.1 103 X\r\n" + MARK
+    "a mark ahead of the answer": b"HTTP/1.1 103 X\r\n"
+    + MARK
     + b"\r\nHTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
     "a mark behind the answer": b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n" + MARK + b"\r\n",
     "HTTP/1.0 in chunks that break off": b"HTTP/1.0 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -286,16 +302,21 @@
     assert rig.got() == [] and client.status() == 502 and rig.pool.open == 0
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.0 503 X\r\n" + MARK + b"Content-Length: 0\r\n\r\n",
-    b"HTTP/1.1 504 X\r\nx-NOT-processed:1 \r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 102 X\r\n\r\nHTTP/1.1 503 X\r\n" + MARK
-    + b"Content-Length: 4\r\n\r\nbusy"])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.0 503 X\r\n" + MARK + b"Content-Length: 0\r\n\r\n",
+        b"HTTP/1.1 504 X\r\nx-NOT-processed:1 \r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 102 X\r\n\r\nHTTP/1.1 503 X\r\n"
+        + MARK
+        + b"Content-Length: 4\r\n\r\nbusy",
+    ],
+)
 def test_what_is_turned_away_goes_again_in_whatever_form_it_is_told(rig: Rig, answer: bytes) -> None:
     client = rig.asked(ask("x", "book"))
     first = only(rig.got())
     for n in range(len(answer)):
-        first.raw(answer[n:n + 1])
+        first.raw(answer[n : n + 1])
         rig.settle()
     second = only(rig.got())
     assert second.stand is not first.stand
@@ -310,7 +331,8 @@
 @pytest.mark.parametrize("stray", [b"HTTP/1.1 2", b"HTTP/1.1 200 OK\r\n", b"H", b"\r\n", b"5\r\n"])
 @pytest.mark.parametrize("name", ["book", "look"])
 def test_half_a_line_that_comes_when_a_connection_is_taken_is_no_part_of_the_answer(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch, stray: bytes, name: str) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch, stray: bytes, name: str
+) -> None:
     """It comes behind the last look at the connection and before the request's first byte."""
     warm = rig.asked(ask("warm", "look", headers="Cookie: user=k\r\n"))
     first = rig.serve()
@@ -323,6 +345,7 @@
         if connection is not None:
             first.raw(stray)
         return connection
+
     monkeypatch.setattr(rig.pool, "take", taken)
     for stand in rig.stands:
         if stand is not first.stand:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,21 +15,42 @@
 
 from .fleet import COLD, COLD_FROM, MULTIPLE, WINDOW, Fleet, kind, line
 
-TYPES = [kind(e, g) for e, g in (
-    (Effect.RETRIABLE, Group.ALL), (Effect.RETRIABLE, Group.ALL), (Effect.BINDING, Group.ALL),
-    (Effect.FINGERPRINTED, Group.ALL), (Effect.FINGERPRINTED, Group.ZONE),
-    (Effect.FINGERPRINTED, Group.CELL))]
+TYPES = [
+    kind(e, g)
+    for e, g in (
+        (Effect.RETRIABLE, Group.ALL),
+        (Effect.RETRIABLE, Group.ALL),
+        (Effect.BINDING, Group.ALL),
+        (Effect.FINGERPRINTED, Group.ALL),
+        (Effect.FINGERPRINTED, Group.ZONE),
+        (Effect.FINGERPRINTED, Group.CELL),
+    )
+]
 
-ARRIVE = st.tuples(st.just("arrive"), st.sampled_from([2, 3, 4, 5, 0, 1]), st.integers(-1, 4),
-                   st.sampled_from([2.0, 0.3, -0.1]))
+ARRIVE = st.tuples(
+    st.just("arrive"),
+    st.sampled_from([2, 3, 4, 5, 0, 1]),
+    st.integers(-1, 4),
+    st.sampled_from([2.0, 0.3, -0.1]),
+)
 END = st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome)), st.just(0.0))
 STEP = st.one_of(
-    ARRIVE, ARRIVE, ARRIVE, END, END, END, END,
+    ARRIVE,
+    ARRIVE,
+    ARRIVE,
+    END,
+    END,
+    END,
+    END,
     st.tuples(st.just("served"), st.integers(1, 12), st.just(0), st.just(0.0)),
     st.tuples(st.just("wait"), st.just(0), st.just(0), st.sampled_from([0.01, 0.05, 0.2, 0.7, 6.0])),
     st.tuples(st.just("leave"), st.integers(0, 50), st.just(0), st.just(0.0)),
-    st.tuples(st.just("list"), st.integers(0, 7), 
-              st.sampled_from([State.GONE, State.DRAINING, State.READY]), st.sampled_from([0.0, 1.5])),
+    st.tuples(
+        st.just("list"),
+        st.integers(0, 7),
+        st.sampled_from([State.GONE, State.DRAINING, State.READY]),
+        st.sampled_from([0.0, 1.5]),
+    ),
     st.tuples(st.just("out"), st.integers(0, 7), st.booleans(), st.just(0.0)),
     st.tuples(st.just("whole"), st.integers(0, 255), st.just(0), st.just(0.0)),
     st.tuples(st.just("list failed"), st.just(0), st.just(0), st.just(0.0)),
@@ -37,13 +58,24 @@
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
-@given(steps=st.lists(STEP, min_size=40, max_size=90), parallel=st.booleans(), call_off=st.booleans(),
-       shares=st.booleans(),
-       further=st.sampled_from([None, (1.0, 0.15, 2.0), (3.0, 0.0, 5.0), (0.0, 0.4, 1.0)]))
+@given(
+    steps=st.lists(STEP, min_size=40, max_size=90),
+    parallel=st.booleans(),
+    call_off=st.booleans(),
+    shares=st.booleans(),
+    further=st.sampled_from([None, (1.0, 0.15, 2.0), (3.0, 0.0, 5.0), (0.0, 0.4, 1.0)]),
+)
 def test_rules_hold_in_any_history(  # type: ignore[no-untyped-def]
-        steps, parallel, call_off, shares, further):
-    fleet = Fleet(TYPES, [line(n) for n in range(6)], parallel=parallel, call_off=call_off, shares=shares,
-                  further=further)
+    steps, parallel, call_off, shares, further
+):
+    fleet = Fleet(
+        TYPES,
+        [line(n) for n in range(6)],
+        parallel=parallel,
+        call_off=call_off,
+        shares=shares,
+        further=further,
+    )
     next_id = 0
     for what, a, b, c in steps:
         open_now = fleet.open()
@@ -123,10 +155,16 @@
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
-@given(free=st.sampled_from([0.0, 1.0, 3.0]), share=st.sampled_from([0.0, 0.15, 0.5]),
-       gap=st.sampled_from([0.01, 0.04, 0.125]), failing=st.floats(0.1, 1.0), late=st.booleans())
+@given(
+    free=st.sampled_from([0.0, 1.0, 3.0]),
+    share=st.sampled_from([0.0, 0.15, 0.5]),
+    gap=st.sampled_from([0.01, 0.04, 0.125]),
+    failing=st.floats(0.1, 1.0),
+    late=st.booleans(),
+)
 def test_the_budget_of_forwards_holds_at_any_rate(  # type: ignore[no-untyped-def]
-        free, share, gap, failing, late):
+    free, share, gap, failing, late
+):
     """Steady, then failing: each further forward counts at its sending, over the whole window."""
     fleet = Fleet(TYPES, [line(n) for n in range(8)], further=(free, share, 2.0))
     for id in range(300):
@@ -143,8 +181,9 @@
 
 
 @pytest.mark.parametrize("more", [1.0, 0.05])
-def test_the_counter_catches_a_budget_that_is_off_by_little(more: float, monkeypatch: pytest.MonkeyPatch
-                                                            ) -> None:
+def test_the_counter_catches_a_budget_that_is_off_by_little(
+    more: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A planted fault: one forward too many, or the window a twentieth too short."""
     allows = ForwardBudget.allows
 
@@ -156,6 +195,7 @@
             return allows(self, now, worth)
         finally:
             self.free -= 1
+
     monkeypatch.setattr(ForwardBudget, "allows", planted)
     monkeypatch.setattr(ForwardBudget, "AT_ONCE", 1.0)
     fleet = Fleet(TYPES, [line(n) for n in range(8)], further=(2.0, 0.1, 2.0))
@@ -186,8 +226,10 @@
 def feed_a_cold_one(start: float, peers: int = 2, rate: int = 60) -> OneCore:
     """Some sidecars whose warm endpoints have little to do, until the cold one is 8 s old."""
     cold, rng = OneCore(0.02, start), random.Random(5)
-    fleets = [Fleet([kind()], [line(n) for n in range(2)], peers=peers, seed=n, audits_cold=False)
-              for n in range(peers)]
+    fleets = [
+        Fleet([kind()], [line(n) for n in range(2)], peers=peers, seed=n, audits_cold=False)
+        for n in range(peers)
+    ]
     due: list[tuple[float, int, int, int]] = []
     for id in range(int(rate * 18.0)):
         now = 1000.0 + id / rate
@@ -212,8 +254,10 @@
 def test_a_cold_endpoint_gets_what_its_own_times_prove_spread_over_the_window(start: float) -> None:
     """It stood idle: all of its budget came in a moment, and a better one got no more than the worst."""
     cold = feed_a_cold_one(start)
-    assert all(sum(at <= t < at + WINDOW for t in cold.sent) <= MULTIPLE * cold.able(at) * WINDOW / cold.work
-               for at in cold.sent)
+    assert all(
+        sum(at <= t < at + WINDOW for t in cold.sent) <= MULTIPLE * cold.able(at) * WINDOW / cold.work
+        for at in cold.sent
+    )
     late = [t for t in cold.sent if t > cold.born + 4.0]
     used = len(late) * cold.work / sum(cold.able(cold.born + 4.0 + s / 10) / 10 for s in range(40))
     assert used > 0.5, used
@@ -224,8 +268,10 @@
 def test_of_many_sidecars_cold_endpoints_get_their_budget_whatever_the_keys() -> None:
     """They idled beside crowded ones: of the few that a sidecar drew for one, most met no key of its part."""
     peers, rate, n_warm, n_cold, length = 40, 4.0, 20, 30, 9.0
-    fleets = [Fleet([kind()], [line(n) for n in range(n_warm)], peers=peers, seed=n, audits_cold=False)
-              for n in range(peers)]
+    fleets = [
+        Fleet([kind()], [line(n) for n in range(n_warm)], peers=peers, seed=n, audits_cold=False)
+        for n in range(peers)
+    ]
     begun, sends = fleets[0].now, defaultdict[str, list[float]](list)
     due: list[tuple[float, int, int, int]] = []
     for id in range(int(peers * rate * length)):
@@ -245,7 +291,7 @@
     bound = MULTIPLE * COLD_FROM * warm * WINDOW
     for n in range(n_warm, n_warm + n_cold):
         most = max(sum(at <= t < at + WINDOW for t in sends[f"e{n}"]) for at in [0.0, *sends[f"e{n}"]])
-        assert most <= bound + 3 * bound ** 0.5 + 3, "what all sidecars together may send it"
+        assert most <= bound + 3 * bound**0.5 + 3, "what all sidecars together may send it"
     used = sum(len(sends[f"e{n}"]) for n in range(n_warm, n_warm + n_cold)) / (n_cold * bound * 5.0 / WINDOW)
     assert used > 0.08, used
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -61,6 +61,7 @@
             done.append(True)
             act()
         return close
+
     monkeypatch.setattr(HttpFront, "closes", decided)
 
 
@@ -68,7 +69,8 @@
 
 
 def test_an_answer_written_before_a_close_is_not_lost_to_bytes_that_cross_it(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     client = SlowClient(rig)
     client.send(ask("x", "book"))
     got = only(rig.got())
@@ -85,7 +87,8 @@
 
 
 def test_a_connection_that_its_client_leaves_open_after_the_last_answer_is_closed_in_bounded_time(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     client = SlowClient(rig)
     rig.front.closing = True
     cross(monkeypatch, lambda: client.send(READY))
@@ -114,7 +117,8 @@
 
 
 def test_a_request_that_crosses_the_end_of_a_resting_connection_sees_an_end_and_no_reset(
-        rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: Rig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its client sends it once more; it is read and sent on by nobody here."""
     client = rig.asked(ask("warm"))
     rig.serve()
@@ -125,6 +129,7 @@
         found = sound(self)
         client.sock.sendall(ask("crossed"))
         return found
+
     monkeypatch.setattr(Connection, "sound", looked)
     rig.front.closing = True
     rig.front.finish_clients()
@@ -173,11 +178,21 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, load: Callable[[Config], Config]) -> None:
         super().__init__()
         monkeypatch.setattr("rainspindle.program.serve.Loop", lambda fault: SteppedLoop())
-        self.former = {number: signal.getsignal(number)
-                       for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGPIPE)}
-        config = check("here", {
-            "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS,
-            "known": {"generation": 1, "reset": True, "instances": []}}, {})
+        self.former = {
+            number: signal.getsignal(number)
+            for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGPIPE)
+        }
+        config = check(
+            "here",
+            {
+                "name": "n1",
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:9",
+                "settings": SETTINGS,
+                "known": {"generation": 1, "reset": True, "instances": []},
+            },
+            {},
+        )
         self.sidecar = Sidecar(config, lambda: load(config))
         assert isinstance(self.sidecar.loop, SteppedLoop)
         self.loop = self.sidecar.loop
@@ -217,10 +232,17 @@
 
 
 @pytest.mark.parametrize("load", [unchanged, refused, defect])
-@pytest.mark.parametrize("numbers", [(signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP),
-                                     (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)])
+@pytest.mark.parametrize(
+    "numbers",
+    [
+        (signal.SIGHUP, signal.SIGTERM),
+        (signal.SIGTERM, signal.SIGHUP),
+        (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP),
+    ],
+)
 def test_sigterm_is_heard_whatever_a_sighup_beside_it_brings(
-        monkeypatch: pytest.MonkeyPatch, load: Callable[[Config], Config], numbers: tuple[int, ...]) -> None:
+    monkeypatch: pytest.MonkeyPatch, load: Callable[[Config], Config], numbers: tuple[int, ...]
+) -> None:
     stepped = Stepped(monkeypatch, load)
     sidecar, began = stepped.sidecar, stepped.loop.time
     stepped.signal(*numbers)
@@ -232,7 +254,8 @@
 
 
 def test_sigterm_before_ready_ends_with_the_door_open_to_its_time_and_never_ready(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The signal is there before the loop has run once."""
     stepped = Stepped(monkeypatch, unchanged)
     sidecar = stepped.sidecar
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -265,6 +265,7 @@
     def one() -> Coroutine[None]:
         given = Given(0, "k", None, False, loop.now() + 2.0, None)
         finals.append((yield from router.run(given, lambda: False)))
+
     loop.spawn(one())
     clock.env.run(until=3.0)
     return finals[0], sites, core, peer
@@ -281,11 +282,12 @@
 
 def test_what_may_have_run_goes_nowhere_else_and_what_did_not_crosses_once() -> None:
     for effect, home, away, came in (
-            (Effect.BINDING, Terminated(), Finished(None), 0),
-            (Effect.FINGERPRINTED, Rejected(0.0, True), Finished(None), 0),
-            (Effect.RETRIABLE, Rejected(0.0, True), Finished(None), 1),
-            (Effect.BINDING, Rejected(0.0, False), Free(True, 0.5), 1),
-            (Effect.BINDING, Rejected(0.0, False), Terminated(), 1)):
+        (Effect.BINDING, Terminated(), Finished(None), 0),
+        (Effect.FINGERPRINTED, Rejected(0.0, True), Finished(None), 0),
+        (Effect.RETRIABLE, Rejected(0.0, True), Finished(None), 1),
+        (Effect.BINDING, Rejected(0.0, False), Free(True, 0.5), 1),
+        (Effect.BINDING, Rejected(0.0, False), Terminated(), 1),
+    ):
         final, _, core, peer = routed(effect, (0.0, home), (0.0, away))
         assert (core.came, peer.came) == (1, came)
         assert final == (home if not came else Rejected(0.5, False) if isinstance(away, Free) else away)
--- a/tests/test_sites_settings.py
+++ b/tests/test_sites_settings.py
@@ -37,37 +37,70 @@
 def settings_of(site: dict[str, Any]) -> dict[str, Any]:
     """What a sidecar of that site is told, as docs and README name it."""
     rules, allow, tier = site["rules"], site["allow"], site["tier"][0]
-    contract = {"answer-slack": 20.0, "ask-within": 10000.0, "fall-multiple": rules["fall_multiple"],
-                "tip-after": rules["fall_ms"], "stop-sending-within": rules["drain_grace_ms"],
-                "cold-from": min(k["cold_from"][0] for k in tier["kind"]),
-                "cold": max(k["cold_s"][1] for k in tier["kind"]) * 1000}
+    contract = {
+        "answer-slack": 20.0,
+        "ask-within": 10000.0,
+        "fall-multiple": rules["fall_multiple"],
+        "tip-after": rules["fall_ms"],
+        "stop-sending-within": rules["drain_grace_ms"],
+        "cold-from": min(k["cold_from"][0] for k in tier["kind"]),
+        "cold": max(k["cold_s"][1] for k in tier["kind"]) * 1000,
+    }
     if "budget_ms" in rules:
-        contract |= {"budget-free": rules["budget_free"], "repeat-ratio": rules["budget_share"],
-                     "counted-over": rules["budget_ms"], "soft-removal": rules.get("only_draining_binds")}
+        contract |= {
+            "budget-free": rules["budget_free"],
+            "repeat-ratio": rules["budget_share"],
+            "counted-over": rules["budget_ms"],
+            "soft-removal": rules.get("only_draining_binds"),
+        }
     return {
-        "contract": contract, "zone": 0, "failure-domains": site["net"]["zones"], "peers-total": 4,
+        "contract": contract,
+        "zone": 0,
+        "failure-domains": site["net"]["zones"],
+        "peers-total": 4,
         "discovery": "pushed" if site["discovery"]["mode"] == "push" else "on_request",
         "policy-limits": {
-            "cancel": allow["cancel"], "conn-idle": tier["conn"]["idle_s"] * 1000, "peers": allow["peers"],
-            "connect-timeout": tier["conn"]["connect_timeout_ms"], "max-forwards": allow["max_attempts"],
-            "max-retry-after": site["clients"]["max_retry_after_ms"], "retry-after": allow["retry_after"],
-            "parallel-tries": allow["second_copies"]},
+            "cancel": allow["cancel"],
+            "conn-idle": tier["conn"]["idle_s"] * 1000,
+            "peers": allow["peers"],
+            "connect-timeout": tier["conn"]["connect_timeout_ms"],
+            "max-forwards": allow["max_attempts"],
+            "max-retry-after": site["clients"]["max_retry_after_ms"],
+            "retry-after": allow["retry_after"],
+            "parallel-tries": allow["second_copies"],
+        },
         "prices": {"cross-zone": site["prices"]["cross_zone"], "peer": site["prices"]["peer"]},
-        "weight-kind": tier["weights"], "kinds": [k["name"] for k in tier["kind"]],
-        "tenants": [{"name": t["name"], "share": t["share"], "allowance-per-s": 100 * t["share"]}
-                    for t in site.get("tenant", [])],
+        "weight-kind": tier["weights"],
+        "kinds": [k["name"] for k in tier["kind"]],
+        "tenants": [
+            {"name": t["name"], "share": t["share"], "allowance-per-s": 100 * t["share"]}
+            for t in site.get("tenant", [])
+        ],
         "excess-value": site["load"].get("over_share_worth", 1.0),
         "traffic-types": [
-            {"name": c["name"], "effect": EFFECTS[c["effect"]], "dedup-scope": c.get("group", "all"),
-             "memory-span": c.get("window_ms", 5000), "promised-time": c["aim_ms"],
-             "expiry": c["deadline_ms"], "value": c["worth"], "overdue-value": c["late_worth"]}
-            for c in site["class"]]}
+            {
+                "name": c["name"],
+                "effect": EFFECTS[c["effect"]],
+                "dedup-scope": c.get("group", "all"),
+                "memory-span": c.get("window_ms", 5000),
+                "promised-time": c["aim_ms"],
+                "expiry": c["deadline_ms"],
+                "value": c["worth"],
+                "overdue-value": c["late_worth"],
+            }
+            for c in site["class"]
+        ],
+    }
 
 
 def types(*names: str, effect: str = "read_like", **changes: Any) -> dict[str, Any]:
-    return {**SETTINGS, "traffic-types": [
-        {"name": name, "effect": effect, "promised-time": 600.0, "expiry": 2500.0, **changes}
-        for name in names]}
+    return {
+        **SETTINGS,
+        "traffic-types": [
+            {"name": name, "effect": effect, "promised-time": 600.0, "expiry": 2500.0, **changes}
+            for name in names
+        ],
+    }
 
 
 # The site files of this project.
@@ -81,10 +114,13 @@
     assert {c["group"] for c in classes if c["effect"] == "keyed"} == set(GROUPS)
     assert len({len(s["class"]) for s in sites}) == len(sites)
     for has in (
-            [len(s["net"]["zones"]) > 1 for s in sites], ["tenant" in s for s in sites],
-            [s["allow"]["retry_after"] for s in sites],
-            [s["allow"]["second_copies"] for s in sites], [s["discovery"]["mode"] == "push" for s in sites],
-            [s["load"]["keys"] != 0 for s in sites]):
+        [len(s["net"]["zones"]) > 1 for s in sites],
+        ["tenant" in s for s in sites],
+        [s["allow"]["retry_after"] for s in sites],
+        [s["allow"]["second_copies"] for s in sites],
+        [s["discovery"]["mode"] == "push" for s in sites],
+        [s["load"]["keys"] != 0 for s in sites],
+    ):
         assert set(has) == {True, False}
     # The bench for real nodes refuses to play a site with a retry budget; tests/test_protocol.py reads one.
     assert not any("budget_ms" in s["rules"] for s in sites)
@@ -118,14 +154,17 @@
     zones = settings["failure-domains"]
     for kind_ in settings["traffic-types"]:
         rig = Rig(settings=settings)
-        entries = [{**entry(f"e{n}", stand.port, zone=zones[n % len(zones)]), "cell": n}
-                   for n, stand in enumerate(rig.stands)]
+        entries = [
+            {**entry(f"e{n}", stand.port, zone=zones[n % len(zones)]), "cell": n}
+            for n, stand in enumerate(rig.stands)
+        ]
         rig.tell(*entries, whole=True)
         client = rig.asked(ask("x", kind_["name"]))
         rig.serve(500)
         again = rig.got()
         alone = kind_["effect"] == "non_idempotent" or (
-            kind_["effect"] == "idempotency_key" and kind_["dedup-scope"] != "all" and len(zones) > 1)
+            kind_["effect"] == "idempotency_key" and kind_["dedup-scope"] != "all" and len(zones) > 1
+        )
         assert len(again) == (0 if alone else 1), kind_["name"]
         assert not alone or client.status() == 502
 
@@ -145,11 +184,24 @@
 
 
 def test_what_the_settings_may_leave_out() -> None:
-    least = {"zone": 0, "policy-limits": {"max-forwards": 1}, "contract": {
-        key: SETTINGS["contract"][key] for key in SETTINGS["contract"] if key != "answer-slack"},
-        "traffic-types": [{"name": "look", "effect": "read_like", "promised-time": 600, "expiry": 2500}]}
-    nulls = dict.fromkeys(("failure-domains", "peers-total", "discovery", "kinds", "tenants", "prices",
-                           "weight-kind", "excess-value"))
+    least = {
+        "zone": 0,
+        "policy-limits": {"max-forwards": 1},
+        "contract": {key: SETTINGS["contract"][key] for key in SETTINGS["contract"] if key != "answer-slack"},
+        "traffic-types": [{"name": "look", "effect": "read_like", "promised-time": 600, "expiry": 2500}],
+    }
+    nulls = dict.fromkeys(
+        (
+            "failure-domains",
+            "peers-total",
+            "discovery",
+            "kinds",
+            "tenants",
+            "prices",
+            "weight-kind",
+            "excess-value",
+        )
+    )
     for settings in (least, {**least, **nulls}):
         assert check("config.json", config(settings=settings), {}).settings.zones == ()
         rig = Rig(settings=settings)
@@ -160,33 +212,39 @@
 LOOK, LIMITS, CONTRACT = SETTINGS["traffic-types"][0], SETTINGS["policy-limits"], SETTINGS["contract"]
 
 
-@pytest.mark.parametrize(("changes", "words"), [
-    ({"traffic-types": []}, "traffic-types is no list of traffic types, one at least"),
-    ({"traffic-types": {"look": LOOK}}, "traffic-types is no list of traffic types, one at least"),
-    ({"traffic-types": ["look"]}, "traffic-types is no list of traffic types, one at least"),
-    ({"traffic-types": [LOOK, {**LOOK, "name": 7}]}, "traffic-types[1]: name is no text: 7"),
-    ({"traffic-types": [LOOK, {**LOOK, "name": ""}]}, "traffic-types[1]: name is no text: ''"),
-    ({"traffic-types": [LOOK, LOOK]}, "traffic-types[1]: 'look' is there twice"),
-    ({"traffic-types": [LOOK, {**LOOK, "effect": "odd"}]}, "traffic-types[1]: unknown effect 'odd'"),
-    ({"traffic-types": [{**LOOK, "effect": ["read_like"]}]}, "traffic-types[0]: unknown effect ['read_like"),
-    ({"traffic-types": [{**LOOK, "effect": None}]}, "traffic-types[0]: unknown effect None"),
-    ({"traffic-types": [{**LOOK, "dedup-scope": "rack"}]}, "traffic-types[0]: unknown group 'rack'"),
-    ({"traffic-types": [{k: v for k, v in LOOK.items() if k != "effect"}]}, "lack 'effect'"),
-    ({"traffic-types": [{**LOOK, "expiry": "2500"}]}, "traffic-types[0]: expiry is no number"),
-    ({"traffic-types": [{**LOOK, "expiry": 0}]}, "traffic-types[0]: expiry is no number over 0"),
-    ({"traffic-types": [{**LOOK, "promised-time": None}]}, "promised-time is no number over 0"),
-    ({"traffic-types": [{**LOOK, "value": "high"}]}, "traffic-types[0]: value is no number"),
-    ({"failure-domains": "north"}, "failure-domains is no list of names"),
-    ({"tenants": {"a": 1}}, "tenants is no list of tenants"),
-    ({"policy-limits": []}, "policy-limits is no object"),
-    ({"contract": None}, "contract is no object"),
-    ({"policy-limits": {**LIMITS, "max-forwards": None}}, "max-forwards is no whole number"),
-    ({"policy-limits": {**LIMITS, "max-forwards": "4"}}, "max-forwards is no whole number"),
-    ({"policy-limits": {**LIMITS, "cancel": "no"}}, "cancel is neither true nor false"),
-    ({"contract": {**CONTRACT, "cold-from": None}}, "cold-from is no number"),
-    ({"contract": {**CONTRACT, "tip-after": "3 s"}}, "tip-after is no number"),
-    ({"contract": {k: v for k, v in CONTRACT.items() if k != "cold"}}, "lack 'cold'"),
-])
+@pytest.mark.parametrize(
+    ("changes", "words"),
+    [
+        ({"traffic-types": []}, "traffic-types is no list of traffic types, one at least"),
+        ({"traffic-types": {"look": LOOK}}, "traffic-types is no list of traffic types, one at least"),
+        ({"traffic-types": ["look"]}, "traffic-types is no list of traffic types, one at least"),
+        ({"traffic-types": [LOOK, {**LOOK, "name": 7}]}, "traffic-types[1]: name is no text: 7"),
+        ({"traffic-types": [LOOK, {**LOOK, "name": ""}]}, "traffic-types[1]: name is no text: ''"),
+        ({"traffic-types": [LOOK, LOOK]}, "traffic-types[1]: 'look' is there twice"),
+        ({"traffic-types": [LOOK, {**LOOK, "effect": "odd"}]}, "traffic-types[1]: unknown effect 'odd'"),
+        (
+            {"traffic-types": [{**LOOK, "effect": ["read_like"]}]},
+            "traffic-types[0]: unknown effect ['read_like",
+        ),
+        ({"traffic-types": [{**LOOK, "effect": None}]}, "traffic-types[0]: unknown effect None"),
+        ({"traffic-types": [{**LOOK, "dedup-scope": "rack"}]}, "traffic-types[0]: unknown group 'rack'"),
+        ({"traffic-types": [{k: v for k, v in LOOK.items() if k != "effect"}]}, "lack 'effect'"),
+        ({"traffic-types": [{**LOOK, "expiry": "2500"}]}, "traffic-types[0]: expiry is no number"),
+        ({"traffic-types": [{**LOOK, "expiry": 0}]}, "traffic-types[0]: expiry is no number over 0"),
+        ({"traffic-types": [{**LOOK, "promised-time": None}]}, "promised-time is no number over 0"),
+        ({"traffic-types": [{**LOOK, "value": "high"}]}, "traffic-types[0]: value is no number"),
+        ({"failure-domains": "north"}, "failure-domains is no list of names"),
+        ({"tenants": {"a": 1}}, "tenants is no list of tenants"),
+        ({"policy-limits": []}, "policy-limits is no object"),
+        ({"contract": None}, "contract is no object"),
+        ({"policy-limits": {**LIMITS, "max-forwards": None}}, "max-forwards is no whole number"),
+        ({"policy-limits": {**LIMITS, "max-forwards": "4"}}, "max-forwards is no whole number"),
+        ({"policy-limits": {**LIMITS, "cancel": "no"}}, "cancel is neither true nor false"),
+        ({"contract": {**CONTRACT, "cold-from": None}}, "cold-from is no number"),
+        ({"contract": {**CONTRACT, "tip-after": "3 s"}}, "tip-after is no number"),
+        ({"contract": {k: v for k, v in CONTRACT.items() if k != "cold"}}, "lack 'cold'"),
+    ],
+)
 def test_settings_that_cannot_be_served_are_one_clear_error(changes: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigFault) as refused:
         check("config.json", config(settings={**SETTINGS, **changes}), {})
@@ -220,10 +278,16 @@
 
 @pytest.mark.parametrize(("zones", "again"), [(("east", "west"), 0), (("east", "east"), 1)])
 def test_a_keyed_request_stays_in_its_zone_also_where_the_settings_do_not_name_it(
-        zones: tuple[str, str], again: int) -> None:
+    zones: tuple[str, str], again: int
+) -> None:
     rig = Rig(2)
-    rig.tell(*(entry(f"e{n}", stand.port, zone=zone)
-               for n, (stand, zone) in enumerate(zip(rig.stands, zones, strict=True))), whole=True)
+    rig.tell(
+        *(
+            entry(f"e{n}", stand.port, zone=zone)
+            for n, (stand, zone) in enumerate(zip(rig.stands, zones, strict=True))
+        ),
+        whole=True,
+    )
     client = rig.asked(ask("x", "note"))
     rig.serve(500)
     assert len(rig.got()) == again
@@ -245,8 +309,11 @@
 
 def test_other_classes_and_tenants_need_a_restart_and_requests_go_on_by_the_old(tmp_path: Path) -> None:
     service = Service(tmp_path)
-    other = {**types("fetch", "store", effect="non_idempotent"), "tenants": [{"name": "t", "share": 1.0}],
-             "failure-domains": ["east"]}
+    other = {
+        **types("fetch", "store", effect="non_idempotent"),
+        "tenants": [{"name": "t", "share": 1.0}],
+        "failure-domains": ["east"],
+    }
     for _ in range(2):  # the second time too: the process still runs by the first file
         assert reload(service, settings=other).endswith("needs_restart=settings")
     assert service.answer(service.asked(ask("new", "fetch")))[0] == 400
@@ -322,7 +389,10 @@
     running = sidecar.config
     assert told == [running], "a fleet file is read against the settings in force"
     assert (running.name, running.settings, running.raw_settings) == (
-        before.name, before.settings, before.raw_settings)
+        before.name,
+        before.settings,
+        before.raw_settings,
+    )
     assert (running.discovery[1], running.cores) == (10, 0.5)
 
 
@@ -341,7 +411,8 @@
 
 
 def test_statements_keep_their_classes_where_new_settings_need_a_restart(
-        tmp_path: Path, no_signals: None, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, no_signals: None, caplog: pytest.LogCaptureFixture
+) -> None:
     """Guards against the number of a class in the new settings that is another class in those in force."""
     (tmp_path / "anna.password").write_text("secret")
     (tmp_path / "anna.password").chmod(0o600)
@@ -351,12 +422,14 @@
 
     def read() -> Any:
         return load_mysql(str(tmp_path / "mysql.toml"), {})
+
     sidecar = MysqlSidecar(read(), read)
     select, insert = "select a from t", "insert into t values (1)"
 
     def classes() -> list[str]:
         statements, names = sidecar.mysql_front.statements, sidecar.core.settings.type_names
         return [names[statements.meaning(sql, "anna", "s").traffic_type] for sql in (select, insert)]
+
     try:
         assert classes() == ["look", "book"]
         caplog.set_level(logging.INFO, "rainspindle.mysql")
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -95,6 +95,7 @@
         def settle() -> None:
             self.rig.settle()
             self.check()
+
         self.rig.loop.wait(seconds, settle)
 
 
@@ -102,8 +103,11 @@
     st.tuples(st.just("arrive"), st.sampled_from(NAMES), st.sampled_from([30, 400, 2000])),
     st.tuples(st.just("arrive"), st.sampled_from(NAMES), st.sampled_from([2000, 2500])),
     st.tuples(st.just("end"), st.integers(0, 20), st.just("served")),
-    st.tuples(st.just("end"), st.integers(0, 20),
-              st.sampled_from(["served", "turned away", "error", "broken", "reset"])),
+    st.tuples(
+        st.just("end"),
+        st.integers(0, 20),
+        st.sampled_from(["served", "turned away", "error", "broken", "reset"]),
+    ),
     st.tuples(st.just("wait"), st.sampled_from([0.01, 0.1, 0.7, 3.0, 20.0]), st.just(0)),
     st.tuples(st.just("leave"), st.integers(0, 20), st.just(0)),
     st.tuples(st.just("list"), st.integers(0, 3), st.sampled_from(["SERVING", "DRAINING", "DELETED", "new"])),
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -65,7 +65,7 @@
     sent = still = 0
     while sent < len(data) and still < 20:
         try:
-            sent, still = sent + sock.send(data[sent:sent + 100_000]), 0
+            sent, still = sent + sock.send(data[sent : sent + 100_000]), 0
         except BlockingIOError:
             still += 1
         rig.loop.settle()
@@ -83,7 +83,7 @@
     while data:
         size, _, data = data.partition(b"\r\n")
         n = int(size.partition(b";")[0], 16)
-        body, data = body + data[:n], data[n + 2:]
+        body, data = body + data[:n], data[n + 2 :]
     return body
 
 
@@ -94,8 +94,10 @@
     body = LONG
     if chunked:
         head = head.replace(b"Content-Length: 1500000", b"Transfer-Encoding: chunked")
-        body = b"".join(b"%x;a=b\r\n%b\r\n" % (len(part), part) for part in
-                        (LONG[n:n + 70_001] for n in range(0, len(LONG), 70_001)))
+        body = b"".join(
+            b"%x;a=b\r\n%b\r\n" % (len(part), part)
+            for part in (LONG[n : n + 70_001] for n in range(0, len(LONG), 70_001))
+        )
         body += b"0\r\nX-Trailer: 1\r\n\r\n"
     client.sock.sendall(head + b"\r\n\r\n")
     pour(rig, client.sock, body[:100_000])
@@ -201,7 +203,7 @@
     client.sock.sendall(ask("x").replace(b"HTTP/1.1", b"HTTP/1.0" if old else b"HTTP/1.1"))
     endpoint, reader = raw.accept(), Reader(client.sock)
     endpoint.sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + HEADS[how] + b"\r\n")
-    parts = (LONG[n:n + 40_000] for n in range(0, len(LONG), 40_000))
+    parts = (LONG[n : n + 40_000] for n in range(0, len(LONG), 40_000))
     body = LONG
     if how == "chunks":
         body = b"".join(b"%x;q\r\n%b\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n"
@@ -285,7 +287,7 @@
     request = ask("x", "book", b"y" * 60_000)
     at = 0
     for n in (20, *[6_400] * 9):  # a head in two seconds, then 64 kB a second
-        client.sock.sendall(request[at:at + n])
+        client.sock.sendall(request[at : at + n])
         at += n
         rig.wait(1.9 if n == 20 else 0.1)
     client.sock.sendall(request[at:])
--- a/tests/test_told_within.py
+++ b/tests/test_told_within.py
@@ -45,7 +45,7 @@
     A watch on which nothing has failed before may be silent for its wait and 2 s more."""
     until = back_at + TOLD_WITHIN
     answered = [n for n, call in enumerate(service.calls) if call.answered and call.at < back_at]
-    unanswered = service.calls[answered[-1] + 1 if answered else 0:]
+    unanswered = service.calls[answered[-1] + 1 if answered else 0 :]
     second = unanswered[1].at if len(unanswered) > 1 else math.inf
     if unanswered and unanswered[0].wait is not None and second > back_at > unanswered[0].at:
         until = max(until, unanswered[0].at + unanswered[0].wait + 2.0)
@@ -85,8 +85,10 @@
         callers = Callers(patch)
         follower, _ = callers.follower(HERE, ask_within)
         callers.loop.end()
-    assert max(Follower.RETRY_PERIOD, Follower.CONNECT + Follower.PAUSE) + Follower.AGAIN + Follower.CONNECT \
+    assert (
+        max(Follower.RETRY_PERIOD, Follower.CONNECT + Follower.PAUSE) + Follower.AGAIN + Follower.CONNECT
         == Follower.UNREACHED
+    )
     assert Follower.UNREACHED + Follower.ANSWER_TIME == Follower.TOLD_WITHIN == TOLD_WITHIN
     assert Follower.ANSWER_TIME >= 0.5, "a service that can be reached has to answer in that"
     assert Follower.ANSWER_TIMEOUT > 3.0, "a service with many callers may take 3 s for one"
@@ -96,17 +98,20 @@
 
 @pytest.mark.parametrize("away", Away)
 def test_a_change_is_taken_in_time_after_each_phase_of_an_outage(away: Away) -> None:
-    check(Outage(away, gone_at, seconds) for gone_at in (0.005, 2.5, 8.65)
-          for seconds in steps(0.1, 16.0))
+    check(Outage(away, gone_at, seconds) for gone_at in (0.005, 2.5, 8.65) for seconds in steps(0.1, 16.0))
 
 
 @pytest.mark.parametrize("ask_within", PERIODS)
-@pytest.mark.parametrize("away", [Away.UNCONNECTED, Away.SILENT, Away.HALF, Away.OLDER, Away.REFUSED,
-                                  Away.SLOW_UNAVAILABLE])
+@pytest.mark.parametrize(
+    "away", [Away.UNCONNECTED, Away.SILENT, Away.HALF, Away.OLDER, Away.REFUSED, Away.SLOW_UNAVAILABLE]
+)
 def test_it_is_so_whatever_the_asking_period(away: Away, ask_within: float) -> None:
     wait = min(Follower.WATCH_PART * ask_within, Follower.MOST_WATCH)
-    check(Outage(away, gone_at, wait + seconds, ask_within) for gone_at in (0.105, 0.55 * wait)
-          for seconds in steps(0.1, 12.0))
+    check(
+        Outage(away, gone_at, wait + seconds, ask_within)
+        for gone_at in (0.105, 0.55 * wait)
+        for seconds in steps(0.1, 12.0)
+    )
 
 
 @pytest.mark.parametrize("form", [Form.PIECES, Form.INDENTED, Form.WHOLE])
@@ -118,26 +123,57 @@
 @pytest.mark.parametrize("away", [away for away in Away if away is not Away.HELD])
 def test_it_is_so_where_versions_are_counted_anew_and_connections_come_up_late(away: Away) -> None:
     """In the worst case of the sum, but for what answers take."""
-    check(Outage(away, gone_at, seconds, anew=True, connecting=connecting)
-          for gone_at in (1.005, 2.5) for connecting in (LATENCY, 0.95 * Follower.CONNECT)
-          for seconds in steps(0.1, 14.0))
-
-
-PAIRS = list(itertools.permutations([Away.UNCONNECTED, Away.SILENT, Away.RESET, Away.REFUSED, Away.HALF,
-                                     Away.OLDER, Away.SLOW_UNAVAILABLE], 2))
+    check(
+        Outage(away, gone_at, seconds, anew=True, connecting=connecting)
+        for gone_at in (1.005, 2.5)
+        for connecting in (LATENCY, 0.95 * Follower.CONNECT)
+        for seconds in steps(0.1, 14.0)
+    )
+
+
+PAIRS = list(
+    itertools.permutations(
+        [
+            Away.UNCONNECTED,
+            Away.SILENT,
+            Away.RESET,
+            Away.REFUSED,
+            Away.HALF,
+            Away.OLDER,
+            Away.SLOW_UNAVAILABLE,
+        ],
+        2,
+    )
+)
 
 
 def test_it_is_so_where_the_service_is_away_in_one_way_and_then_in_another() -> None:
     draw = random.Random(5)
-    check(Outage(away, draw.uniform(0.05, 8.7), draw.uniform(0.2, 24.0), draw.choice(PERIODS),
-                 then=then, anew=draw.random() < 0.3) for away, then in PAIRS for _ in range(40))
+    check(
+        Outage(
+            away,
+            draw.uniform(0.05, 8.7),
+            draw.uniform(0.2, 24.0),
+            draw.choice(PERIODS),
+            then=then,
+            anew=draw.random() < 0.3,
+        )
+        for away, then in PAIRS
+        for _ in range(40)
+    )
 
 
 # After SIGHUP, and where lists are pushed.
 
 
-def moved(away: Away, moved_at: float, back_at: float, pushed: bool = False, ask_within: float = 10.0,
-          old_away: float = math.inf) -> float:
+def moved(
+    away: Away,
+    moved_at: float,
+    back_at: float,
+    pushed: bool = False,
+    ask_within: float = 10.0,
+    old_away: float = math.inf,
+) -> float:
     """When the change is taken at a new address whose service is away until `back_at`.
 
     All in seconds from the start; its versions are lower than those of the old service, which is silent from
@@ -248,8 +284,12 @@
         loop.end()
     by_second = Counter(int(call.at - START) for call in service.calls if call.at > START + 1.0)
     told = sorted(keeper.told_at - START - 18.0 for keeper in keepers)
-    return Herd(len(service.calls), max(by_second.values()), sum(call.answered for call in service.calls),
-                round(told[-1], 2))
+    return Herd(
+        len(service.calls),
+        max(by_second.values()),
+        sum(call.answered for call in service.calls),
+        round(told[-1], 2),
+    )
 
 
 # The same herds where a silent call was kept for 4 s and each pause was the module's, and how many times as
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -60,6 +60,7 @@
 
             def log_message(self, *_: Any) -> None:
                 """Nobody reads it."""
+
         super().__init__(("127.0.0.1", 0), Handler)
         self.thread = threading.Thread(target=self.serve_forever, args=(0.01,), daemon=True)
         self.thread.start()
@@ -86,9 +87,17 @@
             self.ledger.asked[id] = time.monotonic()
             connection = HTTPConnection("127.0.0.1", self.port, timeout=PATIENCE)
             try:
-                connection.request("POST", "/api", b"body", {
-                    "X-Request-ID": id, "X-Priority-Class": "book", "Cookie": f"user=u{n % 7}",
-                    "X-Timeout-Ms": "14000"})
+                connection.request(
+                    "POST",
+                    "/api",
+                    b"body",
+                    {
+                        "X-Request-ID": id,
+                        "X-Priority-Class": "book",
+                        "Cookie": f"user=u{n % 7}",
+                        "X-Timeout-Ms": "14000",
+                    },
+                )
                 answer = connection.getresponse()
                 answer.read()
                 self.ledger.told[id] = answer.status
@@ -108,8 +117,11 @@
 def scene(tmp_path: Path) -> Iterator[tuple[Operated, Ledger, dict[str, Any]]]:
     ledger = Ledger()
     endpoints = [Endpoint(f"e{n}", ledger) for n in range(3)]
-    known = {"generation": 41, "reset": True, "instances": [
-        entry(f"e{n}", e.server_address[1]) for n, e in enumerate(endpoints)]}
+    known = {
+        "generation": 41,
+        "reset": True,
+        "instances": [entry(f"e{n}", e.server_address[1]) for n, e in enumerate(endpoints)],
+    }
     first = Operated(tmp_path, known=known)
     yield first, ledger, known
     for endpoint in endpoints:
@@ -125,8 +137,9 @@
     service.until(lambda: len(ledger.told) >= count + more or None)
 
 
-def test_binding_exchanges_run_once_over_upgrades_and_kills(scene: tuple[Operated, Ledger, dict[str, Any]],
-                                                           tmp_path: Path) -> None:
+def test_binding_exchanges_run_once_over_upgrades_and_kills(
+    scene: tuple[Operated, Ledger, dict[str, Any]], tmp_path: Path
+) -> None:
     old, ledger, known = scene
     chance, load = random.Random(11), Load(old.port, ledger)
     try:
@@ -154,7 +167,8 @@
 
 
 def test_nothing_goes_to_an_endpoint_left_out_on_either_side_of_an_upgrade(
-        scene: tuple[Operated, Ledger, dict[str, Any]], tmp_path: Path) -> None:
+    scene: tuple[Operated, Ledger, dict[str, Any]], tmp_path: Path
+) -> None:
     old, ledger, known = scene
     load = Load(old.port, ledger)
     try:
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -26,8 +26,10 @@
 def made_by(module: Any, count: int, **how: bool) -> Any:
     """A class of the first `count` fields."""
     names = list(FIELDS)[:count]
-    body: dict[str, Any] = {"__annotations__": dict.fromkeys(names, "object"),
-                            "both": lambda self: (self.a, self.b)}
+    body: dict[str, Any] = {
+        "__annotations__": dict.fromkeys(names, "object"),
+        "both": lambda self: (self.a, self.b),
+    }
     for name in names:
         if name == "d":
             body[name] = module.field(default_factory=FIELDS[name])
@@ -43,8 +45,10 @@
         return TypeError
 
 
-calls = st.tuples(st.lists(st.integers(0, 2), max_size=5),
-                  st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 2), max_size=3))
+calls = st.tuples(
+    st.lists(st.integers(0, 2), max_size=5),
+    st.dictionaries(st.sampled_from("abcdef"), st.integers(0, 2), max_size=3),
+)
 
 
 hows = st.fixed_dictionaries({"frozen": st.booleans(), "eq": st.booleans(), "order": st.booleans()})
@@ -61,12 +65,22 @@
         if TypeError in (x, y):
             told.append([x is TypeError, y is TypeError])
             continue
-        told.append([
-            repr(x).rpartition(".")[2], x == y, x != y, x == 3, cls.__match_args__, cls.__slots__,
-            *(outcome(lambda x=x, y=y, how=how: how(x, y)) for how in (op.lt, op.le, op.gt, op.ge)),
-            outcome(lambda x=x: hash(x) == hash(x)), outcome(lambda x=x, y=y: hash(x) == hash(y)),
-            outcome(lambda module=module, x=x: repr(module.replace(x, a=7)).rpartition(".")[2]),
-            hasattr(x, "__dict__"), count > 1 and x.both() == (x.a, x.b)])
+        told.append(
+            [
+                repr(x).rpartition(".")[2],
+                x == y,
+                x != y,
+                x == 3,
+                cls.__match_args__,
+                cls.__slots__,
+                *(outcome(lambda x=x, y=y, how=how: how(x, y)) for how in (op.lt, op.le, op.gt, op.ge)),
+                outcome(lambda x=x: hash(x) == hash(x)),
+                outcome(lambda x=x, y=y: hash(x) == hash(y)),
+                outcome(lambda module=module, x=x: repr(module.replace(x, a=7)).rpartition(".")[2]),
+                hasattr(x, "__dict__"),
+                count > 1 and x.both() == (x.a, x.b),
+            ]
+        )
     assert told[0] == told[1]
 
 
--- a/tests/test_wallet.py
+++ b/tests/test_wallet.py
@@ -46,18 +46,24 @@
 
     def count(text: str) -> int:
         return sum(text in record.getMessage() for record in caplog.records)
+
     return count
 
+
 # Rights, exhaustively.
 
 
-@pytest.mark.parametrize(("size", "states"), [
-    (Size((2,), gives=2, aheads=2, crashes=1), 9_000),
-    (Size((1,), gives=1, aheads=2, crashes=1, copies=1), 1_500),
-    (Size((1,), gives=1, aheads=2, crashes=1, boots=1, members=2), 2_500),
-    (Size((1,), gives=1, aheads=2, crashes=1, copies=1, offs=1, members=2), 30_000),
-    (Size((1,), gives=1, aheads=2, crashes=1, boots=1, ends=1, members=2), 15_000),
-    (Size((1, 1), gives=0, aheads=2, backs=1, crashes=2, fails=1, copies=1, members=1), 20_000)])
+@pytest.mark.parametrize(
+    ("size", "states"),
+    [
+        (Size((2,), gives=2, aheads=2, crashes=1), 9_000),
+        (Size((1,), gives=1, aheads=2, crashes=1, copies=1), 1_500),
+        (Size((1,), gives=1, aheads=2, crashes=1, boots=1, members=2), 2_500),
+        (Size((1,), gives=1, aheads=2, crashes=1, copies=1, offs=1, members=2), 30_000),
+        (Size((1,), gives=1, aheads=2, crashes=1, boots=1, ends=1, members=2), 15_000),
+        (Size((1, 1), gives=0, aheads=2, backs=1, crashes=2, fails=1, copies=1, members=1), 20_000),
+    ],
+)
 def test_no_order_of_events_spends_more_than_was_paid(size: Size, states: int) -> None:
     """Guards against a cut in the middle of a hand-over, a giver killed between its write and its word, words
     lost, doubled and late, folders put back from a copy, write-offs of members that live."""
@@ -69,23 +75,29 @@
 END = Size((1,), gives=2, aheads=0, crashes=1, boots=1, ends=1, members=2)
 
 
-@pytest.mark.parametrize("checker", [
-    Checker(Size((1,), gives=0, members=1), wc.Early),  # spends before the write
-    Checker(Size((1,), gives=1, members=2), wc.Adding),  # takes each word for a further gift
-    Checker(Size((1,), gives=1, fails=1, members=2), wc.Hopeful),  # takes a failed write for done
-    Checker(Size((1,), gives=1, members=2), make_holding=wc.Talking),  # no write before the word
-    Checker(Size((1,), gives=0, members=1), keeps_ids=False),  # the id of a top-up forgotten
-    Checker(Size((1,), gives=0, copies=1, members=1), make_holding=wc.Lifeless),  # no life
-    Checker(Size((1,), gives=1, copies=1, members=2), make_holding=wc.Blind),  # gifts to another account
-    Checker(Size((1,), gives=0, copies=1, members=1), notices=False),  # an older copy goes on
-    Checker(Size((1, 1), gives=0, aheads=3, copies=1, members=1), bars=False),  # ... and takes top-ups
-    Checker(Size((1,), gives=0, crashes=1, boots=1, members=1), make_holding=wc.Trusting),  # asks nobody
-    # What can't be proved, as the page says: a volume set back, and the rows since then heard by nobody.
-    Checker(Size((1,), gives=0, crashes=1, boots=1, members=1), hears_last=False),
-    Checker(Size((1,), gives=1, offs=1, members=2), returns=True),  # a write-off gives back
-    Checker(END, marks=False),  # words are forgotten, and the number by which a volume is known is not told
-    Checker(END, hasty=True),  # a use ends before what it handed back is on disk
-    Checker(END, make_holding=wc.Waking)])  # what rests goes on, with nobody heard
+@pytest.mark.parametrize(
+    "checker",
+    [
+        Checker(Size((1,), gives=0, members=1), wc.Early),  # spends before the write
+        Checker(Size((1,), gives=1, members=2), wc.Adding),  # takes each word for a further gift
+        Checker(Size((1,), gives=1, fails=1, members=2), wc.Hopeful),  # takes a failed write for done
+        Checker(Size((1,), gives=1, members=2), make_holding=wc.Talking),  # no write before the word
+        Checker(Size((1,), gives=0, members=1), keeps_ids=False),  # the id of a top-up forgotten
+        Checker(Size((1,), gives=0, copies=1, members=1), make_holding=wc.Lifeless),  # no life
+        Checker(Size((1,), gives=1, copies=1, members=2), make_holding=wc.Blind),  # gifts to another account
+        Checker(Size((1,), gives=0, copies=1, members=1), notices=False),  # an older copy goes on
+        Checker(Size((1, 1), gives=0, aheads=3, copies=1, members=1), bars=False),  # ... and takes top-ups
+        Checker(Size((1,), gives=0, crashes=1, boots=1, members=1), make_holding=wc.Trusting),  # asks nobody
+        # What can't be proved, as the page says: a volume set back, and the rows since then heard by nobody.
+        Checker(Size((1,), gives=0, crashes=1, boots=1, members=1), hears_last=False),
+        Checker(Size((1,), gives=1, offs=1, members=2), returns=True),  # a write-off gives back
+        Checker(
+            END, marks=False
+        ),  # words are forgotten, and the number by which a volume is known is not told
+        Checker(END, hasty=True),  # a use ends before what it handed back is on disk
+        Checker(END, make_holding=wc.Waking),
+    ],
+)  # what rests goes on, with nobody heard
 def test_the_search_finds_each_planted_fault(checker: Checker) -> None:
     found = checker.run(100_000)
     assert "done" in found.violation and len(found.trace) > 4
@@ -93,15 +105,25 @@
 
 # Days in virtual time.
 
-EVENT = st.tuples(st.sampled_from(["cut", "heal", "kill", "restart", "old", "stall", "wake", "leave", "top",
-                                   "off", "full", "disk"]), st.integers(0, 4), st.floats(0.05, 2.0))
+EVENT = st.tuples(
+    st.sampled_from(
+        ["cut", "heal", "kill", "restart", "old", "stall", "wake", "leave", "top", "off", "full", "disk"]
+    ),
+    st.integers(0, 4),
+    st.floats(0.05, 2.0),
+)
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
-@given(st.lists(EVENT, max_size=25), st.integers(0, 3), st.sampled_from([0.0, 0.3]),
-       st.sampled_from(["", "ends", "ends, with older ones beside"]))
+@given(
+    st.lists(EVENT, max_size=25),
+    st.integers(0, 3),
+    st.sampled_from([0.0, 0.3]),
+    st.sampled_from(["", "ends", "ends, with older ones beside"]),
+)
 def test_no_history_overspends_and_what_is_left_can_be_spent_once_it_is_over(
-        events: list[tuple[str, int, float]], seed: int, loss: float, ends: str) -> None:
+    events: list[tuple[str, int, float]], seed: int, loss: float, ends: str
+) -> None:
     """With `ends`, the use of a member ends in a fifth of a second without an exchange, so all the time."""
     rules = Rules("m00", piece=3, reserve=5, top=2, eager=not ends, rest=0.2 if ends else 300.0)
     day = WalletDay(5, seed, rules, loss, frozenset({"m01", "m03"}) if "older" in ends else frozenset())
@@ -469,8 +491,9 @@
     shelf = Shelf(tmp_path)
     found = shelf.found()
     assert found.fresh and not found.rows
-    assert shelf.write(x=b"1", y=b"2") == Done(batch=1, number=1) \
-        and shelf.write(x=b"3") == Done(batch=2, number=2)
+    assert shelf.write(x=b"1", y=b"2") == Done(batch=1, number=1) and shelf.write(x=b"3") == Done(
+        batch=2, number=2
+    )
     shelf.kept.close()
     for _ in range(3):
         found = opened(tmp_path)
@@ -514,12 +537,14 @@
     assert again.newest and set(again.rows) == {"-x"}
 
 
-def test_a_crash_while_an_older_copy_is_marked_leaves_it_old(tmp_path: Path,
-                                                             monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_crash_while_an_older_copy_is_marked_leaves_it_old(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     folder = copied(tmp_path, "whole")
 
     def crash(*_: object) -> None:
         raise OSError(5, "crash")
+
     with monkeypatch.context() as patch:
         patch.setattr(os, "fsync", crash)
         shelf = Shelf(folder)
@@ -528,13 +553,15 @@
     assert set(opened(folder).rows) == {"-x"}
 
 
-def test_a_batch_that_reached_the_disk_without_its_number_is_whole(tmp_path: Path,
-                                                                   monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_batch_that_reached_the_disk_without_its_number_is_whole(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     shelf = Shelf(tmp_path)
     shelf.found()
 
     def crash(*_: object) -> int:
         raise OSError(5, "crash")
+
     with monkeypatch.context() as patch:
         patch.setattr(os, "pwrite", crash)
         assert shelf.write(x=b"1").trouble is not None
@@ -565,6 +592,7 @@
     def make(names: str = "abc", *given: dict[str, Any]) -> Table:
         tables.append(Table(tmp_path, names, CONFIG, list(given) or [table()]))
         return tables[-1]
+
     yield make
     for one in tables:
         one.close()
@@ -585,7 +613,8 @@
 
 
 def test_a_balance_is_spent_at_any_member_and_then_all_pause_until_it_is_topped_up(
-        seats: Callable[..., Table], logged: Callable[[str], int]) -> None:
+    seats: Callable[..., Table], logged: Callable[[str], int]
+) -> None:
     t = seats()
     final = t.seats["b"].exchange()
     assert final == Rejected(0.5, False) or final == Rejected(5.0, False)
@@ -601,7 +630,8 @@
 
 
 def test_a_top_up_counts_once_and_at_the_home_alone_on_both_sides_of_a_cut(
-        seats: Callable[..., Table]) -> None:
+    seats: Callable[..., Table],
+) -> None:
     t = seats("abc", table(piece=1))
     t.part({"a": 1, "b": 2, "c": 2})
     with pytest.raises(NotHome) as refused:
@@ -634,8 +664,8 @@
 
 @pytest.mark.parametrize("fault", ["full", "read-only", "stalled"])
 def test_with_a_disk_in_trouble_spending_goes_on_by_what_is_written_and_then_pauses(
-        seats: Callable[..., Table], logged: Callable[[str], int], monkeypatch: pytest.MonkeyPatch,
-        fault: str) -> None:
+    seats: Callable[..., Table], logged: Callable[[str], int], monkeypatch: pytest.MonkeyPatch, fault: str
+) -> None:
     if fault == "stalled":  # a machine that is busy takes longer for a write than that
         monkeypatch.setattr(program, "STALLED", 0.2)
     t = seats("a", table(piece=10))
@@ -647,8 +677,10 @@
     if fault == "full":
         pages = store.database.execute("PRAGMA page_count").fetchone()[0]
         store.database.execute(f"PRAGMA max_page_count={pages}")
+
         def ballast(rows: dict[str, bytes], over: int = 0) -> None:
             put({**rows, "ballast": bytes(100_000)}, over)
+
         store.put = ballast  # type: ignore[method-assign]
     elif fault == "read-only":
         store.database.execute("PRAGMA query_only=ON")
@@ -658,6 +690,7 @@
         def late(rows: dict[str, bytes], over: int = 0) -> None:
             time.sleep(max(0.0, stuck - time.monotonic()))
             put(rows, over)
+
         store.put = late  # type: ignore[method-assign]
     done = spend(t, "a", seconds=0.5)
     told = "can't be written" if fault != "stalled" else "has stalled"
@@ -673,7 +706,8 @@
 
 
 def test_a_folder_of_another_member_pauses_its_wallets_with_one_line(
-        seats: Callable[..., Table], logged: Callable[[str], int]) -> None:
+    seats: Callable[..., Table], logged: Callable[[str], int]
+) -> None:
     t = seats("ab")
     t.top_up("a", "p1", 100)
     spend(t, "b", 3)
@@ -688,7 +722,8 @@
 
 
 def test_an_older_folder_is_noticed_and_nothing_of_it_is_spent(
-        seats: Callable[..., Table], logged: Callable[[str], int], tmp_path: Path) -> None:
+    seats: Callable[..., Table], logged: Callable[[str], int], tmp_path: Path
+) -> None:
     t = seats("ab", table(piece=5, alone=1.0))
     t.top_up("a", "p1", 600)
     done = spend(t, "b", 20, pace=0.02)
@@ -705,7 +740,8 @@
 
 
 def test_the_home_put_back_from_a_copy_refuses_top_ups_until_there_are_new_books(
-        seats: Callable[..., Table], tmp_path: Path) -> None:
+    seats: Callable[..., Table], tmp_path: Path
+) -> None:
     t = seats("ab")
     t.top_up("a", "p1", 100)
     copy = tmp_path / "copy"
@@ -725,7 +761,8 @@
 
 
 def test_a_member_is_written_off_only_when_it_does_not_live_and_honours_it(
-        seats: Callable[..., Table]) -> None:
+    seats: Callable[..., Table],
+) -> None:
     t = seats("ab", table(piece=5))
     t.top_up("a", "p1", 100)
     done = spend(t, "b", 5, pace=0.05)
@@ -787,8 +824,14 @@
     t.top_up("a", "p1", 100)
     seat = t.seats["a"]
     t.until(lambda: seat.shown()["written_ahead"] >= 20)
-    for final, type, paid in ((Rejected(1.0, False), 0, 0), (Rejected(1.0, True), 0, 1), (Terminated(), 1, 3),
-                              (Finished(None), 1, 3), (Left(), 0, 1), (Finished(None), 0, 1)):
+    for final, type, paid in (
+        (Rejected(1.0, False), 0, 0),
+        (Rejected(1.0, True), 0, 1),
+        (Terminated(), 1, 3),
+        (Finished(None), 1, 3),
+        (Left(), 0, 1),
+        (Finished(None), 0, 1),
+    ):
         held, seat.inner.final = seat.shown()["own"], final
         assert seat.exchange(type=type) == final and held - seat.shown()["own"] == paid
     held = seat.shown()["own"]
@@ -807,6 +850,7 @@
         nonlocal held
         before, held = held, int(seat.shown()["own"])
         return int(before - held)
+
     assert all(served(seat.exchange(request_id="x")) for _ in range(9)) and paid() == 1
     assert served(seat.exchange(request_id="x")) and paid() == 1  # one id is no ticket for all
     assert served(seat.exchange(request_id="x", key="other")) and paid() == 1
@@ -827,13 +871,15 @@
 def test_a_debit_takes_the_same_with_ten_thousand_wallets(tmp_path: Path) -> None:
     def quickest(count: int) -> float:
         folder = tmp_path / str(count)
-        tables = [table(name=f"w{n}", tenant=None if n else 0, match=[] if not n else ["look"])
-                  for n in range(count)]
+        tables = [
+            table(name=f"w{n}", tenant=None if n else 0, match=[] if not n else ["look"])
+            for n in range(count)
+        ]
         t = Table(folder, "a", CONFIG, tables)
         purse = t.seats["a"].run.purses[0, 0]
-        t.top_up("a", "p1", 10 ** 6, "w0")
+        t.top_up("a", "p1", 10**6, "w0")
         t.until(lambda: purse.wallet.account.free)
-        purse.wallet.account.free = 10 ** 6
+        purse.wallet.account.free = 10**6
         times = list[float]()
         for _ in range(30):
             began = time.perf_counter()
@@ -842,6 +888,7 @@
             times.append((time.perf_counter() - began) / 1000)
         t.close()
         return min(times)  # the others are what else the machine does
+
     few, many = quickest(10), quickest(10_000)
     assert many < 10e-6 and many < 3 * few
 
@@ -857,15 +904,31 @@
     assert faults(table(), table(name="south", tenant=1, match=["book"], prices={"book": 5})) == []
     assert "members.folder" in faults(table(), folder=None)[0] and "folder" in faults(table(), folder=None)[0]
     assert faults(folder=None) == []
-    found = "\n".join(faults(
-        table(), table(), table(name="x y", tenant=7), {"name": "z"}, table(name="u", prise=1),
-        table(name="v", match=["look", "lok"], prices={"boook": 1, "note": -1}, piece=0, alone=0.0),
-        table(name="w", tenant=1, rejoin="ask", books="a b", reserve="1")))
-    for part in ("wallet[1].name: 'north' is there twice", "wallet[5].match: 'look' of this tenant",
-                 "wallet[2].name", "wallet[2].tenant: is 7", "wallet[3].home: missing",
-                 "wallet[4].prise: unknown key; the nearest known is 'price'", "wallet[5].match: 'lok'",
-                 "wallet[5].prices: 'boook'", "wallet[5].prices.note", "wallet[5].piece", "wallet[5].alone",
-                 "wallet[6].reserve"):
+    found = "\n".join(
+        faults(
+            table(),
+            table(),
+            table(name="x y", tenant=7),
+            {"name": "z"},
+            table(name="u", prise=1),
+            table(name="v", match=["look", "lok"], prices={"boook": 1, "note": -1}, piece=0, alone=0.0),
+            table(name="w", tenant=1, rejoin="ask", books="a b", reserve="1"),
+        )
+    )
+    for part in (
+        "wallet[1].name: 'north' is there twice",
+        "wallet[5].match: 'look' of this tenant",
+        "wallet[2].name",
+        "wallet[2].tenant: is 7",
+        "wallet[3].home: missing",
+        "wallet[4].prise: unknown key; the nearest known is 'price'",
+        "wallet[5].match: 'lok'",
+        "wallet[5].prices: 'boook'",
+        "wallet[5].prices.note",
+        "wallet[5].piece",
+        "wallet[5].alone",
+        "wallet[6].reserve",
+    ):
         assert part in found, part
     assert "wallet[0].rejoin" in faults(table(rejoin="ask"))[0]
     assert list(unfit({}, CONFIG, None)) == ["wallet: expected a list of tables, [[wallet]]"]
@@ -877,13 +940,17 @@
     t.until(lambda: seat.shown()["state"] == "open")
     assert seat.run.call(0.0, "GET", ("members",), {}) is None
     for status, method, path, query in (
-            (405, "POST", (), {}), (404, "POST", ("north",), {}), (404, "POST", ("south", "top-up"), {}),
-            (405, "GET", ("north", "top-up"), {}), (400, "POST", ("north", "top-up"), {"amount": "5"}),
-            (400, "POST", ("north", "top-up"), {"id": "x", "amount": "-5"}),
-            (400, "POST", ("north", "top-up"), {"id": "x", "amount": "0"}),
-            (400, "POST", ("north", "top-up"), {"id": "x" * 101, "amount": "5"}),
-            (400, "POST", ("north", "write-off"), {"member": "b", "life": "x"}),
-            (404, "POST", ("north", "write-off"), {"member": "b", "life": "1"})):
+        (405, "POST", (), {}),
+        (404, "POST", ("north",), {}),
+        (404, "POST", ("south", "top-up"), {}),
+        (405, "GET", ("north", "top-up"), {}),
+        (400, "POST", ("north", "top-up"), {"amount": "5"}),
+        (400, "POST", ("north", "top-up"), {"id": "x", "amount": "-5"}),
+        (400, "POST", ("north", "top-up"), {"id": "x", "amount": "0"}),
+        (400, "POST", ("north", "top-up"), {"id": "x" * 101, "amount": "5"}),
+        (400, "POST", ("north", "write-off"), {"member": "b", "life": "x"}),
+        (404, "POST", ("north", "write-off"), {"member": "b", "life": "1"}),
+    ):
         answer = seat.call(method, "wallets", *path, **query)
         assert answer.status == status and answer.body["remedy"], path
     with pytest.raises(WalletTrouble, match="home's own"):
@@ -910,9 +977,8 @@
 
 
 def test_cells_stay_within_their_bounds() -> None:
-    pair = words.Pair(1, [(10 ** 15, 10 ** 15, 10 ** 15)] * 8, 10 ** 9, 10 ** 15, (10 ** 15,) * 3)
-    word = words.Word(1, 10 ** 15, 10 ** 9, 10 ** 15, 1e9, 10 ** 15, 10 ** 9, 10 ** 15, "m" * 100, 1e9, True,
-                      10 ** 15)
+    pair = words.Pair(1, [(10**15, 10**15, 10**15)] * 8, 10**9, 10**15, (10**15,) * 3)
+    word = words.Word(1, 10**15, 10**9, 10**15, 1e9, 10**15, 10**9, 10**15, "m" * 100, 1e9, True, 10**15)
     assert len(words.encode(pair)) < 900 and len(words.encode(word)) < 900
     assert words.decode_pair(words.encode(pair)) == pair and words.decode_word(words.encode(word)) == word
     assert len(words.pair_cell("w" * 40, "m" * 1000)) <= 100
@@ -921,7 +987,8 @@
 
 
 def test_a_member_made_home_by_a_new_file_and_a_restart_takes_no_top_up_in_the_old_books(
-        seats: Callable[..., Table]) -> None:
+    seats: Callable[..., Table],
+) -> None:
     t = seats("ab")
     t.top_up("a", "p1", 100)
     assert spend(t, "b", 3) == 3
--- a/tests/test_wallet_processes.py
+++ b/tests/test_wallet_processes.py
@@ -116,6 +116,7 @@
             clients.quiet.difference_update(names)
             since = time.monotonic()
             wait_until(lambda: all(clients.served(name, since) for name in names), PATIENCE, "served again")
+
         r.top_up("one", 900)
         wait_until(lambda: all(clients.served(name) for name in "bcd"), PATIENCE, "served at all")
         fleet.network.begin(Split(0.0, (("a", "b", "c"), ("d",))))
@@ -148,8 +149,13 @@
 
 
 def test_without_a_folder_check_refuses_wallets_and_says_what_to_do(tmp_path: Path) -> None:
-    with Fleet(tmp_path, "a", 1, {"discovery": "127.0.0.1:9", "settings": settings()},
-               lambda name: {"wallet": [{"name": "north", "home": "a"}]}) as fleet:
+    with Fleet(
+        tmp_path,
+        "a",
+        1,
+        {"discovery": "127.0.0.1:9", "settings": settings()},
+        lambda name: {"wallet": [{"name": "north", "home": "a"}]},
+    ) as fleet:
         without = fleet.file("a")
         del without["members"]["folder"]
         fleet["a"].write(fleet["a"].config, without)
--- a/tests/test_watches_in_step.py
+++ b/tests/test_watches_in_step.py
@@ -55,8 +55,10 @@
         loop = callers.loop
         service = TurnsForNews(callers, calls_a_second)
         callers.services[HERE] = service
-        pairs = [callers.follower(HERE, ASK_WITHIN, chance=random.Random(draw.random()).random)
-                 for _ in range(callers_count)]
+        pairs = [
+            callers.follower(HERE, ASK_WITHIN, chance=random.Random(draw.random()).random)
+            for _ in range(callers_count)
+        ]
         for follower, _ in pairs:
             loop.at(START + draw.uniform(0.0, 0.01), follower.want)
         loop.run_until(silent_at)
@@ -65,10 +67,13 @@
         service.change()
         loop.run_until(silent_at + 40.0)
         loop.end()
-    told_at = [max(silent_at + TOLD_AFTER_SILENCE, over.get(number or 0, math.inf) + TOLD_AFTER_WAIT)
-               for number in open_sockets]
-    return [keeper.told_at - told
-            for (_, keeper), told in zip(pairs, told_at, strict=True) if told < math.inf]
+    told_at = [
+        max(silent_at + TOLD_AFTER_SILENCE, over.get(number or 0, math.inf) + TOLD_AFTER_WAIT)
+        for number in open_sockets
+    ]
+    return [
+        keeper.told_at - told for (_, keeper), told in zip(pairs, told_at, strict=True) if told < math.inf
+    ]
 
 
 @pytest.mark.parametrize(("callers_count", "calls_a_second"), [(6, 3), (9, 3), (9, 4)])
@@ -91,5 +96,7 @@
     waits = {call.wait for call in service.calls}
     longest = Follower.WATCH_PART * ASK_WITHIN
     assert len(waits) == len(service.calls) > 60.0 / longest
-    assert all(wait is not None and (1 - Follower.WATCH_JITTER) * longest - 0.001 <= wait <= longest
-               for wait in waits)
+    assert all(
+        wait is not None and (1 - Follower.WATCH_JITTER) * longest - 0.001 <= wait <= longest
+        for wait in waits
+    )
