--- /dev/null
+++ b/rainspindle/balancer/balancer.py
@@ -0,0 +1,477 @@
+"""The balancer: one method for each event, each handing it to the part that decides."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .attempt_recorder import AttemptRecorder
+from .capacity import EndpointCapacity
+from .config import BalancerConfig
+from .endpoint import EndpointState
+from .endpoint_registry import EndpointRegistry
+from .failover import FailoverTable
+from .host import (
+    NEVER_EXECUTED,
+    AttemptEnd,
+    AttemptOutcome,
+    BalancerHost,
+    EndpointListUpdate,
+    IncomingRequest,
+    LearnedState,
+    Timer,
+    TrafficClass,
+)
+from .key_popularity import KeyPopularity
+from .latency import LatencyTracker
+from .list_backoff import ListBackoff
+from .load_publisher import LoadPublisher
+from .load_shedding import LoadShedder, WeightRanking
+from .outlier_detection import OutlierDetector
+from .peer_load import PeerLoad
+from .quotas import TenantQuotas
+from .random_sequence import RandomSequence
+from .ranking import RendezvousRanking
+from .request import Attempt, RequestState
+from .retry_budget import RetryBudget
+from .selection import EndpointSelector, Selection
+from .service_time import ServiceTimes
+from .slow_start import SlowStart
+from .sweep import sweep_endpoints, sweep_phase
+
+
+class Balancer:
+    """All decisions of one sidecar, from one start of its process to the next.
+
+    Attributes:
+        config: The configuration.
+        traffic_classes: The configured classes, and those added for canaries.
+        registry: The known endpoints.
+        failover: The failover table (steps 2 to 5 of the design).
+        latency: Response times over all endpoints.
+        slow_start: The budget of warming endpoints.
+        service_times: Service times by machine kind.
+        peer_load: What the other sidecars published.
+        capacity: Whether an endpoint may get one more attempt.
+        popularity: How much of the traffic each key makes.
+        quotas: Tenants' request rates against their allowances.
+        weights: Where a request stands by its priority weight.
+        shedder: Load shedding.
+        ranking: The order of endpoints by key.
+        outliers: Outlier detection.
+        retry_budget: The retry budget, where one is stated.
+        requests: Requests without a final response, by id.
+        attempts: Attempts in flight, by request and number, the oldest first.
+        request_rate: Requests per second.
+        swept_at: When the last sweep was.
+        sweep_count: How many there were.
+    """
+
+    TICK = 0.1  # seconds between looks at overdue attempts
+    SWEEP = 1.0  # seconds between sweeps
+    FLEET_QUEUE = 1.0  # requests that all sidecars together let wait at an endpoint
+    SLOW_FACTOR = 3  # times the slow response time, after which a silent attempt is overdue
+    RETRY_AFTER_SHARE = 12  # the shortest Retry-After is one part in so many of the latency objective
+    RETRY_AFTER_FACTOR = 3  # so many times Retry-After must be left for the retry to be in time
+
+    def __init__(self, host: BalancerHost, config: BalancerConfig, seed: int, now: float) -> None:
+        self.config = config
+        self.traffic_classes = list(config.traffic_classes)
+        self._host = host
+        self._random = RandomSequence(seed)
+        self._max_weight = max(one.priority_weight for one in config.traffic_classes)
+        self._make_endpoint_state()
+        self._make_request_state()
+        self._make_decisions()
+        self.requests = dict[int, RequestState]()
+        self.attempts = dict[tuple[int, int], Attempt]()
+        self.request_rate = 0.0
+        self._requests_since_sweep = 0
+        self.swept_at = now
+        self.sweep_count = 0
+        self._list_backoff = ListBackoff(config.list_poll_interval, self._random.fraction)
+        if config.watch_list:
+            host.watch_endpoint_list()
+        host.schedule_timer(self.TICK, Timer.TICK)
+        if config.share_load:
+            self._publisher.start()
+
+    def _make_endpoint_state(self) -> None:
+        config = self.config
+        self.registry = EndpointRegistry(self._host, self.FLEET_QUEUE / config.sidecar_count)
+        self.failover = FailoverTable[EndpointState]()
+        self.latency = LatencyTracker()
+        self.slow_start = SlowStart(config.slow_start, config.sidecar_count, self._random)
+        self.service_times = ServiceTimes()
+        self.peer_load = PeerLoad()
+        self.capacity = EndpointCapacity(
+            config.share_load, self.peer_load, self.service_times, self.slow_start
+        )
+
+    def _make_request_state(self) -> None:
+        config = self.config
+        self.popularity = KeyPopularity()
+        self.quotas = TenantQuotas(config.tenant_allowances, config.excess_weight, self._random)
+        self.weights = WeightRanking(self._random)
+        self.retry_budget: RetryBudget | None = None
+        if limits := config.retry_limits:
+            self.retry_budget = RetryBudget(limits.free, limits.share, limits.window)
+
+    def _make_decisions(self) -> None:
+        config = self.config
+        self.shedder = LoadShedder(self.capacity, self.latency)
+        self.ranking = RendezvousRanking(config, self.registry, self.service_times)
+        self.outliers = OutlierDetector(self._host, self.registry)
+        self._selector = EndpointSelector(
+            config.sidecar_count,
+            self.registry,
+            self.failover,
+            self.ranking,
+            self.popularity,
+            self.capacity,
+            self.shedder,
+            self.latency,
+            self._random,
+        )
+        self._recorder = AttemptRecorder(
+            self.capacity, self.failover, self.latency, self.outliers, self.ranking
+        )
+        self._publisher = LoadPublisher(self._host, self.registry, config.sidecar_count, config.message_price)
+
+    # Events: the endpoint list and operators' orders.
+
+    def on_list_changed(self, now: float, update: EndpointListUpdate) -> None:
+        """Takes in what the list says."""
+        if not update.cached and (failures := self._list_backoff.record_success()):
+            self._host.log(f"endpoint list restored after {failures} failures")
+        if self.config.live_weights:
+            self._learn_weights(update)
+        self._on_registry_changed(self.registry.apply(now, update))
+
+    def on_list_failed(self) -> None:
+        """Schedules the next call for the list, after a pause that grows."""
+        delay = self._list_backoff.record_failure()
+        if self._list_backoff.failures == 1:
+            self._host.log("endpoint list unavailable: retrying")
+        self._host.schedule_timer(delay, Timer.LIST_RETRY)
+
+    def disable_endpoint(self, endpoint_id: str) -> None:
+        """Sends the endpoint nothing until it is enabled, whatever the list says."""
+        self._on_registry_changed(self.registry.disable(endpoint_id))
+
+    def enable_endpoint(self, now: float, endpoint_id: str) -> None:
+        """Ends `disable_endpoint`: the endpoint was restarted meanwhile, and nothing is known of it."""
+        if endpoint_id not in self.registry.disabled:
+            return
+        self.slow_start.record_enabled(endpoint_id, now)
+        endpoint = self.registry.enable(endpoint_id)
+        if endpoint is not None:
+            for key, entry in list(self.failover.entries.items()):
+                if endpoint in (entry.first, entry.current):
+                    del self.failover.entries[key]
+        self.ranking.clear()
+        self._host.log(f"{endpoint_id} enabled by order: warming up")
+
+    # Events: requests.
+
+    def on_request_arrived(self, now: float, incoming: IncomingRequest) -> None:
+        """Takes a request, and sends its first attempt or its final response."""
+        traffic_class = self.traffic_classes[incoming.class_index]
+        weight = traffic_class.priority_weight * self.quotas.record_request(incoming.tenant)
+        key = incoming.key or f"{self._random.fraction()}"
+        request = RequestState(
+            incoming.id,
+            traffic_class,
+            key,
+            now + min(traffic_class.latency_objective, traffic_class.timeout),
+            incoming.deadline,
+            incoming.is_client_retry,
+            bool(incoming.key),
+            incoming.body_incomplete,
+            shed_draw=self.weights.position(weight),
+        )
+        self.requests[request.id] = request
+        if self.retry_budget:
+            self.retry_budget.record_request(now)
+        self.popularity.record(key)
+        self._requests_since_sweep += 1
+        self._continue(request, now)
+
+    def on_body_consumed(self, request_id: int) -> None:
+        """Takes in that a part of the body is gone, so that no further attempt is possible."""
+        if request := self.requests.get(request_id):
+            request.body_consumed = True
+
+    def on_body_sent(self, now: float, request_id: int, number: int, deadline: float) -> float:
+        """Takes in that the endpoint has the whole body: all times count from now.
+
+        Returns:
+            The attempt's timeout.
+        """
+        attempt = self.attempts.get((request_id, number))
+        if attempt is None:
+            return deadline - now
+        request = attempt.request
+        traffic_class = request.traffic_class
+        request.objective_at = now + min(traffic_class.latency_objective, traffic_class.timeout)
+        request.deadline = deadline
+        if attempt.body_incomplete:
+            attempt.body_incomplete = False
+            attempt.sent_at = now
+            attempt.endpoint.last_sent_at = now
+            del self.attempts[request_id, number]  # it is the latest now
+            self.attempts[request_id, number] = attempt
+            attempt.endpoint.in_flight[request_id, number] = attempt
+        return self._timeout(request, now)
+
+    def on_response_started(self, now: float, request_id: int, number: int) -> None:
+        """Takes in that a response is being sent on while it comes."""
+        attempt = self.attempts.get((request_id, number))
+        if attempt is not None and not attempt.response_started:
+            attempt.response_started = True
+            self._recorder.record_response(attempt, now)
+            # It has done its work, however slow its client.
+            attempt.endpoint.in_flight.pop((request_id, number), None)
+
+    def on_attempt_ended(self, now: float, end: AttemptEnd) -> None:
+        """Takes in how an attempt ended, and sends the next attempt or the final response if one is due."""
+        attempt = self.attempts.pop((end.request_id, end.number), None)
+        if attempt is None:
+            return
+        request = attempt.request
+        attempt.endpoint.in_flight.pop((end.request_id, end.number), None)
+        request.in_flight -= 1
+        self._record_end(attempt, end, now)
+        if end.outcome not in NEVER_EXECUTED and attempt.sent_at < request.executed_since:
+            request.executed_since = attempt.sent_at
+            request.executed_at = attempt.listed
+        if end.request_closed or end.outcome is AttemptOutcome.SERVED:
+            self._close(request)
+        elif end.request_id in self.requests and not request.in_flight:
+            self._continue(request, now)
+
+    def on_client_disconnected(self, request_id: int) -> None:
+        """Drops a request whose client has gone."""
+        if request := self.requests.get(request_id):
+            self._close(request)
+
+    def shorten_deadline(self, request_id: int, deadline: float) -> None:
+        """Answers the request by `deadline`, however long its client would wait."""
+        if request := self.requests.get(request_id):
+            request.deadline = min(request.deadline, deadline)
+
+    # Events: time, and what other parts decide.
+
+    def on_timer(self, now: float, timer: Timer) -> None:
+        """Does what a timer was set for."""
+        if timer is Timer.LIST_RETRY:
+            self._host.watch_endpoint_list()
+        elif timer is Timer.PUBLISH_LOAD:
+            self._publisher.publish(now, self.request_rate)
+        else:
+            self._on_tick(now)
+
+    def on_state_restored(self) -> None:
+        """Takes in that learned state was restored from an earlier process: it counts as one sweep."""
+        self.sweep_count += 1
+        self.shedder.is_active = True
+
+    def allows_retry(self, traffic_class: TrafficClass, attempts: int, now: float) -> bool:
+        """Returns whether a request that had so many attempts may have one more, here or elsewhere."""
+        return attempts < self.config.max_attempts and self._is_within_retry_budget(traffic_class, now)
+
+    def add_traffic_classes(self, classes: Sequence[TrafficClass]) -> int:
+        """Adds traffic classes; returns the position of the first."""
+        position = len(self.traffic_classes)
+        self.traffic_classes.extend(classes)
+        return position
+
+    # A request's attempts and its final response.
+
+    def _continue(self, request: RequestState, now: float) -> None:
+        """Sends the next attempt, if one is permitted and predicted in time, else the final response."""
+        selection = self._select(request, now)
+        if selection is None:
+            self._give_up(request, now)
+        else:
+            self._start_attempt(request, selection, now)
+
+    def _select(self, request: RequestState, now: float) -> Selection | None:
+        if request.attempt_count >= self.config.max_attempts or request.body_consumed:
+            return None
+        if now >= request.deadline or (request.in_flight and not self.config.parallel_attempts):
+            return None
+        if request.attempt_count and not self._is_within_retry_budget(request.traffic_class, now):
+            return None
+        if not request.may_retry(now):
+            return None
+        return self._selector.select(request, now, len(self.attempts))
+
+    def _is_within_retry_budget(self, traffic_class: TrafficClass, now: float) -> bool:
+        if self.retry_budget is None:
+            return True
+        return self.retry_budget.allows(now, traffic_class.priority_weight / (self._max_weight or 1.0))
+
+    def _start_attempt(self, request: RequestState, selection: Selection, now: float) -> None:
+        endpoint = selection.endpoint
+        if selection.trial:
+            selection.trial.begin_trial()
+        if request.attempt_count:
+            endpoint.retry_credit -= 1
+            if self.retry_budget:
+                self.retry_budget.record_retry(now)
+        self.slow_start.record_attempt(endpoint, now)
+        attempt = Attempt(
+            request,
+            request.attempt_count,
+            endpoint,
+            endpoint.listed,
+            now,
+            selection.trial,
+            request.body_incomplete,
+            self.capacity.in_flight(endpoint),
+        )
+        self.attempts[request.id, attempt.number] = attempt
+        endpoint.last_sent_at = now
+        self.registry.mark_active(endpoint)
+        if not request.body_incomplete:
+            endpoint.in_flight[request.id, attempt.number] = attempt
+        request.attempt_count += 1
+        request.in_flight += 1
+        request.tried.append(endpoint)
+        self._host.send_attempt(request.id, endpoint.id, self._timeout(request, now))
+
+    def _timeout(self, request: RequestState, now: float) -> float:
+        remaining = request.deadline - now
+        if request.is_non_idempotent:
+            return remaining  # nothing is gained by an early time-out: it could not go again
+        in_time = request.objective_at - now
+        # Guards against waste: a retry after a time-out hardly has a chance, yet both are worked on. Where
+        # load is shared, what was given up would go on at the endpoint, counted by nobody.
+        if self.config.share_load or in_time <= 0:
+            return remaining
+        return min(in_time, remaining)
+
+    def _give_up(self, request: RequestState, now: float) -> None:
+        """Sends the final response at once: a rejection where a retry is harmless, else a failure."""
+        if request.may_be_rejected():
+            self._host.reject(request.id, self._retry_after(request, now))
+        else:
+            self._host.fail(request.id)
+        self._close(request)
+
+    def _retry_after(self, request: RequestState, now: float) -> float:
+        """Returns when to come back: soon if that may still be in time, else as late as is allowed."""
+        objective = request.traffic_class.latency_objective
+        soon = max(self.latency.median, objective / self.RETRY_AFTER_SHARE)
+        is_hopeful = request.objective_at - now > self.RETRY_AFTER_FACTOR * soon
+        if is_hopeful and not request.is_client_retry:
+            return min(self.config.max_retry_after, soon)
+        return self.config.max_retry_after
+
+    def _close(self, request: RequestState) -> None:
+        """Forgets a request that has its final response, and cancels what is in flight for it."""
+        self.requests.pop(request.id, None)
+        if not request.in_flight or not self.config.can_cancel:
+            return
+        attempts = [self.attempts.get((request.id, number)) for number in range(request.attempt_count)]
+        for attempt in attempts:
+            if attempt is not None and not attempt.response_started:
+                self._host.cancel_attempt(request.id, attempt.number)
+
+    def _record_end(self, attempt: Attempt, end: AttemptEnd, now: float) -> None:
+        if end.outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):  # which tell nothing
+            if attempt.trial:
+                attempt.trial.abandon_trial()
+        elif end.outcome is not AttemptOutcome.SERVED:
+            self._recorder.record_failure(attempt, end.outcome, now)
+        elif not attempt.response_started:
+            # A sidecar short of CPU must not take its own delay for the endpoint's.
+            answered_at = max(now - end.reported_late_by, attempt.sent_at)
+            self._recorder.record_response(attempt, answered_at)
+
+    # The endpoint list.
+
+    def _learn_weights(self, update: EndpointListUpdate) -> None:
+        for line in update.lines:
+            if line.weight > 0:
+                known = self.registry.by_id.get(line.id)
+                in_flight = self.capacity.in_flight(known) if known else 0
+                self.service_times.of(line).record_weight(line.weight, in_flight)
+
+    def _on_registry_changed(self, ready_changed: bool) -> None:
+        if ready_changed or self.config.use_listed_weights:
+            self.ranking.clear()
+
+    # Time.
+
+    def _on_tick(self, now: float) -> None:
+        self._host.schedule_timer(self.TICK, Timer.TICK)
+        self._check_overdue(now)
+        if now - self.swept_at >= self.SWEEP:
+            self._sweep(now)
+
+    def _check_overdue(self, now: float) -> None:
+        overdue_after = self.SLOW_FACTOR * self.latency.slow
+        if not overdue_after:  # no response yet
+            overdue_after = max(one.latency_objective for one in self.traffic_classes)
+        for attempt in list(self.attempts.values()):  # the oldest first
+            if attempt.body_incomplete or attempt.response_started:
+                continue
+            if now - attempt.sent_at < overdue_after:
+                break
+            self._check_overtaken(attempt, now)
+            self._check_silent(attempt, now, overdue_after)
+
+    def _check_overtaken(self, attempt: Attempt, now: float) -> None:
+        """Guards against a silent connection: an overtaken attempt takes no room, and may go again."""
+        endpoint = attempt.endpoint
+        if attempt.overtaken or endpoint.latest_answered_send <= attempt.sent_at:
+            return
+        attempt.overtaken = True
+        request = attempt.request
+        endpoint.in_flight.pop((request.id, attempt.number), None)
+        if (
+            self.config.can_cancel
+            and request.is_idempotent
+            and request.attempt_count == 1
+            and request.objective_at - now > self.latency.slow
+            and self._is_within_retry_budget(request.traffic_class, now)
+        ):
+            self._host.cancel_attempt(request.id, attempt.number)
+
+    def _check_silent(self, attempt: Attempt, now: float, overdue_after: float) -> None:
+        """Counts the attempt as a failure if its endpoint has answered nothing since it was sent."""
+        endpoint = attempt.endpoint
+        if attempt.overdue or endpoint.breaker or endpoint.last_response_at >= attempt.sent_at:
+            return
+        if (now - attempt.sent_at) * self.slow_start.capacity(endpoint, now) >= overdue_after:
+            attempt.overdue = True
+            self.outliers.record_outcome(endpoint, 1.0, now, "silent")
+
+    def _sweep(self, now: float) -> None:
+        """Ages what was learned, and derives what is looked up until the next sweep."""
+        elapsed = now - self.swept_at
+        self.slow_start.learn_warm_rate(self.registry.ready, now, elapsed)
+        self.request_rate = (self.request_rate + self._requests_since_sweep / elapsed) / 2
+        self._requests_since_sweep = 0
+        self.weights.sweep()
+        if self.config.share_load:
+            self._learn_from_peers(now, elapsed)
+        self.failover.sweep(now)
+        self.latency.sweep()
+        self.sweep_count += 1
+        self.shedder.is_active = True
+        phase = sweep_phase(self.sweep_count)
+        sweep_endpoints(self.registry, now, elapsed, phase)
+        self.swept_at = now
+        if phase.halve_times:
+            self.latency.forget(even_few=phase.rotate_counts)
+
+    def _learn_from_peers(self, now: float, elapsed: float) -> None:
+        self.peer_load.sweep(now)
+        self.quotas.sweep(elapsed, self.peer_load.request_rates())
+        if self.service_times.learn(self.peer_load.kind_estimates()):
+            self.ranking.clear()
+        self._host.publish_learned_state(
+            LearnedState(tuple(self.quotas.rates), self.service_times.estimates_here())
+        )
--- a/rainspindle/decisions/canary/canary.py
+++ b/rainspindle/decisions/canary/canary.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from ...balancer.host import Idempotency
 from ...errors import Trouble
-from ...host import Effect
 from ..members.members import Member, Standing
 from . import burn, counts, state
 from .burn import Burn, Level
@@ -166,7 +166,7 @@
         word = key or request_id
         return bool(word) and point(self.terms.name, word) < part
 
-    def ended(self, now: float, new: bool, effect: Effect, bad: bool) -> None:
+    def ended(self, now: float, new: bool, effect: Idempotency, bad: bool) -> None:
         """An exchange has its answer; `bad`: it failed, or came after the promised time."""
         if not self.active:
             return
--- a/rainspindle/decisions/canary/counts.py
+++ b/rainspindle/decisions/canary/counts.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from ...host import Effect
+from ...balancer.host import Idempotency
 
 VERSION = 1
-EFFECTS = (Effect.RETRIABLE, Effect.FINGERPRINTED, Effect.BINDING)
+EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED, Idempotency.NON_IDEMPOTENT)
 TURNED = len(EFFECTS)  # the class of those turned away with no forward: no word on a release
 CLASSES = len(EFFECTS) + 1
 WIDTH = 2 * CLASSES * 2  # numbers in a span: side, class, and of each all and the bad
--- a/rainspindle/decisions/operation/beginning.py
+++ b/rainspindle/decisions/operation/beginning.py
@@ -11,10 +11,13 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from ...host import State
-from ...logic import Balancer, Breaker, Endpoint
+from ...balancer.balancer import Balancer
+from ...balancer.endpoint import EndpointState
+from ...balancer.failover import CircuitBreaker
+from ...balancer.host import EndpointStatus
+from ...balancer.selection import EndpointSelector
+from ...lazy_dataclasses import dataclass
 from ...protocol.keep import Told
-from ...values import dataclass
 
 MOST_PART = 1 / 3  # of the ready endpoints that word can touch, and that one teller may speak ill of
 SLOW_FROM, SLOW_PART = 2.0, 0.25  # times the usual; part of the shortest promised time
@@ -34,19 +37,19 @@
 
 
 def told(
-    balancers: Iterable[Balancer], mark_of: Callable[[Endpoint], bytes]
+    balancers: Iterable[Balancer], mark_of: Callable[[EndpointState], bytes]
 ) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
     """How many endpoints are ready here, which of them are out, and which are slow, with their times."""
     ready, out, slow = 0, list[bytes](), list[tuple[bytes, float]]()
     for balancer in balancers:
-        ready += len(balancer.ready)
-        least = SLOW_PART * min(t.promised_time for t in balancer.types)
-        for e in balancer.ready:
+        ready += len(balancer.registry.ready)
+        least = SLOW_PART * min(t.latency_objective for t in balancer.traffic_classes)
+        for e in balancer.registry.ready:
             if e.breaker:
                 out.append(mark_of(e))
-            elif e.latency.total >= ENOUGH_TIMES and balancer.cold_age(e, balancer.swept) is None:
+            elif e.latency.total >= ENOUGH_TIMES and balancer.slow_start.age(e, balancer.swept_at) is None:
                 time = e.latency.quantile(0.5)
-                if time > max(SLOW_FROM * balancer.usual, least):
+                if time > max(SLOW_FROM * balancer.latency.median, least):
                     slow.append((mark_of(e), time))
     return ready, out, slow
 
@@ -84,16 +87,21 @@
     """To endpoints of which this process knows nothing itself; those that were touched."""
     done = []
     for id in (*judged.out, *judged.slow):
-        e = balancer.endpoints.get(id)
-        if e is None or e in balancer.touched or e.breaker or e.line.state is not State.READY:
+        e = balancer.registry.by_id.get(id)
+        if (
+            e is None
+            or e in balancer.registry.active
+            or e.breaker
+            or e.listed.status is not EndpointStatus.READY
+        ):
             continue
         if id in judged.slow:
-            if balancer.cold_age(e, now) is not None:
+            if balancer.slow_start.age(e, now) is not None:
                 continue  # times would prove that it can do more than the least of a cold one
             e.latency.add(judged.slow[id], PRIOR)
         else:
-            e.breaker = Breaker(now - balancer.LAST_TRIAL + BINDING_AFTER)
-            e.breaker.due = True
-        balancer.touched[e] = None
+            e.breaker = CircuitBreaker(now - EndpointSelector.TRIAL_PATIENCE + BINDING_AFTER)
+            e.breaker.trial_due = True
+        balancer.registry.active[e] = None
         done.append(id)
     return done
--- a/rainspindle/decisions/operation/learnt.py
+++ b/rainspindle/decisions/operation/learnt.py
@@ -10,46 +10,62 @@
 from collections.abc import Collection
 from typing import Any
 
+from ...balancer.balancer import Balancer
+from ...balancer.endpoint import EndpointState
+from ...balancer.failover import CircuitBreaker, FailoverEntry, FailoverTable
+from ...balancer.failure_counts import FailureCounts
+from ...balancer.host import EndpointStatus
+from ...balancer.sweep import SweepPhase
 from ...histogram import Histogram
-from ...host import State
-from ...logic import Balancer, Breaker, Endpoint, Entry, FailoverTable
-
-KEPT = ("credit", "window", "calm", "busy", "row", "failures", "outcomes", "cold_left")
-OWN = ("warm_rate", "usual", "slow", "calm", "counts", "counted")
+from ...lazy_dataclasses import dataclass
 
 
 def give(balancer: Balancer, now: float) -> dict[str, Any]:
-    """What was learnt, for `take`; times as ages in seconds."""
+    """What was learnt, for `take`; times as ages in seconds. The keys are those of the stored form."""
+    return {
+        "warm_rate": balancer.slow_start.warm_rate,
+        "usual": balancer.latency.median,
+        "slow": balancer.latency.slow,
+        "calm": balancer.latency.unloaded,
+        "counts": balancer.popularity.counts,
+        "counted": balancer.popularity.total,
+        "times": balancer.latency.overall.bins,
+        "put_back": {id: now - at for id, at in balancer.slow_start.enabled_at.items()},
+        "endpoints": {e.id: give_endpoint(e, now) for e in balancer.registry.active},
+        "keys": {key: give_entry(entry, now) for key, entry in balancer.failover.entries.items()},
+    }
+
+
+def give_endpoint(endpoint: EndpointState, now: float) -> dict[str, Any]:
     return {
-        **{name: getattr(balancer, name) for name in OWN},
-        "times": balancer.latency.bins,
-        "put_back": {id: now - at for id, at in balancer.put_back.items()},
-        "endpoints": {
-            e.id: {
-                **{name: getattr(e, name) for name in KEPT},
-                "age": now - (e.line.started or -math.inf),
-                "times": e.latency.bins,
-                "cold_since": now - e.cold_until,
-                "out": now - e.breaker.since if e.breaker else None,
-                "back": now - e.back_at,
-            }
-            for e in balancer.touched
-        },
-        "keys": {
-            key: [
-                entry.first.id,
-                entry.current.id,
-                [e.id for e in entry.tried],
-                entry.retriable,
-                entry.other,
-                now - entry.last,
-                now - entry.since,
-            ]
-            for key, entry in balancer.table.entries.items()
-        },
+        "credit": endpoint.retry_credit,
+        "window": endpoint.window,
+        "calm": endpoint.unloaded_time,
+        "busy": endpoint.busy_cores,
+        "row": endpoint.consecutive_failures,
+        "failures": endpoint.failure_counts.failures,
+        "outcomes": endpoint.failure_counts.outcomes,
+        "cold_left": endpoint.slow_start_remaining,
+        "age": now - (endpoint.listed.started_at or -math.inf),
+        "times": endpoint.latency.bins,
+        "cold_since": now - endpoint.slow_start_until,
+        "out": now - endpoint.breaker.failing_since if endpoint.breaker else None,
+        "back": now - endpoint.readmitted_at,
     }
 
 
+def give_entry(entry: FailoverEntry[EndpointState], now: float) -> list[Any]:
+    return [
+        entry.first.id,
+        entry.current.id,
+        [e.id for e in entry.tried],
+        entry.idempotent_failures,
+        entry.other_failures,
+        now - entry.last_failure_at,
+        now - entry.failing_since,
+    ]
+
+
 def histogram(bins: list[float]) -> Histogram:
     made = Histogram()
     made.bins = [float(b) for _, b in zip(made.bins, bins, strict=True)]
@@ -57,6 +73,98 @@
     return made
 
 
+def moment(now: float, age: float | None) -> float:
+    return -math.inf if age is None else now - age
+
+
+@dataclass(frozen=True)
+class TakenEndpoint:
+    """What was given of one endpoint, checked and not yet taken over."""
+
+    endpoint: EndpointState
+    credit: float
+    window: float
+    calm: float
+    busy: float
+    row: float
+    counts: FailureCounts
+    cold_left: int
+    latency: Histogram
+    cold_until: float
+    back_at: float
+    breaker: CircuitBreaker | None
+
+    @staticmethod
+    def of(endpoint: EndpointState, now: float, kept: dict[str, Any]) -> TakenEndpoint:
+        counts = FailureCounts()
+        counts.failures, counts.outcomes = kept["failures"], kept["outcomes"]
+        return TakenEndpoint(
+            endpoint,
+            kept["credit"],
+            kept["window"],
+            kept["calm"],
+            kept["busy"],
+            kept["row"],
+            counts,
+            kept["cold_left"],
+            histogram(kept["times"]),
+            moment(now, kept["cold_since"]),
+            moment(now, kept["back"]),
+            None if kept["out"] is None else CircuitBreaker(now - kept["out"]),
+        )
+
+    def apply(self) -> None:
+        endpoint = self.endpoint
+        endpoint.retry_credit = self.credit
+        endpoint.window = self.window
+        endpoint.unloaded_time = self.calm
+        endpoint.busy_cores = self.busy
+        endpoint.consecutive_failures = self.row
+        endpoint.failure_counts = self.counts
+        endpoint.slow_start_remaining = self.cold_left
+        endpoint.latency = self.latency
+        endpoint.slow_start_until = self.cold_until
+        endpoint.readmitted_at = self.back_at
+        endpoint.breaker = self.breaker
+
+
+@dataclass(frozen=True)
+class TakenOwn:
+    """What was given of the sidecar as a whole, checked and not yet taken over."""
+
+    warm_rate: float
+    usual: float
+    slow: float
+    calm: float
+    counts: dict[str, float]
+    counted: float
+    latency: Histogram
+    put_back: dict[str, float]
+
+    @staticmethod
+    def of(now: float, given: dict[str, Any]) -> TakenOwn:
+        return TakenOwn(
+            given["warm_rate"],
+            given["usual"],
+            given["slow"],
+            given["calm"],
+            given["counts"],
+            given["counted"],
+            histogram(given["times"]),
+            {id: now - age for id, age in given["put_back"].items()},
+        )
+
+    def apply(self, balancer: Balancer) -> None:
+        balancer.slow_start.warm_rate = self.warm_rate
+        balancer.slow_start.enabled_at = self.put_back
+        balancer.latency.median = self.usual
+        balancer.latency.slow = self.slow
+        balancer.latency.unloaded = self.calm
+        balancer.latency.overall = self.latency
+        balancer.popularity.counts = self.counts
+        balancer.popularity.total = self.counted
+
+
 def take(
     balancer: Balancer, now: float, given: dict[str, Any], only: Collection[str] | None = None
 ) -> list[str]:
@@ -64,44 +172,35 @@
     `only`, of these endpoints alone, and nothing of what is the sidecar's own; the endpoints taken.
 
     Raises KeyError, TypeError, AttributeError or ValueError with nothing taken over."""
-
-    def ago(age: float | None) -> float:
-        return -math.inf if age is None else now - age
-
-    known: list[tuple[Endpoint, dict[str, Any]]] = []
+    known: list[TakenEndpoint] = []
     for id, kept in given["endpoints"].items():
-        e = balancer.endpoints.get(id)
+        e = balancer.registry.by_id.get(id)
         if (
             e
-            and e.line.state is not State.LEFT_OUT
-            and (e.line.started is None or abs(ago(kept["age"]) - e.line.started) < 1.0)
+            and e.listed.status is not EndpointStatus.DISABLED
+            and (e.listed.started_at is None or abs(moment(now, kept["age"]) - e.listed.started_at) < 1.0)
         ):
-            names = {name: kept[name] for name in KEPT}
-            names["latency"] = histogram(kept["times"])
-            names["cold_until"], names["back_at"] = ago(kept["cold_since"]), ago(kept["back"])
-            names["breaker"] = None if kept["out"] is None else Breaker(now - kept["out"])
-            known.append((e, names))
-    taken = {e.id: e for e, _ in known}
-    entries: dict[str, Entry[Endpoint]] = {}
+            known.append(TakenEndpoint.of(e, now, kept))
+    taken = {one.endpoint.id: one.endpoint for one in known}
+    entries: dict[str, FailoverEntry[EndpointState]] = {}
     for key, (first, current, tried, retriable, other, last, since) in given["keys"].items():
         named = {first, current, *tried}
         if named <= taken.keys() and (only is None or not named.isdisjoint(only)):
-            entry = entries[key] = Entry(taken[first], now - last)
-            entry.current, entry.since = taken[current], now - since
+            entry = entries[key] = FailoverEntry(taken[first], now - last)
+            entry.current, entry.failing_since = taken[current], now - since
             entry.tried = [taken[id] for id in tried]
-            entry.retriable, entry.other = int(retriable), int(other)
-    own = {name: given[name] for name in OWN}
-    own["latency"] = histogram(given["times"])
-    own["put_back"] = {id: now - age for id, age in given["put_back"].items()}
-    if only is not None:
-        known = [(e, names) for e, names in known if e.id in only]
-    for at, names in (*([(balancer, own)] if only is None else []), *known):
-        for name, value in names.items():
-            setattr(at, name, value)
-    balancer.touched.update(dict.fromkeys(e for e, _ in known))
-    balancer.table.entries.update(entries)
-    balancer.sweeps += 1
-    return [e.id for e, _ in known]
+            entry.idempotent_failures, entry.other_failures = int(retriable), int(other)
+    own = TakenOwn.of(now, given)
+    if only is None:
+        own.apply(balancer)
+    else:
+        known = [one for one in known if one.endpoint.id in only]
+    for one in known:
+        one.apply()
+        balancer.registry.mark_active(one.endpoint)
+    balancer.failover.entries.update(entries)
+    balancer.on_state_restored()
+    return [one.endpoint.id for one in known]
 
 
 # Kept over a restart, and so old when it is read.
@@ -115,8 +214,12 @@
 def nothing() -> dict[str, Any]:
     """What a module has learnt that has just begun."""
     return {
-        **dict.fromkeys(OWN, 0.0),
+        "warm_rate": 0.0,
+        "usual": 0.0,
+        "slow": 0.0,
+        "calm": 0.0,
         "counts": {},
+        "counted": 0.0,
         "times": [0.0] * Histogram.BINS,
         "put_back": {},
         "endpoints": {},
@@ -150,10 +253,11 @@
         age = math.inf if kept["age"] is None else kept["age"] + seconds
         part, fresh = 0.5 ** (seconds / HALVES), age < cold or id in back
         outcomes = sum(kept["outcomes"])
-        moves = seconds // (Balancer.HALF if outcomes > 8 else Balancer.AGE)
+        moves = seconds // (SweepPhase.ROTATE_COUNTS_EVERY if outcomes > 8 else SweepPhase.THOROUGH_EVERY)
         found["endpoints"][id] = {
             "age": age,
-            "credit": Endpoint.START_CREDIT + (kept["credit"] - Endpoint.START_CREDIT) * part,
+            "credit": EndpointState.INITIAL_RETRY_CREDIT
+            + (kept["credit"] - EndpointState.INITIAL_RETRY_CREDIT) * part,
             "window": window if fresh else window + (kept["window"] - window) * part,
             "calm": 0.0 if fresh else risen(kept["calm"], seconds),
             "busy": 0.0 if fresh else kept["busy"] * 0.7**seconds,
@@ -179,8 +283,8 @@
 def faded(bins: list[float], seconds: float) -> list[float]:
     """Halved as sweeps do: each few seconds while there is much, then less often."""
     times = histogram(bins)
-    while times.total and seconds >= Balancer.FORGET:
-        step = Balancer.FORGET if times.total > 8 else Balancer.AGE
+    while times.total and seconds >= SweepPhase.HALVE_TIMES_EVERY:
+        step = SweepPhase.HALVE_TIMES_EVERY if times.total > 8 else SweepPhase.THOROUGH_EVERY
         seconds -= step
         if seconds >= 0:
             times.halve()
--- a/rainspindle/decisions/operation/orders.py
+++ b/rainspindle/decisions/operation/orders.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from ...values import dataclass
+from ...lazy_dataclasses import dataclass
 
 MOST_IDS, LONGEST_ID = 8192, 256
 DRAIN = ""  # the matter of the sidecar itself; no endpoint has this name
--- a/rainspindle/decisions/sites/sites.py
+++ b/rainspindle/decisions/sites/sites.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ...logic import Breaker, FailoverTable
+from ...balancer.failover import CircuitBreaker, FailoverTable
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,8 +23,8 @@
 
     site: str
     partition: str
-    partition_trial: Breaker | None = None
-    site_trial: Breaker | None = None
+    partition_trial: CircuitBreaker | None = None
+    site_trial: CircuitBreaker | None = None
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
     def __init__(self, name: str, own: bool, now: float) -> None:
         self.name, self.own = name, own
         self.up, self.usable_at, self.hold, self.down_at = own, -math.inf if own else math.inf, 0.0, -math.inf
-        self.breaker: Breaker | None = None
+        self.breaker: CircuitBreaker | None = None
         self.delay = 0.0  # until the next trial; grows with each bad one
         self.back_at = -math.inf
         self.shares = Shares()
@@ -133,14 +133,20 @@
     def route(self, now: float, key: str | None, retriable: bool) -> Route:
         partition = self.partition(key)
         entry = self.table.entries.get(partition)
-        if entry and entry.due and retriable and self.usable(entry.first, now) and not entry.first.breaker:
-            entry.begin()
+        if (
+            entry
+            and entry.trial_due
+            and retriable
+            and self.usable(entry.first, now)
+            and not entry.first.breaker
+        ):
+            entry.begin_trial()
             return Route(entry.first.name, partition, partition_trial=entry)
-        wanted = entry.current if entry and self.table.moved(entry) else self.own
+        wanted = entry.current if entry and self.table.has_moved(entry) else self.own
         for site in (wanted, *self.sites.values()):
             if site.breaker:
-                if site.breaker.due and retriable and self.usable(site, now):
-                    site.breaker.begin()
+                if site.breaker.trial_due and retriable and self.usable(site, now):
+                    site.breaker.begin_trial()
                     return Route(site.name, partition, site_trial=site.breaker)
             elif self.usable(site, now) and self.ramped(site, partition, now):
                 return Route(site.name, partition)
@@ -182,9 +188,9 @@
         on_trial = at == route.site
         if good is None:
             if on_trial and route.partition_trial:
-                route.partition_trial.told_nothing()
+                route.partition_trial.abandon_trial()
             if on_trial and route.site_trial and site.breaker is route.site_trial:
-                route.site_trial.told_nothing()
+                route.site_trial.abandon_trial()
             return
         site.shares.add(not good)
         entry = self.table.entries.get(route.partition)
@@ -203,10 +209,10 @@
             site.row_since = now
         site.row += 1
         if on_trial and route.partition_trial:
-            route.partition_trial.failed(now)
+            route.partition_trial.reopen(now)
         if on_trial and route.site_trial and site.breaker is route.site_trial:
             site.delay = min(2 * site.delay, self.MOST_DELAY)
-            route.site_trial.failed(now)
+            route.site_trial.reopen(now)
             return
         shares = self.shares.setdefault(route.partition, Shares())
         shares.add(True)
@@ -225,17 +231,17 @@
             )
 
         before = self.table.entries.get(route.partition)
-        moved = before is not None and self.table.moved(before)
+        moved = before is not None and self.table.has_moved(before)
         at = before.current if before and moved else site
         if at is not site:
             return  # a straggler from where the partition was before
-        self.table.failure(route.partition, site, retriable, now, next_untried)
+        self.table.record_failure(route.partition, site, retriable, now, next_untried)
         after = self.table.entries.get(route.partition)
         if after is not None and after.current is not site:
             self.moves += 1
             self.log(
                 f"partition {route.partition} moved from {site.name} to {after.current.name}: "
-                f"{after.retriable} retriable and {after.other} other failures"
+                f"{after.idempotent_failures} retriable and {after.other_failures} other failures"
             )
 
     def judge(self, site: Site, now: float) -> None:
@@ -243,7 +249,7 @@
         row = site.row >= self.WHOLE_ROW and now - site.row_since >= self.WHOLE_TIME
         many = sum(site.shares.outcomes) >= self.WHOLE_LEAST and site.shares.failed() > self.WHOLE_SHARE
         if (row or many) and len(self.sites) > 1:
-            site.breaker, site.delay = Breaker(now), self.TRIAL_DELAY
+            site.breaker, site.delay = CircuitBreaker(now), self.TRIAL_DELAY
             self.log(
                 f"site {site.name} given up: {site.row} failures in a row, "
                 f"{site.shares.failed():.0%} of {sum(site.shares.outcomes)} lately"
--- a/rainspindle/fronts/http1/back.py
+++ b/rainspindle/fronts/http1/back.py
@@ -5,7 +5,8 @@
 import math
 from collections.abc import Callable
 
-from ...host import Outcome
+from ...balancer.host import AttemptOutcome
+from ...lazy_dataclasses import dataclass
 from ...protocol.application import MOST_BODY, Ask, going_on
 from ...protocol.client import Unreadable
 from ...protocol.endpoint import Answered, EndpointSide
@@ -15,7 +16,6 @@
 from ...transport.connection import Broken, Connection, Late, OutOfSockets, Unwanted
 from ...transport.loop import Coroutine, Loop
 from ...transport.pool import Peer, Pool
-from ...values import dataclass
 from .stream import SILENCE, Carried, ClientLost, Streams, bound
 
 HOLD = 0.03  # seconds for which an answer of unknown length may become whole, so that another may replace it
@@ -60,12 +60,12 @@
             try:
                 yield from streams.enter(self.loop.now() + SILENCE, unwanted)
             except Late:
-                return Forwarded(Outcome.UNSENT)
+                return Forwarded(AttemptOutcome.NOT_SENT)
             except Unwanted:
-                return Forwarded(Outcome.CALLED_OFF if before() else Outcome.UNSENT)
+                return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
             # Guards against word on the endpoint that came during that wait: nothing is sent past the grace.
             if endpoint in self.directory.draining or self.directory.addresses.get(endpoint) != address:
-                return Forwarded(Outcome.UNSENT)
+                return Forwarded(AttemptOutcome.NOT_SENT)
         connection = self.pool.take(peer, binding or ask.more)
         if connection is None:
             try:
@@ -74,15 +74,15 @@
                 connect_until = min(until, self.loop.now() + connect_time)
                 connection = yield from self.pool.connect(peer, connect_until, binding, unwanted)
             except OutOfSockets:
-                return Forwarded(Outcome.UNSENT)
+                return Forwarded(AttemptOutcome.NOT_SENT)
             except (Broken, Late):
-                return Forwarded(Outcome.UNCONNECTED)
+                return Forwarded(AttemptOutcome.NOT_CONNECTED)
             except Unwanted:
-                return Forwarded(Outcome.CALLED_OFF if before() else Outcome.UNSENT)
+                return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
         kept = False
         try:
             if unwanted():  # nothing is sent for a client that has left
-                return Forwarded(Outcome.CALLED_OFF if before() else Outcome.UNSENT)
+                return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
             call, sent_at = EndpointSide(streams is not None), self.loop.now()
             # Guards against an endpoint that works on for a client that has long left: while a body comes, it
             # is told the time that its client will have from the last byte on.
@@ -98,9 +98,9 @@
                     yield from connection.send(out, until, before)
             except (Broken, Late):
                 # An endpoint begins when the last byte has come, and it was not written.
-                return Forwarded(Outcome.UNCONNECTED)
+                return Forwarded(AttemptOutcome.NOT_CONNECTED)
             except ClientLost:
-                return Forwarded(Outcome.UNSENT, broke=True)
+                return Forwarded(AttemptOutcome.NOT_SENT, broke=True)
             try:
                 long_at = math.inf  # when an answer that flows is no longer waited for to be whole
                 while answer is None:
@@ -111,7 +111,7 @@
                             try:
                                 yield from streams.enter(given.expires_at, after)
                             except Late:  # no fault of the endpoint
-                                return Forwarded(Outcome.CALLED_OFF)
+                                return Forwarded(AttemptOutcome.CANCELLED)
                             started()
                             came, kept = yield from self.pass_on(connection, call, streams)
                             return came
@@ -127,15 +127,15 @@
                 # and silent, where a new one fails as unconnected, so that even a binding exchange goes on.
                 if self.heard.get(endpoint, -math.inf) < sent_at:
                     self.pool.drop_all(peer)
-                return Forwarded(Outcome.TIMED_OUT)
+                return Forwarded(AttemptOutcome.TIMED_OUT)
             except (Broken, Unreadable):
-                return Forwarded(Outcome.RESET)
+                return Forwarded(AttemptOutcome.RESET)
             self.heard[endpoint] = self.loop.now()
             kept = answer.reusable and not (ask.more and streams is not None and not streams.whole)
             lag = self.loop.now() - (connection.came + connection.seen) / 2
             return Forwarded(answer.outcome, answer, lag)
         except Unwanted:
-            return Forwarded(Outcome.CALLED_OFF)
+            return Forwarded(AttemptOutcome.CANCELLED)
         finally:
             if kept and self.directory.addresses.get(endpoint) == address:
                 self.pool.keep_idle(peer, connection)
@@ -204,8 +204,8 @@
                 if answer is not None:
                     yield from streams.send(answer.body)
                     yield from streams.end()
-                    return Forwarded(Outcome.SERVED, Passed()), answer.reusable
+                    return Forwarded(AttemptOutcome.SERVED, Passed()), answer.reusable
         except (Broken, Unreadable, Late):
-            return Forwarded(Outcome.RESET, broke=True), False
+            return Forwarded(AttemptOutcome.RESET, broke=True), False
         except (ClientLost, Unwanted):
-            return Forwarded(Outcome.CALLED_OFF, broke=True), False
+            return Forwarded(AttemptOutcome.CANCELLED, broke=True), False
--- a/rainspindle/fronts/link/crossing.py
+++ b/rainspindle/fronts/link/crossing.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ...host import Outcome
+from ...balancer.host import AttemptOutcome
 from ...protocol.application import Ask
 from ...protocol.endpoint import Answered
 from ...protocol.link import frames as f
@@ -214,7 +214,7 @@
 
     def final(self, answer: f.Answer, body: bytes) -> Final | Free:
         if answer.kind == "finished":
-            return Finished(Answered(Outcome.SERVED, answer.headers, body, True))
+            return Finished(Answered(AttemptOutcome.SERVED, answer.headers, body, True))
         if answer.kind == "rejected":
             return Rejected(answer.hold_off, True) if answer.ran else Free(True, answer.hold_off)
         return Terminated()
--- a/rainspindle/fronts/mysql/back.py
+++ b/rainspindle/fronts/mysql/back.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ...host import Outcome
+from ...balancer.host import AttemptOutcome
 from ...protocol.mysql.messages import AnswerReader, Command, Status
 from ...protocol.mysql.wire import Malformed, packets
 from ...protocol.settings import SocketSettings
@@ -78,20 +78,23 @@
                 (endpoint, address), order.account, order.sets, connect_until, before
             )
         except OutOfSockets:
-            return Forwarded(Outcome.UNSENT)
+            return Forwarded(AttemptOutcome.NOT_SENT)
         except Refused as fault:
             order.why = str(fault)
             if not fault.full:
                 log.warning("server refuses", extra={"fields": {"endpoint": endpoint, **fault.fields()}})
-            return Forwarded(Outcome.FULL if fault.full else Outcome.UNCONNECTED)
+            return Forwarded(AttemptOutcome.OVERLOADED if fault.full else AttemptOutcome.NOT_CONNECTED)
         except (Broken, Late):
-            return Forwarded(Outcome.UNCONNECTED)
+            return Forwarded(AttemptOutcome.NOT_CONNECTED)
         except Unwanted:
-            return Forwarded(Outcome.CALLED_OFF)
+            return Forwarded(AttemptOutcome.CANCELLED)
         came = yield from self.run(order, server, until, given.expires_at, before, after, started)
-        if came.outcome is Outcome.SERVED:
+        if came.outcome is AttemptOutcome.SERVED:
             self.heard[endpoint] = self.loop.now()
-        elif came.outcome is Outcome.TIMED_OUT and self.heard.get(endpoint, -math.inf) < self.loop.now() - 1:
+        elif (
+            came.outcome is AttemptOutcome.TIMED_OUT
+            and self.heard.get(endpoint, -math.inf) < self.loop.now() - 1
+        ):
             self.servers.drop((endpoint, address))
         return came
 
@@ -127,25 +130,29 @@
         except Refused as fault:  # of a command before it: the statement itself was not sent
             order.why = str(fault)
             self.servers.close(server)
-            return Forwarded(Outcome.UNCONNECTED)
+            return Forwarded(AttemptOutcome.NOT_CONNECTED)
         except Unwanted:
             self.servers.close(server)
-            return Forwarded(Outcome.CALLED_OFF, broke=order.streamed)
+            return Forwarded(AttemptOutcome.CANCELLED, broke=order.streamed)
         except Late:
             self.servers.close(server)
-            return Forwarded(Outcome.TIMED_OUT if sent else Outcome.UNCONNECTED, broke=order.streamed)
+            return Forwarded(
+                AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.NOT_CONNECTED, broke=order.streamed
+            )
         except (Broken, Malformed) as fault:
             order.why = str(fault)
             self.servers.close(server)
-            return Forwarded(Outcome.RESET if sent else Outcome.UNCONNECTED, broke=order.streamed)
+            return Forwarded(
+                AttemptOutcome.RESET if sent else AttemptOutcome.NOT_CONNECTED, broke=order.streamed
+            )
         order.server, order.answer = server, answer
         if answer.error is not None and answer.error.code in SHUT_DOWN + FULL_CODES and not order.streamed:
             order.why = f"{answer.error.code} {answer.error.message}"[:200]
             self.servers.close(server)
             order.server = None
             order.held.clear()
-            return Forwarded(Outcome.ERROR)
-        return Forwarded(Outcome.SERVED, order)
+            return Forwarded(AttemptOutcome.ERROR)
+        return Forwarded(AttemptOutcome.SERVED, order)
 
     def send_long(
         self, order: Order, server: Server, id: int, until: float, before: Unless
--- a/rainspindle/fronts/mysql/front.py
+++ b/rainspindle/fronts/mysql/front.py
@@ -14,8 +14,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
+from ...balancer.host import AttemptOutcome
 from ...decisions.statements.statements import Meant, Statements
-from ...host import Outcome
 from ...protocol.mysql import auth
 from ...protocol.mysql.messages import (
     NEEDED,
@@ -380,12 +380,12 @@
             return session.client.ended
 
         came = yield from self.back.run(order, server, until, until, left, left, lambda: None)
-        if came.outcome is Outcome.SERVED:
+        if came.outcome is AttemptOutcome.SERVED:
             return bytes(order.held)
         lost = self.lose(session)
         if came.broke or left():
             return None
-        never = came.outcome is Outcome.UNCONNECTED
+        never = came.outcome is AttemptOutcome.NOT_CONNECTED
         raise Fault(
             STATE_LOST if never else TERMINATED,
             f"{'never ran' if never else 'terminated: it may have run'}; with the server went {lost}",
--- a/rainspindle/lab/audit.py
+++ b/rainspindle/lab/audit.py
@@ -196,7 +196,7 @@
         c
         for registry in set(world.registries)
         for c in registry.changes
-        if c.line.id == f"e{start.endpoint}" and c.line.started is not None and c.line.started > down
+        if c.line.id == f"e{start.endpoint}" and c.line.started_at is not None and c.line.started_at > down
     ]
     listed = min((c.at for c in lines), default=math.inf)
     told: dict[int, float] = {}
--- a/rainspindle/lab/canary_figures.py
+++ b/rainspindle/lab/canary_figures.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
+from ..balancer.host import Idempotency
 from ..decisions.canary import burn, counts
 from ..decisions.canary.burn import Level
 from ..decisions.canary.terms import Step, Terms
-from ..host import Effect
 from .canary_net import Net, Traffic, Wide
 
-Bad = Callable[[bool, Effect, float], float]
+Bad = Callable[[bool, Idempotency, float], float]
 BASE = 0.004  # of exchanges fail or are late on a quiet day, on either side
 RATE = 2.0  # exchanges a second at each sidecar
 STEPS = (Step(0.05, 60.0, 100), Step(0.25, 60.0, 100), Step(0.5, 60.0, 100))
@@ -23,20 +23,20 @@
 SEEDS = (1, 2, 3)
 
 
-def all_fail(new: bool, effect: Effect, part: float) -> float:
+def all_fail(new: bool, effect: Idempotency, part: float) -> float:
     return 1.0 if new else BASE
 
 
-def a_tenth(new: bool, effect: Effect, part: float) -> float:
+def a_tenth(new: bool, effect: Idempotency, part: float) -> float:
     return 0.1 if new else BASE
 
 
-def from_a_quarter(new: bool, effect: Effect, part: float) -> float:
+def from_a_quarter(new: bool, effect: Idempotency, part: float) -> float:
     return 0.3 if new and part >= 0.25 else BASE
 
 
-def binding_alone(new: bool, effect: Effect, part: float) -> float:
-    return 0.5 if new and effect is Effect.BINDING else BASE
+def binding_alone(new: bool, effect: Idempotency, part: float) -> float:
+    return 0.5 if new and effect is Idempotency.NON_IDEMPOTENT else BASE
 
 
 RELEASES: tuple[tuple[str, Bad], ...] = (
@@ -59,7 +59,7 @@
     def listen(self, canary: object) -> None:
         ended = canary.ended  # type: ignore[attr-defined]
 
-        def both(now: float, new: bool, effect: Effect, bad: bool) -> None:
+        def both(now: float, new: bool, effect: Idempotency, bad: bool) -> None:
             ended(now, new, effect, bad)
             if canary.active:  # type: ignore[attr-defined]
                 kind = counts.EFFECTS.index(effect)
@@ -142,7 +142,11 @@
             alone = [play(seed, few, bad, alone=True) for seed in SEEDS]
             for day in alone:
                 day.harmed = day.harmed * size // few
-            mix = {Effect.RETRIABLE: 0.6, Effect.FINGERPRINTED: 0.3, Effect.BINDING: 0.1}
+            mix = {
+                Idempotency.IDEMPOTENT: 0.6,
+                Idempotency.DEDUPLICATED: 0.3,
+                Idempotency.NON_IDEMPOTENT: 0.1,
+            }
             none = HORIZON * RATE * size * sum(w * bad(True, e, 1.0) for e, w in mix.items())
             cells = [name, f"{size:,}"]
             for days in (shared, alone):
--- a/rainspindle/lab/canary_net.py
+++ b/rainspindle/lab/canary_net.py
@@ -11,14 +11,14 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
+from ..balancer.host import Idempotency
 from ..decisions.canary.canary import Canary
 from ..decisions.canary.terms import Terms
 from ..decisions.members.members import Member, Standing
 from ..decisions.shared.cells import Cell, Cells
-from ..host import Effect
 
 DEAD_AFTER = 5.0  # seconds
-MIX = ((Effect.RETRIABLE, 0.6), (Effect.FINGERPRINTED, 0.3), (Effect.BINDING, 0.1))
+MIX = ((Idempotency.IDEMPOTENT, 0.6), (Idempotency.DEDUPLICATED, 0.3), (Idempotency.NON_IDEMPOTENT, 0.1))
 NOWHERE = ("0.0.0.0", 1)
 # When it arrives, from whom, cells with the age of each, who was there when.
 Message = tuple[float, str, list[tuple[Cell, float]], dict[str, float]]
@@ -235,8 +235,8 @@
         self,
         net: Net,
         rate: float,
-        bad: Callable[[bool, Effect, float], float],
-        effects: Sequence[tuple[Effect, float]] = MIX,
+        bad: Callable[[bool, Idempotency, float], float],
+        effects: Sequence[tuple[Idempotency, float]] = MIX,
         keys: int = 20_000,
     ) -> None:
         """`rate`: exchanges a second at each sidecar. `bad` gives the part that fails or is late, of the new
--- a/rainspindle/lab/canary_pair.py
+++ b/rainspindle/lab/canary_pair.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
+from ..balancer.host import AttemptOutcome, EndpointStatus, ListedEndpoint
 from ..decisions.canary.terms import point
 from ..decisions.shared.cells import Cells
-from ..host import Listed, Outcome, State
 from ..program.fleet.canary import CanaryPart, CanaryRun, split_core
 from ..routing.core import Final, Forwarded, Given
 from ..transport.loop import Coroutine
@@ -19,8 +19,8 @@
 from .virtual_sites import VirtualLoop
 
 
-def line(n: int, state: State = State.READY, kind: int = 0) -> Listed:
-    return Listed(f"e{n}", 0, 0, 1.0, state, None, kind)
+def line(n: int, state: EndpointStatus = EndpointStatus.READY, kind: int = 0) -> ListedEndpoint:
+    return ListedEndpoint(f"e{n}", 0, 0, 1.0, state, None, kind)
 
 
 class FakeBack:
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        how: Callable[[str], tuple[Outcome, float]],
+        how: Callable[[str], tuple[AttemptOutcome, float]],
         limits: dict[str, Any] | None = None,
         forwards: int = 3,
         peers: bool = False,
@@ -109,9 +109,12 @@
         self.run.tick(self.loop.now())
         self.clock.at(self.loop.now() + 0.25, self.tick)
 
-    def list_now(self, lines: tuple[Listed, ...], whole: bool = True) -> None:
+    def list_now(self, lines: tuple[ListedEndpoint, ...], whole: bool = True) -> None:
         self.core.list_changed(
-            lines, {ln.id: ("127.0.0.1", 1) for ln in lines if ln.state is not State.GONE}, whole, False
+            lines,
+            {ln.id: ("127.0.0.1", 1) for ln in lines if ln.status is not EndpointStatus.GONE},
+            whole,
+            False,
         )
 
     def go(self, seconds: float) -> None:
--- a/rainspindle/lab/decide.py
+++ b/rainspindle/lab/decide.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
+import importlib
+import pkgutil
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from typing import Any
 
-from .. import logic
-from ..host import Host
+from .. import balancer
+from ..balancer.host import BalancerHost
 from ..protocol.settings import make_balancer, traffic_type
 from ..routing.facade import Decisions
 from .experiment import ExperimentFault, Variant
 from .policies import make_baseline
 
 
-def maker(variant: Variant, settings: dict[str, Any], seed: int, now: float) -> Callable[[Host], Decisions]:
-    def make(host: Host) -> Decisions:
+def maker(
+    variant: Variant, settings: dict[str, Any], seed: int, now: float
+) -> Callable[[BalancerHost], Decisions]:
+    def make(host: BalancerHost) -> Decisions:
         if variant.policy == "module":
             return make_balancer(host, seed, now, settings)
         limits = settings["policy-limits"]
@@ -31,6 +35,15 @@
     return make
 
 
+def balancer_class(name: str) -> type | None:
+    """The class of this name in the package of the decisions, if there is one."""
+    for module in pkgutil.iter_modules(balancer.__path__):
+        found = getattr(importlib.import_module(f"{balancer.__name__}.{module.name}"), name, None)
+        if isinstance(found, type):
+            return found
+    return None
+
+
 @contextmanager
 def knobs(variant: Variant) -> Iterator[None]:
     """Other constants of the module for as long as this holds; none but `Class.NAME` that are there."""
@@ -38,7 +51,7 @@
     try:
         for name, value in variant.knobs.items():
             owner, _, constant = name.partition(".")
-            cls = getattr(logic, owner, None)
+            cls = balancer_class(owner)
             old = getattr(cls, constant, None) if isinstance(cls, type) and constant.isupper() else None
             if not isinstance(old, int | float) or not isinstance(cls, type):
                 raise ExperimentFault(
--- a/rainspindle/lab/fleet/builds.py
+++ b/rainspindle/lab/fleet/builds.py
@@ -40,12 +40,23 @@
 
     def module(self, name: str) -> ModuleType:
         """A module of this build in this process, by its name below the package; its imports are its own."""
-        if str(self.root) not in sys.path:
-            sys.path.append(str(self.root))
-        found = importlib.import_module(f"{self.alias}.{name}")
+        if not self.is_loaded():
+            # Guards against the same build loaded from another folder, whose modules would be found.
+            for loaded in [one for one in sys.modules if one.split(".")[0] == self.alias]:
+                del sys.modules[loaded]
+        sys.path.insert(0, str(self.root))
+        try:
+            found = importlib.import_module(f"{self.alias}.{name}")
+        finally:
+            sys.path.remove(str(self.root))
         assert found.__file__ is not None and Path(found.__file__).is_relative_to(self.root)
         return found
 
+    def is_loaded(self) -> bool:
+        """Whether the package is loaded from this build's folder."""
+        package = sys.modules.get(self.alias)
+        return package is not None and Path(package.__file__ or "").is_relative_to(self.root)
+
 
 THIS = Build("new", ROOT, tuple(name for name in SINGLE if name != "members"))
 
--- a/rainspindle/lab/fleet/long/canaries.py
+++ b/rainspindle/lab/fleet/long/canaries.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from functools import partial
 
+from ....balancer.host import Idempotency
 from ....decisions.canary.canary import Canary
 from ....decisions.canary.terms import Step, Terms
 from ....decisions.members.members import Member as Known
 from ....decisions.members.members import Standing
 from ....decisions.shared.cells import Cell, Cells
-from ....host import Effect
 from .ledger import Broken, Ledger
 from .world import CATCH_UP, Member, World
 
@@ -31,7 +31,7 @@
 AT_ONCE = -1.0  # nothing may go by a stage from before a stop or a start
 MOST_LOST = 0.0  # loss over which that is CATCH_UP's latest
 NOWHERE = ("0.0.0.0", 1)
-EFFECTS, MIX = (Effect.RETRIABLE, Effect.FINGERPRINTED, Effect.BINDING), (0.6, 0.3, 0.1)
+EFFECTS, MIX = (Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED, Idempotency.NON_IDEMPOTENT), (0.6, 0.3, 0.1)
 Make = Callable[..., Canary]
 
 
--- a/rainspindle/lab/fleet/mixed.py
+++ b/rainspindle/lab/fleet/mixed.py
@@ -35,6 +35,14 @@
 BOOT = 7
 
 
+def idempotencies(load: Callable[[str], ModuleType]) -> Sequence[Any]:
+    """What requests may be to a canary, by the build's own name for it."""
+    try:
+        return list(load("balancer.host").Idempotency)
+    except ModuleNotFoundError:  # before the package `balancer`
+        return list(load("host").Effect)
+
+
 class Parts:
     """The modules of one build."""
 
@@ -43,7 +51,8 @@
         self.swim, self.cells = load("decisions.members.swim"), load("decisions.shared.cells")
         self.canary, self.terms = load("decisions.canary.canary"), load("decisions.canary.terms")
         self.wallet, self.account = load("decisions.wallet.wallet"), load("decisions.wallet.account")
-        self.rows, self.words, self.host = load("program.fleet.wallet"), load("protocol.wallet"), load("host")
+        self.rows, self.words = load("program.fleet.wallet"), load("protocol.wallet")
+        self.idempotencies = idempotencies(load)
 
     @classmethod
     def of(cls, old: Build) -> tuple[Parts, Parts]:
@@ -239,8 +248,8 @@
             if self.executed > self.topped:
                 self.broken.append(f"{world.now:.1f} s: {self.executed} units spent of {self.topped}")
         new = canary.canary.takes(world.now, f"k{self.chance.randrange(1000)}")
-        effects = canary.parts.host.Effect
-        canary.canary.ended(world.now, new, self.chance.choice(list(effects)), self.chance.random() < 0.01)
+        effects = canary.parts.idempotencies
+        canary.canary.ended(world.now, new, self.chance.choice(effects), self.chance.random() < 0.01)
         self.to_new += new
         late = world.now - self.aborted_at
         if new and late > 0 and self.aborted_at > self.begun_at:
--- a/rainspindle/lab/fleet/starters.py
+++ b/rainspindle/lab/fleet/starters.py
@@ -20,15 +20,24 @@
 from types import SimpleNamespace
 from typing import Any
 
+from ...balancer.balancer import Balancer
+from ...balancer.config import BalancerConfig
+from ...balancer.host import (
+    DeduplicationScope,
+    EndpointListUpdate,
+    EndpointStatus,
+    Idempotency,
+    ListedEndpoint,
+    TrafficClass,
+)
+from ...balancer.slow_start import SlowStartBudget
 from ...decisions.members.members import Member
-from ...host import Effect, Group, Listed, State, TrafficType
-from ...logic import Balancer, ColdBudget
 from ...program.fleet.keep import KNOWS_AFTER, LASTS, KeepPart, KeepRun
 from . import restarts
 from .processes import Fleet
 from .virtual import Process, World
 
-LINES = [Listed(f"e{n}", n, 0, 1.0, State.READY, None) for n in range(12)]
+LINES = [ListedEndpoint(f"e{n}", n, 0, 1.0, EndpointStatus.READY, None) for n in range(12)]
 DEAD = "e0"
 
 
@@ -44,24 +53,17 @@
 
     def __init__(self, process: Process, wait: float, size: int) -> None:
         world, host, now = process.world, Nobody(), process.world.now
-        self.balancer = Balancer(
-            host,
-            1,
-            now,
-            peers=size,
-            zone=0,
-            types=[TrafficType(Effect.RETRIABLE, Group.ALL, 0.6, 2.0, 0.15, 1.0)],
-            max_forwards=4,
-            parallel=False,
-            may_call_off=True,
-            max_hold_off=1.0,
-            asks_list=True,
-            ask_within=10.0,
-            use_shares=True,
-            cross_price=0.0,
-            budget=ColdBudget(2.5, 3.0, 0.15, 24.0),
+        config = BalancerConfig(
+            (TrafficClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.6, 2.0, 0.15, 1.0),),
+            SlowStartBudget(2.5, 3.0, 0.15, 24.0),
+            sidecar_count=size,
+            max_attempts=4,
+            can_cancel=True,
+            max_retry_after=1.0,
+            use_listed_weights=True,
         )
-        self.balancer.list_changed(now, LINES, True, stale=False)
+        self.balancer = Balancer(host, config, 1, now)
+        self.balancer.on_list_changed(now, EndpointListUpdate(LINES, complete=True))
         ground: Any = SimpleNamespace(
             loop=SimpleNamespace(now=lambda: world.now),
             members=process.members,
@@ -78,10 +80,10 @@
 
     def learn(self, now: float) -> None:
         """That one is dead."""
-        e = self.balancer.endpoints[DEAD]
-        self.balancer.touched[e] = None
+        e = self.balancer.registry.by_id[DEAD]
+        self.balancer.registry.active[e] = None
         while not e.breaker:
-            self.balancer.judge(e, True, now, "error")
+            self.balancer.outliers.record_outcome(e, True, now, "error")
 
     def tick(self, now: float) -> float:
         due = self.run.tick(now)
--- a/rainspindle/lab/listing_net.py
+++ b/rainspindle/lab/listing_net.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from ..balancer.host import EndpointStatus, ListedEndpoint
 from ..decisions.listing.relay import Relay, Terms
-from ..host import Listed, State
 from ..protocol import listing as words
 from ..protocol.listing import Head, Lines
 from ..routing.follow import Follower
@@ -31,9 +31,9 @@
 MOST_HELD = 200  # messages that lie in the socket of one that stands still
 
 
-def encoded(lines: Sequence[Listed]) -> dict[str, bytes]:
+def encoded(lines: Sequence[ListedEndpoint]) -> dict[str, bytes]:
     return {
-        line.id: b"" if line.state is State.GONE else words.encode_line(line, ("10.0.0.1", 80), 0.0)
+        line.id: b"" if line.status is EndpointStatus.GONE else words.encode_line(line, ("10.0.0.1", 80), 0.0)
         for line in lines
     }
 
@@ -433,8 +433,10 @@
 ZONES = 2
 
 
-def listed(n: int, state: State = State.READY, started: float | None = None) -> Listed:
-    return Listed(f"e{n}", 0, n % ZONES, 1.0, state, started)
+def listed(
+    n: int, state: EndpointStatus = EndpointStatus.READY, started: float | None = None
+) -> ListedEndpoint:
+    return ListedEndpoint(f"e{n}", 0, n % ZONES, 1.0, state, started)
 
 
 def changes_of(scene: str, chance: random.Random, length: float) -> list[Change]:
@@ -443,8 +445,8 @@
         for n in chance.sample(range(60), 36):
             at = 20.0 + chance.random() * 7.0
             changes += [
-                Change(at, listed(n, State.DRAINING)),
-                Change(at + 1.5, listed(n, State.GONE)),
+                Change(at, listed(n, EndpointStatus.DRAINING)),
+                Change(at + 1.5, listed(n, EndpointStatus.GONE)),
                 Change(at + 1.5, listed(n + 60, started=at + 1.5)),
             ]
         return changes
@@ -452,7 +454,7 @@
     return [
         Change(5.0 * k + late + 0.01 * chance.random(), listed(k % 60, state))
         for k in range(1, int(length / 5))
-        for late, state in ((0.0, State.DRAINING), (2.5, State.READY))
+        for late, state in ((0.0, EndpointStatus.DRAINING), (2.5, EndpointStatus.READY))
     ]
 
 
--- a/rainspindle/lab/models/registry.py
+++ b/rainspindle/lab/models/registry.py
@@ -6,7 +6,7 @@
 import math
 from dataclasses import dataclass
 
-from ...host import Listed, State
+from ...balancer.host import EndpointStatus, ListedEndpoint
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,7 +14,7 @@
     """A line as it reads from `at` on."""
 
     at: float
-    line: Listed
+    line: ListedEndpoint
 
 
 class Gate:
@@ -40,7 +40,7 @@
     """Versions count the changes that have become visible; `outages` are spans in which calls fail."""
 
     def __init__(
-        self, lines: list[Listed], changes: list[Change], outages: list[tuple[float, float]]
+        self, lines: list[ListedEndpoint], changes: list[Change], outages: list[tuple[float, float]]
     ) -> None:
         self.first = {line.id: line for line in lines}
         self.changes = sorted(changes, key=lambda c: c.at)
@@ -60,12 +60,12 @@
     def next_outage(self, now: float) -> float | None:
         return min((at for at, _ in self.outages if at > now), default=None)
 
-    def whole(self, version: int) -> list[Listed]:
+    def whole(self, version: int) -> list[ListedEndpoint]:
         lines = dict(self.first)
         for change in self.changes[: version - 1]:
             lines[change.line.id] = change.line
-        return [line for line in lines.values() if line.state is not State.GONE]
+        return [line for line in lines.values() if line.status is not EndpointStatus.GONE]
 
-    def since(self, version: int, now: float) -> list[Listed]:
+    def since(self, version: int, now: float) -> list[ListedEndpoint]:
         """The lines that changed after this version, each as it reads now."""
         return list({c.line.id: c.line for c in self.changes[version - 1 : self.version(now) - 1]}.values())
--- a/rainspindle/lab/policies.py
+++ b/rainspindle/lab/policies.py
@@ -8,16 +8,27 @@
 
 import random
 import zlib
-from collections.abc import Callable, Collection
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..host import Effect, Host, Listed, Outcome, State, TrafficType
-from ..logic import NEVER_RAN
+from ..balancer.host import (
+    NEVER_EXECUTED,
+    AttemptEnd,
+    AttemptOutcome,
+    BalancerHost,
+    EndpointListUpdate,
+    EndpointStatus,
+    Idempotency,
+    IncomingRequest,
+    ListedEndpoint,
+    Timer,
+    TrafficClass,
+)
 
 
 @dataclass(slots=True)
 class Asking:
-    type: TrafficType
+    type: TrafficClass
     key: str
     promised_at: float
     expires_at: float
@@ -29,18 +40,24 @@
     LIST_PAUSE = 0.5
 
     def __init__(
-        self, host: Host, seed: int, policy: str, types: list[TrafficType], max_forwards: int, hold_off: float
+        self,
+        host: BalancerHost,
+        seed: int,
+        policy: str,
+        types: list[TrafficClass],
+        max_forwards: int,
+        hold_off: float,
     ) -> None:
         self.host, self.types, self.max_forwards, self.hold_off = host, types, max_forwards, hold_off
         self.random = random.Random(seed)
         self.choose: Callable[[Asking, list[str]], str] = getattr(self, policy)
-        self.lines: dict[str, Listed] = {}
+        self.lines: dict[str, ListedEndpoint] = {}
         self.ready: list[str] = []
         self.out: dict[str, int] = {}
-        self.forwards: dict[tuple[int, int], str] = {}
+        self.attempts: dict[tuple[int, int], str] = {}
         self.asking: dict[int, Asking] = {}
         self.turn = self.random.randrange(1 << 16)
-        host.watch_list()
+        host.watch_endpoint_list()
 
     # Whom to send to, of those not yet tried.
 
@@ -59,89 +76,79 @@
 
     # What happens.
 
-    def list_changed(self, now: float, lines: Collection[Listed], whole: bool, stale: bool) -> None:
-        if whole:
+    def on_list_changed(self, now: float, update: EndpointListUpdate) -> None:
+        if update.complete:
             self.lines.clear()
-        self.lines.update({line.id: line for line in lines})
+        self.lines.update({line.id: line for line in update.lines})
         self.renew()
 
     def renew(self) -> None:
-        self.ready = sorted(id for id, line in self.lines.items() if line.state is State.READY)
+        self.ready = sorted(id for id, line in self.lines.items() if line.status is EndpointStatus.READY)
 
-    def body_spent(self, now: float, id: int) -> None:
+    def on_body_consumed(self, request_id: int) -> None:
         """The lab's bodies are short."""
 
-    def forward_written(self, now: float, id: int, number: int, expires_at: float) -> float:
-        return expires_at - now
+    def on_body_sent(self, now: float, request_id: int, number: int, deadline: float) -> float:
+        return deadline - now
 
-    def list_failed(self, now: float) -> None:
-        self.host.wake(self.LIST_PAUSE, "list")
+    def on_list_failed(self) -> None:
+        self.host.schedule_timer(self.LIST_PAUSE, Timer.LIST_RETRY)
 
-    def woken(self, now: float, token: str) -> None:
-        self.host.watch_list()
+    def on_timer(self, now: float, timer: Timer) -> None:
+        self.host.watch_endpoint_list()
 
-    def exchange_arrived(
-        self,
-        now: float,
-        id: int,
-        type_index: int,
-        key: str | None,
-        expires_at: float,
-        repeat: bool = False,
-        coming: bool = False,
-        tenant: int | None = None,
-    ) -> None:
-        kind = self.types[type_index]
-        x = Asking(kind, key or str(self.random.random()), now + kind.promised_time, expires_at)
-        self.asking[id] = x
-        self.advance(id, x, now)
+    def on_request_arrived(self, now: float, incoming: IncomingRequest) -> None:
+        kind = self.types[incoming.class_index]
+        key = incoming.key or str(self.random.random())
+        x = Asking(kind, key, now + kind.latency_objective, incoming.deadline)
+        self.asking[incoming.id] = x
+        self.advance(incoming.id, x, now)
 
     def advance(self, id: int, x: Asking, now: float) -> None:
         among = [e for e in self.ready if e not in x.tried]
         if among and len(x.tried) < self.max_forwards and now < x.expires_at:
             endpoint = self.choose(x, among)
             patience = x.expires_at - now
-            if x.type.effect is Effect.RETRIABLE and x.promised_at > now:
+            if x.type.idempotency is Idempotency.IDEMPOTENT and x.promised_at > now:
                 patience = min(patience, x.promised_at - now)
-            self.forwards[id, len(x.tried)] = endpoint
+            self.attempts[id, len(x.tried)] = endpoint
             x.tried.append(endpoint)
             self.out[endpoint] = self.out.get(endpoint, 0) + 1
-            self.host.forward(id, endpoint, patience)
+            self.host.send_attempt(id, endpoint, patience)
             return
         del self.asking[id]
-        if x.may_have_run and x.type.effect is not Effect.RETRIABLE:
-            self.host.terminate(id)
+        if x.may_have_run and x.type.idempotency is not Idempotency.IDEMPOTENT:
+            self.host.fail(id)
         else:
             self.host.reject(id, self.hold_off)
 
-    def answer_started(self, now: float, id: int, number: int, elapsed: float) -> None:
+    def on_response_started(self, now: float, request_id: int, number: int) -> None:
         """The lab's answers come whole."""
 
-    def forward_ended(
-        self, now: float, id: int, number: int, over: bool, outcome: Outcome, lag: float = 0.0
-    ) -> None:
-        endpoint = self.forwards.pop((id, number))
+    def on_attempt_ended(self, now: float, end: AttemptEnd) -> None:
+        id = end.request_id
+        endpoint = self.attempts.pop((id, end.number))
         self.out[endpoint] -= 1
         x = self.asking.get(id)
         if x is None:
             return
-        x.may_have_run |= outcome not in NEVER_RAN
-        if over or outcome is Outcome.SERVED:
+        x.may_have_run |= end.outcome not in NEVER_EXECUTED
+        if end.request_closed or end.outcome is AttemptOutcome.SERVED:
             del self.asking[id]
-        elif x.may_have_run and x.type.effect is not Effect.RETRIABLE:
+        elif x.may_have_run and x.type.idempotency is not Idempotency.IDEMPOTENT:
             del self.asking[id]
-            self.host.terminate(id)
+            self.host.fail(id)
         else:
             self.advance(id, x, now)
 
-    def client_left(self, now: float, id: int) -> None:
-        if self.asking.pop(id, None) is not None:
-            for exchange, number in list(self.forwards):
-                if exchange == id:
-                    self.host.call_off(id, number)
+    def on_client_disconnected(self, request_id: int) -> None:
+        if self.asking.pop(request_id, None) is not None:
+            for exchange, number in list(self.attempts):
+                if exchange == request_id:
+                    self.host.cancel_attempt(request_id, number)
 
 
 def make_baseline(
-    host: Host, policy: str, seed: int, types: list[TrafficType], max_forwards: int, hold_off: float
+    host: BalancerHost, policy: str, seed: int, types: list[TrafficClass], max_forwards: int, hold_off: float
 ) -> Baseline:
     return Baseline(host, seed, "random_" if policy == "random" else policy, types, max_forwards, hold_off)
--- a/rainspindle/lab/relayed.py
+++ b/rainspindle/lab/relayed.py
@@ -9,8 +9,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from ..balancer.host import EndpointStatus, ListedEndpoint
 from ..decisions.listing.relay import Relay, Terms
-from ..host import Listed, State
 from ..program.fleet.listing import kept
 from ..protocol import listing as words
 from ..protocol.listing import Head, Lines
@@ -37,7 +37,7 @@
         self.heads: dict[bytes, Head] = {}
         self.there: tuple[float, list[str]] = -math.inf, []
 
-    def join(self, node: SidecarNode, known: Sequence[Listed]) -> Relayed:
+    def join(self, node: SidecarNode, known: Sequence[ListedEndpoint]) -> Relayed:
         part = self.parts[f"s{node.number}"] = Relayed(self, node, known)
         self.gone.pop(part.name, None)
         clock = node.clock
@@ -82,7 +82,7 @@
 class Relayed:
     """One sidecar's part in it, for one of its lives."""
 
-    def __init__(self, cells: Cells, node: SidecarNode, known: Sequence[Listed]) -> None:
+    def __init__(self, cells: Cells, node: SidecarNode, known: Sequence[ListedEndpoint]) -> None:
         self.cells, self.node, self.name = cells, node, f"s{node.number}"
         world, now = node.run.world, node.clock.now
         self.seen: dict[tuple[str, str], tuple[int, bytes]] = {}
@@ -134,7 +134,9 @@
             self.waiting = False
             self.node.ask()
 
-    def answered(self, now: float, version: int, lines: list[Listed], whole: bool) -> list[Listed]:
+    def answered(
+        self, now: float, version: int, lines: list[ListedEndpoint], whole: bool
+    ) -> list[ListedEndpoint]:
         """The lines that the service told; those that are other than before, gone ones too."""
         if whole:
             named = {line.id for line in lines}
@@ -147,9 +149,9 @@
         self.relay.told(now, version, whole, encoded(lines))
         return changed
 
-    def note(self, changed: Sequence[Listed]) -> None:
+    def note(self, changed: Sequence[ListedEndpoint]) -> None:
         for line in changed:
-            if line.state is State.GONE:
+            if line.status is EndpointStatus.GONE:
                 self.listed.pop(line.id, None)
             else:
                 self.listed[line.id] = line
@@ -186,11 +188,14 @@
     def log(self, event: str, **fields: object) -> None: ...
 
 
-def encoded(lines: Sequence[Listed]) -> dict[str, bytes]:
+def encoded(lines: Sequence[ListedEndpoint]) -> dict[str, bytes]:
     return {
-        line.id: b"" if line.state is State.GONE else words.encode_line(line, None, 0.0) for line in lines
+        line.id: b"" if line.status is EndpointStatus.GONE else words.encode_line(line, None, 0.0)
+        for line in lines
     }
 
 
-def line_gone(line: Listed) -> Listed:
-    return Listed(line.id, line.cell, line.zone, line.share, State.GONE, line.started, line.kind)
+def line_gone(line: ListedEndpoint) -> ListedEndpoint:
+    return ListedEndpoint(
+        line.id, line.cell, line.zone, line.weight, EndpointStatus.GONE, line.started_at, line.machine_kind
+    )
--- a/rainspindle/lab/sockets/child.py
+++ b/rainspindle/lab/sockets/child.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from ...host import Listed
+from ...balancer.host import ListedEndpoint
 from ...protocol.application import ApplicationSide, Ask, Message, going_on
 from ...protocol.plain import Headers
 from ...transport.connection import Connection
@@ -170,9 +170,9 @@
     return (message, first) if isinstance(message, Ask) else None
 
 
-def entry(line: Listed, address: str, zones: list[str], unix_start: float) -> dict[str, Any]:
+def entry(line: ListedEndpoint, address: str, zones: list[str], unix_start: float) -> dict[str, Any]:
     """A line of the list in discovery's form; `unix_start` is the start of the run in Unix time."""
-    lifecycle = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}[line.state.value]
+    lifecycle = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}[line.status.value]
     return {
         "instanceId": line.id,
         "hostPort": address,
@@ -180,6 +180,6 @@
         "machineType": "m",
         "cell": line.cell,
         "lifecycle": lifecycle,
-        "weight": line.share,
-        "startedAtMs": 0 if line.started is None else (unix_start + line.started) * 1000,
+        "weight": line.weight,
+        "startedAtMs": 0 if line.started_at is None else (unix_start + line.started_at) * 1000,
     }
--- a/rainspindle/lab/sockets/lists.py
+++ b/rainspindle/lab/sockets/lists.py
@@ -70,7 +70,7 @@
                 )
                 # Told once it is written, so never later than the sidecar can know.
                 yield from connection.send(side.finished(body, (), close=False), self.loop.now() + 1.0)
-                known = {line.id: line.state.value for line in lines}
+                known = {line.id: line.status.value for line in lines}
                 if whole:
                     known = {**{id: "gone" for id in registry.first}, **known}
                 self.ledger.told += [
--- a/rainspindle/lab/sockets/sidecar.py
+++ b/rainspindle/lab/sockets/sidecar.py
@@ -5,11 +5,11 @@
 import os
 import sys
 
+from ...lazy_dataclasses import dataclass, fields
 from ...program import logs
 from ...program.config import Config, load
 from ...program.serve import Sidecar
 from ...routing.facade import Facade
-from ...values import dataclass, fields
 from ..decide import maker
 from ..experiment import Variant
 
--- a/rainspindle/lab/virtual.py
+++ b/rainspindle/lab/virtual.py
@@ -9,8 +9,8 @@
 
 import simpy
 
-from ..host import Listed, Outcome, State
-from ..logic import NEVER_RAN, Balancer
+from ..balancer.balancer import Balancer
+from ..balancer.host import NEVER_EXECUTED, AttemptOutcome, EndpointStatus, ListedEndpoint
 from ..routing.facade import Did, Facade, Reject, SendThere, Terminate
 from ..routing.follow import Follower
 from .decide import knobs, maker
@@ -26,7 +26,12 @@
 START = -1.0  # sidecars start within this last second before the first exchange
 ANSWER_TIME, ANSWER_PART = 0.015, 0.05  # as the relay keeps back of an expiry
 IDLE_PART = 0.6  # as the pool keeps connections
-OUTCOMES = {"served": Outcome.SERVED, "error": Outcome.ERROR, "full": Outcome.FULL, "lost": Outcome.RESET}
+OUTCOMES = {
+    "served": AttemptOutcome.SERVED,
+    "error": AttemptOutcome.ERROR,
+    "full": AttemptOutcome.OVERLOADED,
+    "lost": AttemptOutcome.RESET,
+}
 
 
 Tell = Callable[[str, float, str], None]
@@ -151,7 +156,7 @@
         )
         self.version = self.registry.version(now)
         known = self.registry.whole(self.version)
-        self.note_starts([(line.id, line.started) for line in known])
+        self.note_starts([(line.id, line.started_at) for line in known])
         did = self.facade.taken()
         self.apply(self.facade.list_changed(now, known, whole=True, stale=True))
         self.apply(did)
@@ -198,7 +203,7 @@
             waiting = self.held.get(exchange)
             if waiting is not None and waiting.flight is not None and waiting.flight.number == number:
                 self.clock.at(
-                    self.clock.now, self.living(partial(self.end, waiting.flight, Outcome.CALLED_OFF))
+                    self.clock.now, self.living(partial(self.end, waiting.flight, AttemptOutcome.CANCELLED))
                 )
         if did.watch:
             self.clock.at(self.clock.now, self.living(self.ask))
@@ -257,14 +262,14 @@
         rest = now + Follower.REST if part is not None and not lines else now
         self.clock.at(rest, self.living(self.ask)) if rest > now else self.ask()
 
-    def told(self, version: int, lines: list[Listed]) -> None:
+    def told(self, version: int, lines: list[ListedEndpoint]) -> None:
         """By the service, or by others."""
         now, self.version = self.clock.now, version
         for line in lines:
-            self.run.ledger.told.append(Told(self.number, int(line.id[1:]), line.state.value, now))
-            if line.state is State.GONE or line.started != self.started.get(line.id):
+            self.run.ledger.told.append(Told(self.number, int(line.id[1:]), line.status.value, now))
+            if line.status is EndpointStatus.GONE or line.started_at != self.started.get(line.id):
                 self.drop_idle(int(line.id[1:]))
-        self.note_starts([(line.id, line.started) for line in lines])
+        self.note_starts([(line.id, line.started_at) for line in lines])
         self.apply(self.facade.list_changed(now, lines, whole=False, stale=False))
 
     def note_starts(self, starts: list[tuple[str, float | None]]) -> None:
@@ -290,7 +295,7 @@
         flight = Flight(exchange, step.number, node, now, min(now + step.patience, holding.expires))
         holding.flight = flight
         module = self.facade.balancer
-        forward = module.forwards[exchange, step.number] if isinstance(module, Balancer) else None
+        forward = module.attempts[exchange, step.number] if isinstance(module, Balancer) else None
         if forward is not None and forward.trial is not None and forward.trial is forward.endpoint.breaker:
             model = node.model
             vain = model.silent or model.hanging or not model.up or model.err >= 1.0
@@ -308,11 +313,13 @@
             or not (there.whole(now) and back.whole(now))
             or (self.number == 0 and model.number in self.run.beyond)
         ):
-            self.clock.at(until, self.living(partial(self.end, flight, Outcome.UNCONNECTED)))
+            self.clock.at(until, self.living(partial(self.end, flight, AttemptOutcome.NOT_CONNECTED)))
             return
         up_at = back.answer(there.arrival(now, 60))
         if not model.up or up_at >= until:
-            self.clock.at(min(up_at, until), self.living(partial(self.end, flight, Outcome.UNCONNECTED)))
+            self.clock.at(
+                min(up_at, until), self.living(partial(self.end, flight, AttemptOutcome.NOT_CONNECTED))
+            )
             return
         self.clock.at(up_at, self.living(partial(self.connected, flight, model.start)))
 
@@ -323,9 +330,9 @@
         full = node.connections >= node.model.kind.connections
         self.run.ledger.met.append(Met("handshake", self.number, node.model.number, self.clock.now, full))
         if node.model.start != start or not node.model.up:
-            self.end(flight, Outcome.UNCONNECTED)
+            self.end(flight, AttemptOutcome.NOT_CONNECTED)
         elif full:
-            self.end(flight, Outcome.FULL)
+            self.end(flight, AttemptOutcome.OVERLOADED)
         else:
             node.connections += 1
             self.write(flight, Line(start), new=True)
@@ -354,7 +361,7 @@
         there, _ = run.ways(self.zone, flight.node.model.zone)
         holding = self.held[flight.exchange]
         run.clock.at(there.arrival(now), partial(self.reach, flight, holding, now, new))
-        run.clock.at(flight.until, self.living(partial(self.end, flight, Outcome.TIMED_OUT)))
+        run.clock.at(flight.until, self.living(partial(self.end, flight, AttemptOutcome.TIMED_OUT)))
 
     def reach(self, flight: Flight, holding: Holding, sent: float, new: bool) -> None:
         """The exchange's last byte is at the endpoint."""
@@ -363,7 +370,7 @@
         if model.silent:
             return
         if not model.up or line.start != model.start:
-            self.back(flight, Outcome.RESET, "")
+            self.back(flight, AttemptOutcome.RESET, "")
             return
         run = Run(
             holding.asked.id,
@@ -390,7 +397,7 @@
         if job.run.how in OUTCOMES:
             self.back(flight, OUTCOMES[job.run.how], job.run.token)
 
-    def back(self, flight: Flight, outcome: Outcome, token: str) -> None:
+    def back(self, flight: Flight, outcome: AttemptOutcome, token: str) -> None:
         """Word goes back to the sidecar."""
         _, back = self.run.ways(self.zone, flight.node.model.zone)
         self.clock.at(back.arrival(self.clock.now), self.living(partial(self.end, flight, outcome, token)))
@@ -409,26 +416,29 @@
 
             self.clock.at(there.arrival(self.clock.now, 60), cancelled)
 
-    def end(self, flight: Flight, outcome: Outcome, token: str = "") -> None:
+    def end(self, flight: Flight, outcome: AttemptOutcome, token: str = "") -> None:
         """What came of a forward; all but the first are old news."""
         holding = self.held.get(flight.exchange)
         if flight.over or holding is None:
             return
         now, number = self.clock.now, flight.node.model.number
         flight.over, holding.flight = True, None
-        holding.ran = holding.ran or outcome not in NEVER_RAN
-        if outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL) and flight.line is not None:
+        holding.ran = holding.ran or outcome not in NEVER_EXECUTED
+        if (
+            outcome in (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED)
+            and flight.line is not None
+        ):
             self.heard[number] = now
             flight.line.idle_since = now
             self.idle.setdefault(number, []).append(flight.line)
         elif flight.written:
             self.close(flight)
-            if outcome is Outcome.TIMED_OUT and self.heard.get(number, -math.inf) < flight.sent:
+            if outcome is AttemptOutcome.TIMED_OUT and self.heard.get(number, -math.inf) < flight.sent:
                 self.drop_idle(number)
-        if outcome is Outcome.SERVED:
+        if outcome is AttemptOutcome.SERVED:
             del self.held[flight.exchange]
         self.apply(self.facade.report(now, flight.exchange, flight.number, outcome, holding.left))
-        if outcome is Outcome.SERVED:
+        if outcome is AttemptOutcome.SERVED:
             if not holding.left:
                 holding.tell("finished", 0.0, token)
         elif holding.left:
--- a/rainspindle/lab/virtual_sites.py
+++ b/rainspindle/lab/virtual_sites.py
@@ -12,10 +12,10 @@
 from functools import partial
 from typing import Any
 
+from ..balancer.host import AttemptOutcome, Idempotency
 from ..decisions.sites.intake import Intake
 from ..decisions.sites.sites import Sites
 from ..fronts.link.link import Link
-from ..host import Effect, Outcome
 from ..protocol.application import Ask
 from ..protocol.endpoint import Answered
 from ..protocol.settings import traffic_type
@@ -155,7 +155,7 @@
             yield math.inf
         kind, hold_off, token = came[0]
         if kind == "finished":
-            return Finished(Answered(Outcome.SERVED, (), token.encode(), True))
+            return Finished(Answered(AttemptOutcome.SERVED, (), token.encode(), True))
         return Rejected(hold_off, holding.ran) if kind == "rejected" else Terminated()
 
 
@@ -189,7 +189,7 @@
             core,
             self.intake,
             tuple(t["name"] for t in settings["traffic-types"]),
-            [t.effect is Effect.RETRIABLE for t in types],
+            [t.idempotency is Idempotency.IDEMPOTENT for t in types],
             sites.stall,
             1,
             self.linked,
--- a/rainspindle/lab/word.py
+++ b/rainspindle/lab/word.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from ..balancer.balancer import Balancer
 from ..decisions.evidence.evidence import Evidence
 from ..decisions.evidence.watch import Watch, Watches
-from ..logic import Balancer
 from ..protocol.evidence import Out, Told, decode_told, encode_told, mark_of
 from .ledger import Met
 
--- a/rainspindle/lab/world.py
+++ b/rainspindle/lab/world.py
@@ -12,8 +12,8 @@
 
 import numpy as np
 
-from ..host import Listed, State
-from ..values import replace
+from ..balancer.host import EndpointStatus, ListedEndpoint
+from ..lazy_dataclasses import replace
 from .experiment import AT_ENDPOINTS, AT_SIDECARS, Experiment, Fault, Variant
 from .models.clients import Operation, schedule
 from .models.endpoint import EndpointModel
@@ -50,7 +50,7 @@
         self.cuts: dict[tuple[int, int], list[Cut]] = {}
         self.outages: list[tuple[float, float]] = []
         self.changes: list[Change] = []
-        self.lines = [self.line(n, State.READY, None) for n in range(len(kinds))]
+        self.lines = [self.line(n, EndpointStatus.READY, None) for n in range(len(kinds))]
         for n, fault in enumerate(x.faults):
             self.befall(fault, self.rng(f"fault {n}"))
         self.acts.sort(key=lambda a: a.at)
@@ -80,9 +80,11 @@
     def chance(self, what: str) -> Callable[[], float]:
         return self.rng(what).random
 
-    def line(self, n: int, state: State, started: float | None) -> Listed:
+    def line(self, n: int, state: EndpointStatus, started: float | None) -> ListedEndpoint:
         kind = self.kinds[n]
-        return Listed(f"e{n}", n // CELL, self.zones[n], kind.cores * sum(kind.speed) / 2, state, started)
+        return ListedEndpoint(
+            f"e{n}", n // CELL, self.zones[n], kind.cores * sum(kind.speed) / 2, state, started
+        )
 
     def endpoint(self, n: int) -> EndpointModel:
         return EndpointModel(
@@ -150,7 +152,7 @@
             f = f.model_copy(update={"at": f.at + float(rng.uniform(0.0, f.spread))})
         over, spec = f.at + f.length, self.x.registry
 
-        def listed(at: float, lag: tuple[float, float], state: State, started: float | None) -> None:
+        def listed(at: float, lag: tuple[float, float], state: EndpointStatus, started: float | None) -> None:
             late = spec.stale_more if rng.random() < spec.stale_part else 0.0
             # A line never reads older than it did: what comes later is listed no earlier.
             seen = max(
@@ -162,15 +164,15 @@
             self.acts += [Act(f.at, "down" if f.kind == "crash" else "silence", n), Act(over, "up", n)]
             lag = spec.lag if f.kind == "crash" else spec.silent_lag
             if f.at + lag[0] < over:
-                listed(f.at, lag, State.GONE, None)
-            listed(over, spec.add_lag, State.READY, over)
+                listed(f.at, lag, EndpointStatus.GONE, None)
+            listed(over, spec.add_lag, EndpointStatus.READY, over)
         elif f.kind == "drain":
-            listed(f.at, spec.lag, State.DRAINING, None)
+            listed(f.at, spec.lag, EndpointStatus.DRAINING, None)
             self.acts.append(Act(over, "down", n))
-            listed(over, spec.lag, State.GONE, None)
+            listed(over, spec.lag, EndpointStatus.GONE, None)
             if f.size:
                 self.acts.append(Act(over + f.size, "up", n))
-                listed(over + f.size, spec.add_lag, State.READY, over + f.size)
+                listed(over + f.size, spec.add_lag, EndpointStatus.READY, over + f.size)
         elif f.kind == "pauses":
             at = f.at + float(rng.uniform(0, f.every))
             while at < over:
@@ -248,6 +250,6 @@
     return True
 
 
-def moved(line: Listed, by: float) -> Listed:
+def moved(line: ListedEndpoint, by: float) -> ListedEndpoint:
     """The line with its start on another clock."""
-    return line if line.started is None else replace(line, started=line.started + by)
+    return line if line.started_at is None else replace(line, started_at=line.started_at + by)
--- a/rainspindle/program/config.py
+++ b/rainspindle/program/config.py
@@ -10,12 +10,12 @@
 import orjson
 
 from ..errors import Trouble
+from ..lazy_dataclasses import dataclass
 from ..protocol.client import Unreadable
 from ..protocol.discovery import ListChange, ListDecoder
 from ..protocol.settings import SocketSettings, asks_list, flag, make_balancer, socket_settings
 from ..routing.facade import Facade
 from ..transport.address import Address, parse_address
-from ..values import dataclass
 
 DEAF = "messages are allowed, but no peers are named: this sidecar goes by its own exchanges alone"
 
--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -12,18 +12,18 @@
 
 import msgspec
 
+from ...balancer.host import ListedEndpoint, TrafficClass
 from ...decisions.canary.canary import Canary
 from ...decisions.canary.terms import Step, Terms
 from ...decisions.members.members import Member, Standing
 from ...decisions.shared.cells import Cell
 from ...errors import Trouble
-from ...host import Listed, TrafficType
+from ...lazy_dataclasses import replace
 from ...protocol.settings import make_balancer, traffic_type
 from ...routing.canary import CanaryRouter, Ready, Side, SideFacade, SplitCore, add_types
 from ...routing.core import Back, Directory, Taker
 from ...store.file import Missing, StoredFile, Unfit
 from ...transport.loop import Loop
-from ...values import replace
 from ..config import Config
 from .ground import Answer, Ground
 
@@ -140,7 +140,7 @@
     expiry = float(types[setting.traffic_type]["expiry"])
     if setting.promised_time is not None and not 0 < setting.promised_time <= expiry:
         yield f"{at}.promised_time: {setting.promised_time} ms is not from 0 to the expiry, {expiry}"
-    highest = max(traffic_type(t).value for t in types.values())
+    highest = max(traffic_type(t).priority_weight for t in types.values())
     if setting.value is not None and not 0 <= setting.value <= highest:
         yield (
             f"{at}.value: {setting.value} is not from 0 to {highest}, the highest of the settings: "
@@ -221,20 +221,20 @@
     )
 
 
-def taker_of_lines(table: CanaryPart, config: Config) -> Callable[[Listed], bool]:
+def taker_of_lines(table: CanaryPart, config: Config) -> Callable[[ListedEndpoint], bool]:
     if table.kind is not None:
         number = config.settings.kinds.index(table.kind)
-        return lambda line: line.kind == number
+        return lambda line: line.machine_kind == number
     ids = frozenset(table.endpoints or ())
     return lambda line: line.id in ids
 
 
-def with_setting(setting: SettingPart, names: tuple[str, ...], n: int, kind: TrafficType) -> TrafficType:
+def with_setting(setting: SettingPart, names: tuple[str, ...], n: int, kind: TrafficClass) -> TrafficClass:
     if names[n] != setting.traffic_type:
         return kind
     if setting.promised_time is not None:
-        return replace(kind, promised_time=setting.promised_time / 1000)
-    return replace(kind, value=setting.value if setting.value is not None else kind.value)
+        return replace(kind, latency_objective=setting.promised_time / 1000)
+    return replace(kind, value=setting.value if setting.value is not None else kind.priority_weight)
 
 
 class CanaryHostOf:
--- a/rainspindle/program/fleet/keep.py
+++ b/rainspindle/program/fleet/keep.py
@@ -14,12 +14,13 @@
 
 import msgspec
 
+from ...balancer.balancer import Balancer
+from ...balancer.endpoint import EndpointState
+from ...balancer.host import ListedEndpoint
 from ...decisions.members.members import Member, Standing
 from ...decisions.operation import beginning, learnt
 from ...decisions.shared.cells import Cell, Cells
 from ...errors import Trouble
-from ...host import Listed
-from ...logic import Balancer, Endpoint
 from ...protocol import keep as forms
 from ...routing.canary import SplitCore, side_balancer
 from ...routing.core import Core, Taker
@@ -227,7 +228,7 @@
         listed = core.list_changed
 
         def list_changed(
-            lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
+            lines: tuple[ListedEndpoint, ...], addresses: dict[str, Address], whole: bool, stale: bool
         ) -> None:
             listed(lines, addresses, whole, stale)
             self.take(self.ground.loop.now())
@@ -259,7 +260,7 @@
 
     def take_kept(self, now: float, side: str, balancer: Balancer) -> None:
         record, kept = self.lasting.record, self.kept[side]
-        if record is None or not balancer.endpoints:
+        if record is None or not balancer.registry.by_id:
             return
         try:
             here = {
@@ -267,16 +268,20 @@
                 for id, of in kept["endpoints"].items()
             }
             age = self.lasting.age + now - self.begun
-            window = 1 + Endpoint.START_WAITS * balancer.QUEUE / balancer.peers
-            given = learnt.aged({**kept, "endpoints": here}, age, balancer.budget.cold, window)
+            window = (
+                1 + EndpointState.INITIAL_QUEUE_SHARES * balancer.FLEET_QUEUE / balancer.config.sidecar_count
+            )
+            given = learnt.aged(
+                {**kept, "endpoints": here}, age, balancer.slow_start.budget.warm_up_time, window
+            )
             if side not in self.own_taken:
                 self.own_taken.add(side)
-                given["put_back"] |= {id: now - at for id, at in balancer.put_back.items()}
+                given["put_back"] |= {id: now - at for id, at in balancer.slow_start.enabled_at.items()}
                 learnt.take(balancer, now, {**given, "endpoints": {}, "keys": {}})
             ids = [
                 id
                 for id in given["endpoints"]
-                if (e := balancer.endpoints.get(id)) and e not in balancer.touched
+                if (e := balancer.registry.by_id.get(id)) and e not in balancer.registry.active
             ]
             if ids:
                 self.taken["folder"] += learnt.take(balancer, now, given, ids)
@@ -301,11 +306,11 @@
             - (self.lasting.age + now - self.begun)
         )
 
-    def started_ms(self, e: Endpoint) -> int:
-        started = e.line.started
+    def started_ms(self, e: EndpointState) -> int:
+        started = e.listed.started_at
         return 0 if started is None else round((started - self.follower.decoder.clock_offset) * 1000)
 
-    def mark_of(self, e: Endpoint) -> bytes:
+    def mark_of(self, e: EndpointState) -> bytes:
         return forms.mark(e.id, self.started_ms(e))
 
     def ready_from(self, now: float) -> float:
@@ -374,7 +379,7 @@
 
     def take_words(self, now: float) -> None:
         sides = self.sides()
-        ready = {self.mark_of(e): e.id for balancer in sides.values() for e in balancer.ready}
+        ready = {self.mark_of(e): e.id for balancer in sides.values() for e in balancer.registry.ready}
         judged = beginning.judge(self.judged, ready, self.taken["members"])
         for balancer in sides.values():
             self.taken["members"] += beginning.apply(balancer, now, judged)
@@ -427,7 +432,7 @@
         for side, balancer in self.sides().items():
             given = learnt.trimmed(learnt.give(balancer, now), MOST_ENDPOINTS, MOST_KEYS, MOST_KEY)
             sides[side] = given
-            started |= {id: self.started_ms(balancer.endpoints[id]) for id in given["endpoints"]}
+            started |= {id: self.started_ms(balancer.registry.by_id[id]) for id in given["endpoints"]}
         view = self.ground.members
         lasting = self.lasting
         return forms.Record(
@@ -454,9 +459,9 @@
     def out(self) -> list[tuple[str, float]]:
         """The endpoints that are out, and since when."""
         return [
-            (e.id, e.breaker.since)
+            (e.id, e.breaker.failing_since)
             for balancer in self.sides().values()
-            for e in balancer.touched
+            for e in balancer.registry.active
             if e.breaker
         ]
 
--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
+from ...balancer.host import EndpointStatus, ListedEndpoint
 from ...decisions.listing.relay import LEAST_ASK_WITHIN, Relay, Terms
 from ...decisions.members.members import Member, Standing
 from ...decisions.shared.cells import Cell
-from ...host import Listed, State
+from ...lazy_dataclasses import replace
 from ...protocol import listing as words
 from ...protocol.discovery import ListChange
 from ...protocol.listing import Head, TooLarge, UnreadableList
 from ...routing.core import Core, Taker
 from ...routing.follow import Follower
 from ...transport.address import Address, address_text
-from ...values import replace
 from ..config import Config
 from .ground import Answer, Ground
 
@@ -57,7 +57,7 @@
         self.run = ground.members.own_life
         self.follower: Follower | None = None
         self.core: Core | None = None
-        self.known: dict[str, tuple[Listed, Address | None]] = {}
+        self.known: dict[str, tuple[ListedEndpoint, Address | None]] = {}
         self.address = self.config.discovery
         self.usual = 0.0  # seconds that the follower's watch waits as alone
         self.unread = 0
@@ -224,7 +224,7 @@
             for line in change.lines:
                 before = self.known.get(line.id)
                 at = change.addresses.get(line.id) or (before[1] if before else None)
-                if line.state is State.GONE:
+                if line.status is EndpointStatus.GONE:
                     self.known.pop(line.id, None)
                     lines[line.id] = b""
                 else:
@@ -274,14 +274,14 @@
 
     def take(self, now: float, version: int, lines: words.Lines, delta: words.Lines) -> bool:
         assert self.core is not None and self.follower is not None
-        changed: list[Listed] = []
+        changed: list[ListedEndpoint] = []
         addresses: dict[str, Address] = {}
         try:
             for id, data in delta.items():
                 before = self.known.get(id)
                 if not data:
                     if before is not None:
-                        changed.append(replace(before[0], state=State.GONE))
+                        changed.append(replace(before[0], status=EndpointStatus.GONE))
                     continue
                 line, at = words.decode_line(id, data, self.config.decoder.clock_offset)
                 changed.append(line if before is None else kept(line, before[0]))
@@ -291,7 +291,7 @@
             self.log("list: unreadable word", why=str(fault), remedy=fault.remedy)
             return False
         for line in changed:
-            if line.state is State.GONE:
+            if line.status is EndpointStatus.GONE:
                 self.known.pop(line.id, None)
             else:
                 self.known[line.id] = line, addresses.get(line.id)
@@ -314,9 +314,11 @@
         log.log(logging.WARNING if event in WARNED else logging.INFO, event, extra={"fields": fields})
 
 
-def kept(line: Listed, before: Listed) -> Listed:
+def kept(line: ListedEndpoint, before: ListedEndpoint) -> ListedEndpoint:
     """What word says of an endpoint that is known. Guards against one that an older start, or none, would
     make warm, and against a start told with other last digits, which would make it cold."""
-    if before.started is not None and (line.started is None or line.started < before.started + SAME_START):
-        return replace(line, started=before.started)
+    if before.started_at is not None and (
+        line.started_at is None or line.started_at < before.started_at + SAME_START
+    ):
+        return replace(line, started_at=before.started_at)
     return line
--- a/rainspindle/program/gateway.py
+++ b/rainspindle/program/gateway.py
@@ -7,10 +7,10 @@
 import time
 from collections.abc import Callable, Iterator
 
+from ..balancer.host import Idempotency
 from ..decisions.sites.intake import Intake
 from ..decisions.sites.sites import Sites
 from ..fronts.link.link import Link
-from ..host import Effect
 from ..protocol.settings import traffic_type
 from ..routing.core import Taker
 from ..routing.sites import SiteRouter
@@ -60,7 +60,7 @@
             self.core,
             self.intake,
             config.sidecar.settings.type_names,
-            [t.effect is Effect.RETRIABLE for t in types],
+            [t.idempotency is Idempotency.IDEMPOTENT for t in types],
             config.stall,
             config.connections,
             lambda site, up: self.sites.linked(self.loop.now(), site, up),
--- a/rainspindle/program/mysql_config.py
+++ b/rainspindle/program/mysql_config.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from ..decisions.statements.statements import Rule
+from ..lazy_dataclasses import replace
 from ..transport.address import Address, parse_address
-from ..values import replace
 from .config import Config, ConfigFault, load
 from .tables import read_secret, read_toml, shape
 
--- a/rainspindle/program/serve.py
+++ b/rainspindle/program/serve.py
@@ -16,11 +16,12 @@
 
 import orjson
 
-from .. import must
+from .. import invariants
 from ..decisions.operation.stage import Stage, Stages
 from ..fronts.console.front import ConsoleFront
 from ..fronts.http1.back import HttpBack
 from ..fronts.http1.front import HttpFront
+from ..lazy_dataclasses import replace
 from ..protocol.console import FleetCall
 from ..protocol.discovery import ListChange
 from ..routing.core import Back, Core, Directory, Taker
@@ -30,7 +31,6 @@
 from ..transport.datagrams import Datagrams
 from ..transport.loop import Coroutine, Loop
 from ..transport.pool import Pool
-from ..values import replace
 from .config import DEAF, RESERVED_SOCKETS, Config, ConfigFault, usable_sockets
 from .operation import Operation
 
@@ -470,4 +470,4 @@
         if self.fleet is not None:
             yield from self.fleet.figures().items()
         yield "faults", self.faults
-        yield "broken", dict(must.broken)
+        yield "broken", dict(invariants.violations)
--- a/rainspindle/protocol/application.py
+++ b/rainspindle/protocol/application.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from ..values import dataclass
+from ..lazy_dataclasses import dataclass
 from . import plain
 
 MOST_BODY = 64 * 1024  # over this a body goes on piece by piece, where it may
--- a/rainspindle/protocol/client.py
+++ b/rainspindle/protocol/client.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from ..values import dataclass
+from ..lazy_dataclasses import dataclass
 from . import plain
 
 Headers = Iterable[tuple[bytes, bytes]]
--- a/rainspindle/protocol/console.py
+++ b/rainspindle/protocol/console.py
@@ -10,7 +10,7 @@
 import h11
 import orjson
 
-from ..values import dataclass, field
+from ..lazy_dataclasses import dataclass, field
 from . import plain
 
 MOST_HEAD, MOST_BODY = 4096, 4096
--- a/rainspindle/protocol/discovery.py
+++ b/rainspindle/protocol/discovery.py
@@ -8,13 +8,17 @@
 
 import orjson
 
-from ..host import Listed, State
+from ..balancer.host import EndpointStatus, ListedEndpoint
+from ..lazy_dataclasses import dataclass
 from ..transport.address import Address, parse_address
-from ..values import dataclass
 from .client import Call, Unreadable
 
 MOST_LIST = 4 * 1024 * 1024
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {
+    "SERVING": EndpointStatus.READY,
+    "DRAINING": EndpointStatus.DRAINING,
+    "DELETED": EndpointStatus.GONE,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +27,7 @@
 
     version: int
     whole: bool
-    lines: tuple[Listed, ...]
+    lines: tuple[ListedEndpoint, ...]
     addresses: dict[str, Address]
 
 
@@ -52,9 +56,9 @@
         Guards against two such zones that count as one: a repeat would go to where it is not dropped."""
         return self.zones.get(name, -1 - zlib.crc32(name.encode()))
 
-    def line(self, e: dict[str, Any]) -> Listed:
+    def line(self, e: dict[str, Any]) -> ListedEndpoint:
         weight, started = e.get("weight"), e.get("startedAtMs")
-        return Listed(
+        return ListedEndpoint(
             str(e["instanceId"]),
             int(e.get("cell") or 0),
             self.zone(e.get("zone") or ""),
--- a/rainspindle/protocol/endpoint.py
+++ b/rainspindle/protocol/endpoint.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..host import Outcome
-from ..values import dataclass
+from ..balancer.host import AttemptOutcome
+from ..lazy_dataclasses import dataclass
 from .application import MOST_BODY, MOST_STREAM, Ask, going_on
 from .client import Call, Reply
 
@@ -12,7 +12,7 @@
 class Answered:
     """How a forward ended, as the endpoint said."""
 
-    outcome: Outcome
+    outcome: AttemptOutcome
     headers: tuple[tuple[bytes, bytes], ...]  # those that go on unchanged
     body: bytes
     reusable: bool
@@ -66,9 +66,9 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def outcome(reply: Reply) -> Outcome:
+def outcome(reply: Reply) -> AttemptOutcome:
     if reply.status == 200:
-        return Outcome.SERVED
+        return AttemptOutcome.SERVED
     if reply.status in (503, 504) and (b"x-not-processed", b"1") in reply.headers:
-        return Outcome.FULL
-    return Outcome.ERROR  # whatever it says, it may have run
+        return AttemptOutcome.OVERLOADED
+    return AttemptOutcome.ERROR  # whatever it says, it may have run
--- a/rainspindle/protocol/listing.py
+++ b/rainspindle/protocol/listing.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
+from ..balancer.host import EndpointStatus, ListedEndpoint
 from ..errors import Trouble
-from ..host import Listed, State
 from ..transport.address import Address, address_text, parse_address
 
 VERSION = 1
@@ -28,7 +28,7 @@
 MOST_PAST = 6  # earlier versions that a head names
 MARK = 12  # bytes of a digest
 NEVER = 2**31 - 1  # milliseconds that are more than can be told
-STATES = {State.READY: "r", State.DRAINING: "d"}
+STATES = {EndpointStatus.READY: "r", EndpointStatus.DRAINING: "d"}
 READ = {text: state for state, text in STATES.items()}
 
 Lines = Mapping[str, bytes]  # by id; b"" for one that is gone
@@ -110,9 +110,9 @@
 # Lines.
 
 
-def encode_line(line: Listed, address: Address | None, clock_offset: float) -> bytes:
+def encode_line(line: ListedEndpoint, address: Address | None, clock_offset: float) -> bytes:
     """Raises TooLarge. `clock_offset`: what is added to Unix time for the clock of `line.started`."""
-    started = None if line.started is None else line.started - clock_offset
+    started = None if line.started_at is None else line.started_at - clock_offset
     if started is not None and abs(started - round(started, 3)) < 1e-5:
         started = round(started, 3)  # as the service told it, whatever the offset took from its last bits
     data = msgspec.msgpack.encode(
@@ -120,10 +120,10 @@
             address_text(address) if address else "",
             line.cell,
             line.zone,
-            line.share,
-            STATES[line.state],
+            line.weight,
+            STATES[line.status],
             started,
-            line.kind,
+            line.machine_kind,
         )
     )
     if len(data) + len(line.id.encode()) > MOST_LINE:
@@ -131,13 +131,13 @@
     return data
 
 
-def decode_line(id: str, data: bytes, clock_offset: float) -> tuple[Listed, Address | None]:
+def decode_line(id: str, data: bytes, clock_offset: float) -> tuple[ListedEndpoint, Address | None]:
     """Raises UnreadableList."""
     line = decode(data, Line)
     try:
         if not math.isfinite(line.share) or not math.isfinite(line.started or 0.0):
             raise ValueError(f"{line.share} or {line.started} is no number")
-        return Listed(
+        return ListedEndpoint(
             id,
             line.cell,
             line.zone,
@@ -155,7 +155,7 @@
     count = 0
     for data in lines.values():
         with contextlib.suppress(UnreadableList):
-            count += decode(data, Line).state == STATES[State.READY]
+            count += decode(data, Line).state == STATES[EndpointStatus.READY]
     return count
 
 
--- a/rainspindle/protocol/peers.py
+++ b/rainspindle/protocol/peers.py
@@ -1,90 +1,126 @@
-"""What sidecars of a pool tell one another, as text of 256 bytes at most. No I/O."""
+"""The messages that sidecars send one another about their load, as text of 256 bytes at most. No I/O.
+
+The first character tells the form, and with it the release: one that changes a form takes other characters.
+
+    .MARKS          all attempts in flight, an endpoint mark each
+    -MARKS-MARKS    attempts that started and ended since the last message
+    =RATES;KIND:SECONDS:CONCURRENCY;...    what the sidecar has learned
+"""
 
 from __future__ import annotations
 
 from base64 import b64decode, b64encode
 from collections.abc import Sequence
 
-from ..host import Facts
-from ..pool import Pool
-from ..values import dataclass
-
-MOST, MARK = 256, 4  # bytes; characters for a mark
-# The first character tells the form, and with it the release: one that changes a form takes other characters.
-FACTS, WHOLE, CHANGES = "=", ".", "-"
+from ..balancer.host import KindEstimate, LearnedState
+from ..balancer.peer_load import PeerLoad
+from ..lazy_dataclasses import dataclass
 
+MAX_MESSAGE = 256  # characters
+MARK_BYTES = 3
+MARK_CHARACTERS = 4  # of a mark in base 64
+MAX_MARKS = MAX_MESSAGE // MARK_CHARACTERS - 1
+MAX_FIGURE = 9  # characters
 
-def encode_held(began: Sequence[int], ended: Sequence[int], whole: bool) -> str:
-    most = MOST // MARK - 1
-    if whole:
-        return WHOLE + marks_text(began[:most])
-    return CHANGES + marks_text(began[:most]) + CHANGES + marks_text(ended[: max(0, most - len(began))])
+COMPLETE_LOAD = "."
+LOAD_CHANGES = "-"
+LEARNED_STATE = "="
 
 
-def marks_text(marks: Sequence[int]) -> str:
-    return b64encode(b"".join(mark.to_bytes(3, "big") for mark in marks)).decode()
+@dataclass(frozen=True, slots=True)
+class LoadMessage:
+    """Endpoint marks, one for each attempt.
 
+    Attributes:
+        started: All attempts in flight if `complete`, else those that started since the last message.
+        ended: Those that ended since.
+        complete: Whether the message replaces all earlier ones.
+    """
 
-def marks_of(text: str) -> list[int]:
-    raw = b64decode(text, validate=True)
-    if len(raw) % 3:
-        raise ValueError("a mark is cut")
-    return [int.from_bytes(raw[n : n + 3], "big") for n in range(0, len(raw), 3)]
+    started: list[int]
+    ended: list[int]
+    complete: bool
 
 
-def encode_facts(facts: Facts) -> str:
-    parts = [FACTS + ",".join(f"{rate:.0f}" for rate in facts.rates)]
-    for kind, (time, free) in facts.kinds.items():
-        part = f"{kind}:{time:.4f}:{free:.1f}"
-        if sum(map(len, parts)) + len(parts) + len(part) <= MOST:
-            parts.append(part)
-    return ";".join(parts)[:MOST]
+def encode_load(started: Sequence[int], ended: Sequence[int], complete: bool) -> str:
+    """Encodes a load message; marks beyond its room are left out."""
+    if complete:
+        return COMPLETE_LOAD + _encode_marks(started[:MAX_MARKS])
+    first = _encode_marks(started[:MAX_MARKS])
+    second = _encode_marks(ended[: max(0, MAX_MARKS - len(started))])
+    return LOAD_CHANGES + first + LOAD_CHANGES + second
 
 
-@dataclass(frozen=True, slots=True)
-class Word:
-    """Endpoints' marks, one for each exchange: what has begun and ended, or the whole of what is out."""
+def encode_learned_state(state: LearnedState) -> str:
+    """Encodes learned state; kinds beyond the message's room are left out."""
+    parts = [LEARNED_STATE + ",".join(f"{rate:.0f}" for rate in state.request_rates)]
+    for kind, estimate in state.kinds.items():
+        part = f"{kind}:{estimate.unloaded_time:.4f}:{estimate.concurrency:.1f}"
+        if sum(map(len, parts)) + len(parts) + len(part) <= MAX_MESSAGE:
+            parts.append(part)
+    return ";".join(parts)[:MAX_MESSAGE]
 
-    began: list[int]
-    ended: list[int]
-    whole: bool
 
+def decode(payload: str) -> LearnedState | LoadMessage:
+    """Decodes a message.
 
-def decode(payload: str) -> Facts | Word:
-    """Raises ValueError where it is neither."""
-    if len(payload) > MOST or not payload.isascii():
+    Raises:
+        ValueError: It is none, or of another release.
+    """
+    if len(payload) > MAX_MESSAGE or not payload.isascii():
         raise ValueError("not a sidecar's message")
-    if payload.startswith(CHANGES):
-        began, _, ended = payload[1:].partition(CHANGES)
-        return Word(marks_of(began), marks_of(ended), whole=False)
-    if payload.startswith(WHOLE):
-        return Word(marks_of(payload[1:]), [], whole=True)
-    if not payload.startswith(FACTS):
+    if payload.startswith(LOAD_CHANGES):
+        started, _, ended = payload[1:].partition(LOAD_CHANGES)
+        return LoadMessage(_decode_marks(started), _decode_marks(ended), complete=False)
+    if payload.startswith(COMPLETE_LOAD):
+        return LoadMessage(_decode_marks(payload[1:]), [], complete=True)
+    if not payload.startswith(LEARNED_STATE):
         raise ValueError("of another release")
-    rates, *kinds = payload[1:].split(";")
-    known = {}
-    for kind, time, free in (part.split(":") for part in kinds):
-        known[int(kind)] = positive(time), max(positive(free), 1.0)
-    return Facts(tuple(figure(rate) for rate in rates.split(",") if rate), known)
-
-
-def hear(pool: Pool, now: float, who: str, payload: str) -> None:
-    """Hands on what a message tells. Raises ValueError where it is none of a sidecar's."""
-    told = decode(payload)
-    if isinstance(told, Facts):
-        pool.learnt(now, who, told)
+    return _decode_learned_state(payload[1:])
+
+
+def receive(peer_load: PeerLoad, now: float, peer: str, payload: str) -> None:
+    """Decodes a peer's message and hands it to `peer_load`.
+
+    Raises:
+        ValueError: It is none, or of another release.
+    """
+    message = decode(payload)
+    if isinstance(message, LearnedState):
+        peer_load.on_learned_state(now, peer, message)
     else:
-        pool.told(now, who, told.began, told.ended, told.whole)
+        peer_load.on_load_report(now, peer, message.started, message.ended, message.complete)
+
+
+def _encode_marks(marks: Sequence[int]) -> str:
+    return b64encode(b"".join(mark.to_bytes(MARK_BYTES, "big") for mark in marks)).decode()
+
+
+def _decode_marks(text: str) -> list[int]:
+    raw = b64decode(text, validate=True)
+    if len(raw) % MARK_BYTES:
+        raise ValueError("a mark is cut")
+    starts = range(0, len(raw), MARK_BYTES)
+    return [int.from_bytes(raw[start : start + MARK_BYTES], "big") for start in starts]
+
+
+def _decode_learned_state(text: str) -> LearnedState:
+    rates, *parts = text.split(";")
+    kinds = {}
+    for kind, seconds, concurrency in (part.split(":") for part in parts):
+        kinds[int(kind)] = KindEstimate(_positive(seconds), max(_positive(concurrency), 1.0))
+    return LearnedState(tuple(_figure(rate) for rate in rates.split(",") if rate), kinds)
 
 
-def figure(text: str) -> float:
-    """A plain figure: float() alone would take `nan`, `-1`, `1_0` and `1e99`."""
-    if not text.replace(".", "", 1).isdecimal() or len(text) > 9:
+def _figure(text: str) -> float:
+    """Returns a plain figure: float() alone would accept `nan`, `-1`, `1_0` and `1e99`."""
+    if not text.replace(".", "", 1).isdecimal() or len(text) > MAX_FIGURE:
         raise ValueError(f"not a figure: {text!r}")
     return float(text)
 
 
-def positive(text: str) -> float:
-    if not (value := figure(text)):
+def _positive(text: str) -> float:
+    value = _figure(text)
+    if not value:
         raise ValueError("a figure of 0")
     return value
--- a/rainspindle/protocol/settings.py
+++ b/rainspindle/protocol/settings.py
@@ -6,31 +6,33 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ..host import Effect, Group, Host, TrafficType
-from ..logic import Balancer, ColdBudget, ForwardBudget
-from ..values import dataclass
+from ..balancer.balancer import Balancer
+from ..balancer.config import BalancerConfig, RetryLimits
+from ..balancer.host import BalancerHost, DeduplicationScope, Idempotency, TrafficClass
+from ..balancer.slow_start import SlowStartBudget
+from ..lazy_dataclasses import dataclass
 
 EFFECTS = {
-    "read_like": Effect.RETRIABLE,
-    "idempotency_key": Effect.FINGERPRINTED,
-    "non_idempotent": Effect.BINDING,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.DEDUPLICATED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 CONNECT_PART = 0.25  # of the promised time
 WEIGHTS = ("off", "nominal", "rough", "live")
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 def seconds(ms: float | None) -> float:
     return (ms or 0.0) / 1000
 
 
-def traffic_type(t: dict[str, Any]) -> TrafficType:
+def traffic_type(t: dict[str, Any]) -> TrafficClass:
     if t["effect"] not in tuple(EFFECTS):  # a tuple also looks for what has no hash
         raise ValueError(f"unknown effect {t['effect']!r}")
     group = t.get("dedup-scope") or "all"
     if group not in tuple(GROUPS):
         raise ValueError(f"unknown group {group!r}")
-    return TrafficType(
+    return TrafficClass(
         EFFECTS[t["effect"]],
         GROUPS[group],
         period(t, "promised-time"),
@@ -47,12 +49,12 @@
     return seconds(s[key])
 
 
-def traffic_types(s: dict[str, Any]) -> list[TrafficType]:
+def traffic_types(s: dict[str, Any]) -> list[TrafficClass]:
     """At least one. Raises ValueError, which says which one is at fault."""
     listed = s["traffic-types"]
     if not isinstance(listed, list) or not listed or not all(isinstance(t, dict) for t in listed):
         raise ValueError("traffic-types is no list of traffic types, one at least")
-    types = list[TrafficType]()
+    types = list[TrafficClass]()
     for n, t in enumerate(listed):
         try:
             types.append(traffic_type(t))
@@ -104,15 +106,15 @@
     return int(most)
 
 
-def forward_budget(contract: dict[str, Any]) -> ForwardBudget | None:
-    """The budget of further forwards, where the settings state one."""
+def retry_limits(contract: dict[str, Any]) -> RetryLimits | None:
+    """Returns the retry budget, where the settings state one."""
     keys = ("budget-free", "repeat-ratio", "counted-over")
     if all(contract.get(key) is None for key in keys):
         return None
     free, share, over = (number(contract, key, 0.0) for key in keys)
     if over <= 0:
         raise ValueError("counted-over is missing or 0, though a budget of forwards is stated")
-    return ForwardBudget(free, share, seconds(over))
+    return RetryLimits(free, share, seconds(over))
 
 
 def flag(s: dict[str, Any], key: str) -> bool:
@@ -161,46 +163,57 @@
     return choice(s, "discovery", ("on_request", "pushed"), "on_request") == "on_request"
 
 
-def make_balancer(host: Host, seed: int, now: float, s: dict[str, Any]) -> Balancer:
+def make_balancer(host: BalancerHost, seed: int, now: float, s: dict[str, Any]) -> Balancer:
+    """Makes the balancer that the settings describe.
+
+    Raises:
+        ValueError: The settings are wrong; the message names the key.
+    """
     try:
-        return balancer(host, seed, now, s)
-    except KeyError as e:
-        raise ValueError(f"the settings lack {e}") from None
+        config = balancer_config(s)
+    except KeyError as fault:
+        raise ValueError(f"the settings lack {fault}") from None
+    return Balancer(host, config, seed, now)
+
 
+def balancer_config(s: dict[str, Any]) -> BalancerConfig:
+    """Decodes the balancer's configuration.
 
-def balancer(host: Host, seed: int, now: float, s: dict[str, Any]) -> Balancer:
+    Raises:
+        KeyError: A key is missing.
+        ValueError: A value is wrong; the message names its key.
+    """
     limits, contract = part(s, "policy-limits"), part(s, "contract")
-    # Where gone alone does not bind, the module still sends nothing there: that is within the rule.
+    # Where gone alone does not bind, the balancer still sends nothing there: that is within the rule.
     soft_removal(contract)
-    budget = ColdBudget(
+    slow_start = SlowStartBudget(
         needed(contract, "fall-multiple"),
         seconds(needed(contract, "tip-after")),
         needed(contract, "cold-from"),
         seconds(needed(contract, "cold")),
     )
     prices, weights = s.get("prices") or {}, choice(s, "weight-kind", WEIGHTS, "off")
-    return Balancer(
-        host,
-        seed,
-        now,
-        peers=s.get("peers-total") or 1,
+    return BalancerConfig(
+        tuple(traffic_types(s)),
+        slow_start,
         zone=s["zone"],
-        types=traffic_types(s),
-        max_forwards=most_forwards(limits),
-        parallel=flag(limits, "parallel-tries"),
-        may_call_off=flag(limits, "cancel"),
-        max_hold_off=seconds(number(limits, "max-retry-after", 0.0)) if flag(limits, "retry-after") else 0.0,
-        asks_list=asks_list(s),
-        ask_within=seconds(needed(contract, "ask-within")),
-        use_shares=weights in ("nominal", "rough"),
-        cross_price=number(prices, "cross-zone", 0.0),
-        budget=budget,
-        further=forward_budget(contract),
-        tells=flag(limits, "peers"),
-        peer_price=number(prices, "peer", 0.0),
-        allowances=allowances(s),
-        excess_value=number(s, "excess-value", 1.0),
-        live=weights == "live",
+        sidecar_count=max(s.get("peers-total") or 1, 1),
+        max_attempts=most_forwards(limits),
+        parallel_attempts=flag(limits, "parallel-tries"),
+        can_cancel=flag(limits, "cancel"),
+        max_retry_after=seconds(number(limits, "max-retry-after", 0.0))
+        if flag(limits, "retry-after")
+        else 0.0,
+        watch_list=asks_list(s),
+        list_poll_interval=seconds(needed(contract, "ask-within")),
+        use_listed_weights=weights in ("nominal", "rough"),
+        live_weights=weights == "live",
+        cross_zone_price=number(prices, "cross-zone", 0.0),
+        retry_limits=retry_limits(contract),
+        share_load=flag(limits, "peers"),
+        message_price=number(prices, "peer", 0.0),
+        tenant_allowances=allowances(s),
+        excess_weight=number(s, "excess-value", 1.0),
     )
 
 
@@ -227,11 +240,14 @@
         connect_timeout = seconds(number(limits, "connect-timeout", 0.0)) or 1.0
         return SocketSettings(
             type_names(s),
-            tuple(t.expiry for t in types),
-            tuple(t.effect is Effect.BINDING for t in types),
+            tuple(t.timeout for t in types),
+            tuple(t.idempotency is Idempotency.NON_IDEMPOTENT for t in types),
             # Guards against a machine that has vanished: waiting for it must not use up the promised time.
-            tuple(min(connect_timeout, CONNECT_PART * t.promised_time) for t in types),
-            tuple(t.memory_span if t.effect is Effect.FINGERPRINTED else math.inf for t in types),
+            tuple(min(connect_timeout, CONNECT_PART * t.latency_objective) for t in types),
+            tuple(
+                t.deduplication_window if t.idempotency is Idempotency.DEDUPLICATED else math.inf
+                for t in types
+            ),
             zones(s),
             seconds(number(limits, "conn-idle", 0.0)),
             seconds(needed(contract, "ask-within")),
--- a/rainspindle/routing/canary.py
+++ b/rainspindle/routing/canary.py
@@ -6,20 +6,25 @@
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from hashlib import blake2b
 
+from ..balancer.balancer import Balancer
+from ..balancer.host import (
+    BalancerHost,
+    EndpointStatus,
+    Idempotency,
+    LearnedState,
+    ListedEndpoint,
+    TrafficClass,
+)
 from ..decisions.canary.canary import Canary
-from ..host import Effect, Facts, Host, Listed, State, TrafficType
-from ..logic import Balancer
-from ..must import must
+from ..lazy_dataclasses import replace
 from ..protocol import peers
 from ..protocol.settings import SocketSettings
 from ..transport.address import Address
 from ..transport.loop import Coroutine, Loop
-from ..values import replace
 from .core import Back, Core, Directory, Final, Finished, Given, Left, Rejected, nothing
 from .facade import Decisions, Did, Facade
 
@@ -43,22 +48,10 @@
     types_on: int = 0  # its traffic type is the one so many further on
 
 
-class Taken(deque[float]):
-    """When exchanges were taken, for the budget of forwards: one that crosses is not taken twice."""
-
-    crossing = False
-
-    def append(self, at: float) -> None:
-        if self.crossing:
-            self.crossing = False
-        else:
-            super().append(at)
-
-
 class SideFacade(Facade):
     """The host of one side's module."""
 
-    def __init__(self, now: float, make: Callable[[Host], Decisions]) -> None:
+    def __init__(self, now: float, make: Callable[[BalancerHost], Decisions]) -> None:
         self.entering = Entering()  # of the exchange that is picked for next
         self.tried: dict[int, Tried] = {}
         self.spent_ones: set[int] = set()
@@ -78,15 +71,14 @@
     ) -> Did:
         entering, self.entering = self.entering, Entering()
         balancer = self.balancer
-        if entering.crossed and isinstance(balancer, Balancer) and balancer.further:
-            must(isinstance(balancer.further.taken, Taken), "the sides share one budget of forwards")
-            balancer.further.taken.crossing = True  # type: ignore[attr-defined]
+        if entering.crossed and isinstance(balancer, Balancer) and balancer.retry_budget:
+            balancer.retry_budget.skip_next_request()  # the sides share one budget, which has counted it
         did = super().pick(
             now, exchange, type_index + entering.types_on, key, expires_at, repeat, coming, tenant
         )
         if entering.forwards:
             # Guards against more forwards in all than the settings allow one exchange: it has this one.
-            balancer.body_spent(now, exchange)
+            balancer.on_body_consumed(exchange)
         return did
 
     def spent(self, now: float, exchange: int) -> None:
@@ -110,7 +102,7 @@
     """What a further core is made of. `takes` tells of each listed line whether it is this side's."""
 
     name: str
-    takes: Callable[[Listed], bool]
+    takes: Callable[[ListedEndpoint], bool]
     facade: SideFacade
     directory: Directory
     back: Back
@@ -143,15 +135,12 @@
         self.cores: dict[str, Core] = {"": self, **self.further}
         self.at: dict[str, str] = {}  # the side of each endpoint that is listed
         self.out: set[str] = set()  # left out by order of the staff
-        self.budget = None
         old = facade.balancer
-        if isinstance(old, Balancer) and old.further is not None:
-            old.further.taken = Taken(old.further.taken)
-            self.budget = old.further
+        budget = old.retry_budget if isinstance(old, Balancer) else None
         for name, core in self.further.items():
             beside = side_balancer(core)
             if beside is not None:
-                beside.further = self.budget
+                beside.retry_budget = budget
                 core.tell = self.teller(name)
         facade.hear_other = self.hear_other
 
@@ -163,20 +152,20 @@
     # The list.
 
     def list_changed(
-        self, lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
+        self, lines: tuple[ListedEndpoint, ...], addresses: dict[str, Address], whole: bool, stale: bool
     ) -> None:
-        parts: dict[str, list[Listed]] = {name: [] for name in self.cores}
+        parts: dict[str, list[ListedEndpoint]] = {name: [] for name in self.cores}
         for line in lines:
             before = self.at.get(line.id)
             # What is going may be told without its kind: it goes where it is.
-            if before is not None and line.state is not State.READY:
+            if before is not None and line.status is not EndpointStatus.READY:
                 side = before
             else:
                 side = next((name for name, s in self.sides.items() if s.takes(line)), "")
             parts[side].append(line)
             if before is not None and before != side and not whole:
-                parts[before].append(replace(line, state=State.GONE))
-            if line.state is State.GONE:
+                parts[before].append(replace(line, status=EndpointStatus.GONE))
+            if line.status is EndpointStatus.GONE:
                 self.at.pop(line.id, None)
             else:
                 self.at[line.id] = side
@@ -222,10 +211,10 @@
                 core.apply(core.facade.heard(now, who, message[len(prefix(name)) :]))
                 self.share_rates(now, who, name)
                 return True
-        if message.startswith(peers.FACTS):
+        if message.startswith(peers.LEARNED_STATE):
             old = side_balancer(self)
             if old is not None:
-                peers.hear(old.pool, now, who, message)
+                peers.receive(old.peer_load, now, who, message)
                 self.share_rates(now, who, "")
                 return True
         return False
@@ -233,18 +222,21 @@
     def share_rates(self, now: float, who: str, name: str) -> None:
         """Guards against a tenant that asks less of each side than it may ask of all."""
         source = side_balancer(self.cores[name])
-        told = source.pool.facts.get(who) if source is not None else None
+        told = source.peer_load.learned.get(who) if source is not None else None
         for other, core in self.cores.items():
             beside = side_balancer(core)
             if other != name and beside is not None and told is not None:
-                beside.pool.learnt(now, f"{who}~{name}", Facts(told[1].rates, {}))
+                beside.peer_load.on_learned_state(
+                    now, f"{who}~{name}", LearnedState(told.state.request_rates, {})
+                )
 
     def share_own_rates(self, now: float) -> None:
         for name, core in self.cores.items():
             source = side_balancer(core)
             for other, beside in ((o, side_balancer(c)) for o, c in self.cores.items()):
-                if other != name and source is not None and beside is not None and source.tells:
-                    beside.pool.learnt(now, f"{OWN_RATES}~{name}", Facts(tuple(source.rates), {}))
+                if other != name and source is not None and beside is not None and source.config.share_load:
+                    rates = tuple(source.quotas.rates)
+                    beside.peer_load.on_learned_state(now, f"{OWN_RATES}~{name}", LearnedState(rates, {}))
 
     # One exchange.
 
@@ -259,30 +251,26 @@
             tried = facade.forget(exchange)
         return final, tried
 
-    def may_cross(self, kind: TrafficType, final: Final, tried: Tried) -> bool:
+    def may_cross(self, kind: TrafficClass, final: Final, tried: Tried) -> bool:
         """Whether what one side turned away may go to another, by the rules and the budget that bind one
         module: a binding exchange only if it never ran, and no more forwards in all."""
         if (
             not isinstance(final, Rejected)
             or tried.spent
-            or (final.ran and kind.effect is not Effect.RETRIABLE)
+            or (final.ran and kind.idempotency is not Idempotency.IDEMPOTENT)
         ):
             return False
         balancer = side_balancer(self)
         if not tried.forwards or balancer is None:
             return True
-        return tried.forwards < balancer.max_forwards and (
-            self.budget is None
-            or self.budget.allows(
-                self.loop.now(), kind.value / balancer.most_value if balancer.most_value else 0.0
-            )
-        )
+        return balancer.allows_retry(kind, tried.forwards, self.loop.now())
 
     def cross(
         self, name: str, given: Given, gone: Callable[[], bool], tried: Tried, types_on: int = 0
     ) -> Coroutine[tuple[Final, Tried]]:
-        if tried.forwards and self.budget is not None:
-            self.budget.sent.append(self.loop.now())
+        balancer = side_balancer(self)
+        if tried.forwards and balancer is not None and balancer.retry_budget is not None:
+            balancer.retry_budget.record_retry(self.loop.now())
         return (yield from self.run_at(name, given, gone, Entering(True, tried.forwards, types_on)))
 
 
@@ -295,14 +283,12 @@
     return balancer if isinstance(balancer, Balancer) else None
 
 
-def add_types(core: SplitCore, changed: Callable[[int, TrafficType], TrafficType]) -> int:
+def add_types(core: SplitCore, changed: Callable[[int, TrafficClass], TrafficClass]) -> int:
     """Further traffic types for the module of the old side; how many further on each stands."""
     balancer = side_balancer(core)
     assert balancer is not None
-    first = list(balancer.types[: len(core.settings.type_names)])
-    on = len(balancer.types)
-    balancer.types = [*balancer.types, *(changed(n, kind) for n, kind in enumerate(first))]
-    return on
+    first = list(balancer.traffic_classes[: len(core.settings.type_names)])
+    return balancer.add_traffic_classes([changed(n, kind) for n, kind in enumerate(first)])
 
 
 @dataclass(frozen=True, slots=True)
@@ -318,7 +304,7 @@
     """Takes what fronts bring."""
 
     def __init__(
-        self, loop: Loop, core: SplitCore, types: Sequence[TrafficType], ready: Iterable[Ready]
+        self, loop: Loop, core: SplitCore, types: Sequence[TrafficClass], ready: Iterable[Ready]
     ) -> None:
         self.loop, self.core, self.types, self.ready = loop, core, types, list(ready)
         self.crossed = 0
@@ -354,7 +340,7 @@
         canary: Canary,
         new: bool,
         given: Given,
-        kind: TrafficType,
+        kind: TrafficClass,
         begun: float,
         final: Final,
         tried: Tried,
@@ -362,10 +348,10 @@
         """What an exchange tells of its side, by the time that it took itself."""
         now = self.loop.now()
         # The times of a body that came meanwhile are not known here: it can fail, but is never late.
-        late = given.expiry is None and now - begun > kind.promised_time
+        late = given.expiry is None and now - begun > kind.latency_objective
         if isinstance(final, Rejected) and not tried.forwards and self.apart[canary.terms.name]:
             canary.turned(now, new)  # the side had no room: no word on what runs there
         elif isinstance(final, Finished):
-            canary.ended(now, new, kind.effect, late)
+            canary.ended(now, new, kind.idempotency, late)
         elif not isinstance(final, Left) or late:
-            canary.ended(now, new, kind.effect, True)
+            canary.ended(now, new, kind.idempotency, True)
--- a/rainspindle/routing/core.py
+++ b/rainspindle/routing/core.py
@@ -11,13 +11,12 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..host import Listed, Outcome, State
-from ..logic import NEVER_RAN
-from ..must import must
+from ..balancer.host import NEVER_EXECUTED, AttemptOutcome, EndpointStatus, ListedEndpoint
+from ..invariants import check_invariant
+from ..lazy_dataclasses import dataclass, field
 from ..protocol.settings import SocketSettings
 from ..transport.address import Address
 from ..transport.loop import Coroutine, Loop, Task
-from ..values import dataclass, field
 from .facade import Did, Facade, Reject, SendThere, Step, Terminate
 
 ANSWER_TIME, ANSWER_PART = 0.015, 0.05  # kept back before the expiry to write the answer, the smaller one
@@ -92,7 +91,7 @@
 class Forwarded:
     """What came of one forward."""
 
-    outcome: Outcome
+    outcome: AttemptOutcome
     payload: Any = None  # of a served one
     lag: float = 0.0  # how long the answer lay unread
     broke: bool = False  # after a part of its answer had gone to the client: nothing more can be done
@@ -181,9 +180,6 @@
             if waiting is not None and waiting.out == number:
                 waiting.called_off = True
                 waiting.task.wake()
-        for endpoint in did.close_idle:
-            if endpoint in self.directory.addresses:
-                self.back.drop(endpoint, self.directory.addresses[endpoint])
         for message in did.told:
             self.tell(message)
         if did.watch:
@@ -200,7 +196,7 @@
                 (h.out is not None) + sum(isinstance(s, SendThere) for s in h.steps)
                 for h in self.held.values()
             )
-            must(out == self.facade.in_flight(), "the module believes in flight what is in flight")
+            check_invariant(out == self.facade.in_flight(), "the module believes in flight what is in flight")
             self.on_tick()
             self.looks_at = min(did.wake_at, self.loop.now() + 1.0)
             yield self.looks_at
@@ -208,11 +204,11 @@
     # The list.
 
     def list_changed(
-        self, lines: tuple[Listed, ...], addresses: dict[str, Address], whole: bool, stale: bool
+        self, lines: tuple[ListedEndpoint, ...], addresses: dict[str, Address], whole: bool, stale: bool
     ) -> None:
         directory = self.directory
         before = directory.addresses
-        gone = {line.id for line in lines if line.state is State.GONE}
+        gone = {line.id for line in lines if line.status is EndpointStatus.GONE}
         named = addresses if whole else {**before, **addresses}
         # Guards against growth: the ids of endpoints are ever new.
         directory.addresses = {id: address for id, address in named.items() if id not in gone}
@@ -220,12 +216,12 @@
             # Guards against connections to a machine that has vanished: they stay open and silent.
             if (
                 line.id in before
-                and line.started is not None
-                and line.started != directory.started.get(line.id)
+                and line.started_at is not None
+                and line.started_at != directory.started.get(line.id)
             ):
                 self.back.drop(line.id, before[line.id])
-            directory.started[line.id] = line.started
-            if line.state is State.DRAINING:
+            directory.started[line.id] = line.started_at
+            if line.status is EndpointStatus.DRAINING:
                 directory.draining.setdefault(line.id, self.loop.now())
             else:
                 directory.draining.pop(line.id, None)
@@ -342,7 +338,7 @@
             )
             while held.steps:
                 step = held.steps.popleft()
-                must(not held.steps, "one step at a time for an exchange")
+                check_invariant(not held.steps, "one step at a time for an exchange")
                 if isinstance(step, Reject):
                     return Rejected(step.hold_off, held.ran)
                 if isinstance(step, Terminate):
@@ -350,16 +346,16 @@
                 held.out, sent_at = step.number, self.loop.now()
                 address = self.directory.addresses.get(step.endpoint)
                 if address is None or step.endpoint in self.directory.left_out:
-                    came = Forwarded(Outcome.UNSENT)
+                    came = Forwarded(AttemptOutcome.NOT_SENT)
                 else:
                     until = min(self.loop.now() + step.patience, given.expires_at)
                     came = yield from self.back.forward(
                         given, step.endpoint, address, until, before, after, started
                     )
-                if came.outcome is not Outcome.SERVED and not came.broke:
+                if came.outcome is not AttemptOutcome.SERVED and not came.broke:
                     left()  # or the module would pick a further endpoint for nobody
                 held.out, held.called_off = None, False
-                if not held.ran and came.outcome not in NEVER_RAN:
+                if not held.ran and came.outcome not in NEVER_EXECUTED:
                     held.ran = True
                     held.repeat_until = sent_at + self.settings.memory_spans[given.type_index]
                 self.apply(
@@ -374,15 +370,15 @@
                 )
                 if held.left or came.broke:
                     return Left() if held.left else Broke()
-                if came.outcome is Outcome.SERVED:
+                if came.outcome is AttemptOutcome.SERVED:
                     return Finished(came.payload)
-            must(False, "an exchange is held with nothing sent")
+            check_invariant(False, "an exchange is held with nothing sent")
             return Terminated()
         except Exception as fault:  # a defect: the client still gets its one answer, the module forgets it
             self.loop.on_fault(fault)
             self.apply(self.facade.left(self.loop.now(), exchange))
             if held.out is not None:
-                self.facade.report(self.loop.now(), exchange, held.out, Outcome.CALLED_OFF, over=True)
+                self.facade.report(self.loop.now(), exchange, held.out, AttemptOutcome.CANCELLED, over=True)
             return Terminated()
         finally:
             del self.held[exchange]
--- a/rainspindle/routing/sites.py
+++ b/rainspindle/routing/sites.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from ..balancer.host import Idempotency, TrafficClass
 from ..decisions.sites.intake import Intake
 from ..decisions.sites.sites import Sites
-from ..host import Effect, TrafficType
 from ..transport.loop import Coroutine, Loop
 from .core import Core, Final, Finished, Given, Left, Rejected, Terminated
 
@@ -34,7 +34,7 @@
     """Takes what fronts bring."""
 
     def __init__(
-        self, loop: Loop, core: Core, sites: Sites, intake: Intake, types: list[TrafficType], one_group: bool
+        self, loop: Loop, core: Core, sites: Sites, intake: Intake, types: list[TrafficClass], one_group: bool
     ) -> None:
         """`one_group`: whether all sites together drop repeats of fingerprinted exchanges."""
         self.loop, self.core, self.sites, self.intake, self.types = loop, core, sites, intake, types
@@ -44,7 +44,7 @@
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
         kind, now = self.types[given.type_index], self.loop.now()
-        retriable = kind.effect is Effect.RETRIABLE
+        retriable = kind.idempotency is Idempotency.IDEMPOTENT
         route = self.sites.route(now, given.key, retriable)
         at, tried = route.site, list[str]()
         may_rerun = retriable
@@ -52,15 +52,15 @@
         while True:
             tried.append(at)
             # Each site is judged by the time that it took itself: what was slow elsewhere is not its fault.
-            promised_at = self.loop.now() + kind.promised_time
+            promised_at = self.loop.now() + kind.latency_objective
             if at == self.sites.own.name:
                 final = yield from self.here(given, gone)
                 good: bool | None = isinstance(final, Finished) and self.loop.now() <= promised_at
                 free = isinstance(final, Rejected) and (retriable or not final.ran)
             else:
                 self.crossed += 1
-                if self.one_group and kind.effect is Effect.FINGERPRINTED:
-                    may_rerun = self.loop.now() - now < kind.memory_span
+                if self.one_group and kind.idempotency is Idempotency.DEDUPLICATED:
+                    may_rerun = self.loop.now() - now < kind.deduplication_window
                 crossed = yield from self.peers[at].cross(given, gone, may_rerun)
                 good = isinstance(crossed, Finished) and self.loop.now() <= promised_at
                 free = False
@@ -82,7 +82,7 @@
             at = further
 
     def here(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
-        begun, promised = self.loop.now(), self.types[given.type_index].promised_time
+        begun, promised = self.loop.now(), self.types[given.type_index].latency_objective
         self.intake.own_began(begun)
         good = False
         try:
--- a/rainspindle/simhost/adapter.py
+++ b/rainspindle/simhost/adapter.py
@@ -9,25 +9,34 @@
 
 import orjson
 
+from ..balancer.balancer import Balancer
+from ..balancer.host import (
+    AttemptEnd,
+    AttemptOutcome,
+    EndpointListUpdate,
+    EndpointStatus,
+    IncomingRequest,
+    LearnedState,
+    ListedEndpoint,
+    Timer,
+)
 from ..errors import Trouble
-from ..host import Facts, Listed, Outcome, State
-from ..logic import Balancer
-from ..protocol.peers import encode_facts, encode_held, hear
+from ..protocol.peers import encode_learned_state, encode_load, receive
 from ..protocol.settings import make_balancer
 
 Message = dict[str, Any]
 
-STATES = {0: State.GONE, 1: State.DRAINING, 2: State.READY}
+STATES = {0: EndpointStatus.GONE, 1: EndpointStatus.DRAINING, 2: EndpointStatus.READY}
 CACHED, FAILED, FULL = 0, 1, 2
 OUTCOMES = {
-    "S": Outcome.SERVED,
-    "E": Outcome.ERROR,
-    "F": Outcome.FULL,
-    "T": Outcome.TIMED_OUT,
-    "C": Outcome.UNCONNECTED,
-    "R": Outcome.RESET,
-    "X": Outcome.CALLED_OFF,
-    "N": Outcome.UNSENT,
+    "S": AttemptOutcome.SERVED,
+    "E": AttemptOutcome.ERROR,
+    "F": AttemptOutcome.OVERLOADED,
+    "T": AttemptOutcome.TIMED_OUT,
+    "C": AttemptOutcome.NOT_CONNECTED,
+    "R": AttemptOutcome.RESET,
+    "X": AttemptOutcome.CANCELLED,
+    "N": AttemptOutcome.NOT_SENT,
 }
 
 
@@ -37,47 +46,39 @@
     remedy = "send one batch a line, as the simulator does"
 
 
-class SimHost:
-    """The Host of one instance: each act becomes an action in the reply under way."""
+class SimulatorHost:
+    """The host of one instance: each act becomes an action in the reply under way."""
 
     def __init__(self, instance: str, outbox: list[Message]) -> None:
-        self.instance, self.outbox = instance, outbox
+        self.instance = instance
+        self.outbox = outbox
 
     def act(self, name: str, **fields: object) -> None:
         self.outbox.append({"event_type": name, "sidecar-id": self.instance, **fields})
 
-    def forward(self, exchange: int, endpoint: str, patience: float) -> None:
-        self.act("Try", corr=exchange, endpoint=endpoint, patience=max(patience, 0.001) * 1000)
+    def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
+        self.act("Try", corr=request_id, endpoint=endpoint_id, patience=max(timeout, 0.001) * 1000)
 
-    def reject(self, exchange: int, hold_off: float) -> None:
-        self.act("Bounce", corr=exchange, **{"hold-off": hold_off * 1000})
+    def reject(self, request_id: int, retry_after: float) -> None:
+        self.act("Bounce", corr=request_id, **{"hold-off": retry_after * 1000})
 
-    def terminate(self, exchange: int) -> None:
-        self.act("FinishError", corr=exchange)
+    def fail(self, request_id: int) -> None:
+        self.act("FinishError", corr=request_id)
 
-    def call_off(self, exchange: int, number: int) -> None:
-        self.act("Retract", corr=exchange, **{"try": number})
+    def cancel_attempt(self, request_id: int, number: int) -> None:
+        self.act("Retract", corr=request_id, **{"try": number})
 
-    def wake(self, delay: float, token: str) -> None:
-        self.act("NotifyMe", wait=delay * 1000, ctx=token)
+    def schedule_timer(self, delay: float, timer: Timer) -> None:
+        self.act("NotifyMe", wait=delay * 1000, ctx=timer.value)
 
-    def probe(self, endpoint: str) -> None:
-        self.act("HealthCheck", endpoint=endpoint)
-
-    def watch_list(self) -> None:
+    def watch_endpoint_list(self) -> None:
         self.act("Tail", on=True)
 
-    def ask_list(self) -> None:
-        self.act("Refresh")
-
-    def close_idle(self, endpoint: str) -> None:
-        self.act("ShutIdle", endpoint=endpoint)
-
-    def tell_held(self, began: Sequence[int], ended: Sequence[int], whole: bool) -> None:
-        self.act("Share", target="all", payload=encode_held(began, ended, whole))
+    def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
+        self.act("Share", target="all", payload=encode_load(started, ended, complete))
 
-    def tell_facts(self, facts: Facts) -> None:
-        self.act("Share", target="all", payload=encode_facts(facts))
+    def publish_learned_state(self, state: LearnedState) -> None:
+        self.act("Share", target="all", payload=encode_learned_state(state))
 
     def log(self, line: str) -> None:
         self.act("Log", **{"reason-text": line})
@@ -86,7 +87,7 @@
 class Adapter:
     def __init__(self) -> None:
         self.instances: dict[str, Balancer] = {}
-        self.pages: dict[int, list[Listed]] = {}
+        self.pages: dict[int, list[ListedEndpoint]] = {}
         self.outbox: list[Message] = []
 
     def batch(self, line: bytes) -> bytes:
@@ -116,51 +117,55 @@
             return
         id = m["sidecar-id"]
         if name == "Hello":
-            self.instances[id] = make_balancer(SimHost(id, self.outbox), m["salt"], now, m["settings"])
+            self.instances[id] = make_balancer(SimulatorHost(id, self.outbox), m["salt"], now, m["settings"])
             return
         instance = self.instances.get(id)
         if instance is None:
             raise Fault(f"{name} for {id}, which was never started")
         match name:
             case "Incoming":
-                instance.exchange_arrived(
-                    now,
-                    m["corr"],
-                    m["lane"],
-                    m.get("route-key"),
-                    m["not-after"] / 1000,
-                    bool(m.get("repeat")),
-                    tenant=m.get("billing"),
-                )
+                instance.on_request_arrived(now, incoming_request(m))
             case "Verdict":
-                instance.forward_ended(now, m["corr"], m["try"], bool(m.get("over")), OUTCOMES[m["how"]])
+                end = AttemptEnd(m["corr"], m["try"], OUTCOMES[m["how"]], bool(m.get("over")))
+                instance.on_attempt_ended(now, end)
             case "DeadlineHit":
-                instance.woken(now, m["ctx"])
+                instance.on_timer(now, Timer(m["ctx"]))
             case "ClientLeft":
-                instance.client_left(now, m["corr"])
+                instance.on_client_disconnected(m["corr"])
             case "RosterChange" if m["mode"] == FAILED:
-                instance.list_failed(now)
+                instance.on_list_failed()
             case "RosterChange":
-                instance.list_changed(
-                    now, self.pages[m["page"]], whole=m["mode"] in (CACHED, FULL), stale=m["mode"] == CACHED
-                )
+                lines, mode = self.pages[m["page"]], m["mode"]
+                update = EndpointListUpdate(lines, mode in (CACHED, FULL), cached=mode == CACHED)
+                instance.on_list_changed(now, update)
             case "Flowing":
-                instance.answer_started(now, m["corr"], m["try"], m["duration"] / 1000)
+                instance.on_response_started(now, m["corr"], m["try"])
             case "CrashNow":
                 del self.instances[id]
             case "Memo":
                 with contextlib.suppress(ValueError):  # not from a sidecar of this release
-                    hear(instance.pool, now, str(m["who"]), m["payload"])
+                    receive(instance.peer_load, now, str(m["who"]), m["payload"])
             case "ProbeResult":
-                pass  # none are sent: the trials are real exchanges
+                pass  # none are sent: the trials are real requests
             case _:
                 raise Fault(f"an unknown message name {name!r}")
 
 
-def listed(entry: Message) -> Listed:
+def incoming_request(m: Message) -> IncomingRequest:
+    return IncomingRequest(
+        m["corr"],
+        m["lane"],
+        m.get("route-key"),
+        m["not-after"] / 1000,
+        is_client_retry=bool(m.get("repeat")),
+        tenant=m.get("billing"),
+    )
+
+
+def listed(entry: Message) -> ListedEndpoint:
     started = entry.get("start-time")
     share = entry.get("share")
-    return Listed(
+    return ListedEndpoint(
         entry["endpoint"],
         entry.get("block") or 0,
         entry.get("locality") or 0,
--- a/rainspindle/store/file.py
+++ b/rainspindle/store/file.py
@@ -9,7 +9,7 @@
 import zlib
 
 from ..errors import Trouble
-from ..values import dataclass
+from ..lazy_dataclasses import dataclass
 
 MAGIC = b"rainspin"
 HEADER = struct.Struct(">8sHIQI")  # magic, version, kind, length, checksum of all before it and the payload
--- a/rainspindle/store/generations.py
+++ b/rainspindle/store/generations.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from ..values import dataclass
+from ..lazy_dataclasses import dataclass
 from .file import Missing, Unfit
 
 MAGIC = b"rainkeep"
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -14,8 +14,22 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from rainspindle.host import Effect, Facts, Group, Listed, Outcome, State, TrafficType
-from rainspindle.logic import Balancer, ColdBudget
+from rainspindle.balancer.balancer import Balancer
+from rainspindle.balancer.config import BalancerConfig
+from rainspindle.balancer.host import (
+    AttemptEnd,
+    AttemptOutcome,
+    DeduplicationScope,
+    EndpointListUpdate,
+    EndpointStatus,
+    Idempotency,
+    IncomingRequest,
+    LearnedState,
+    ListedEndpoint,
+    Timer,
+    TrafficClass,
+)
+from rainspindle.balancer.slow_start import SlowStartBudget
 
 LEARNING = 12.0  # seconds of traffic before the endpoints start
 COLD_FROM, COLD = 0.15, 12.0  # the part of its capacity with which an endpoint starts; seconds until all
@@ -123,49 +137,41 @@
         case = self.play.case
         contract = case.contract
         promised = self.play.promised
-        types = [TrafficType(Effect.RETRIABLE, Group.ALL, promised, 4 * promised, 0.15)] * 2
-        self.balancer = Balancer(
-            self,
-            self.play.seed * 1009 + self.number * 31 + self.generation,
-            now,
-            peers=case.peers if case.peers is not None else case.sidecars,
-            zone=0,
-            types=types,
-            max_forwards=3,
-            parallel=False,
-            may_call_off=False,
-            max_hold_off=1.0,
-            asks_list=False,
-            ask_within=10.0,
-            use_shares=False,
-            cross_price=0.0,
-            budget=ColdBudget(contract.multiple, contract.window, COLD_FROM, COLD),
+        types = [
+            TrafficClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, promised, 4 * promised, 0.15)
+        ] * 2
+        config = BalancerConfig(
+            tuple(types),
+            SlowStartBudget(contract.multiple, contract.window, COLD_FROM, COLD),
+            sidecar_count=case.peers if case.peers is not None else case.sidecars,
+            max_attempts=3,
+            max_retry_after=1.0,
+            watch_list=False,
         )
+        seed = self.play.seed * 1009 + self.number * 31 + self.generation
+        self.balancer = Balancer(self, config, seed, now)
 
-    def tell(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
-        self.balancer.list_changed(now, lines, whole, stale=False)
+    def tell(self, now: float, lines: Sequence[ListedEndpoint], whole: bool) -> None:
+        self.balancer.on_list_changed(now, EndpointListUpdate(lines, complete=whole))
 
-    def forward(self, exchange: int, endpoint: str, patience: float) -> None:
-        self.play.forwarded(self, exchange, endpoint, patience)
+    def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
+        self.play.forwarded(self, request_id, endpoint_id, timeout)
 
-    def wake(self, delay: float, token: str) -> None:
+    def schedule_timer(self, delay: float, timer: Timer) -> None:
         generation = self.generation
 
-        def woken(now: float) -> None:
+        def fired(now: float) -> None:
             if generation == self.generation:
-                self.balancer.woken(now, token)
-
-        self.play.after(delay, woken)
-
-    def reject(self, exchange: int, hold_off: float) -> None: ...
-    def terminate(self, exchange: int) -> None: ...
-    def call_off(self, exchange: int, number: int) -> None: ...
-    def probe(self, endpoint: str) -> None: ...
-    def watch_list(self) -> None: ...
-    def ask_list(self) -> None: ...
-    def close_idle(self, endpoint: str) -> None: ...
-    def tell_held(self, began: Sequence[int], ended: Sequence[int], whole: bool) -> None: ...
-    def tell_facts(self, facts: Facts) -> None: ...
+                self.balancer.on_timer(now, timer)
+
+        self.play.after(delay, fired)
+
+    def reject(self, request_id: int, retry_after: float) -> None: ...
+    def fail(self, request_id: int) -> None: ...
+    def cancel_attempt(self, request_id: int, number: int) -> None: ...
+    def watch_endpoint_list(self) -> None: ...
+    def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None: ...
+    def publish_learned_state(self, state: LearnedState) -> None: ...
     def log(self, line: str) -> None: ...
 
 
@@ -207,15 +213,15 @@
     def after(self, delay: float, what: Callable[[float], None]) -> None:
         heapq.heappush(self.due, (self.now + delay, next(self.order), what))
 
-    def lines(self, ids: Sequence[str], started: float | None) -> list[Listed]:
-        return [Listed(id, 0, 0, 1.0, State.READY, started) for id in ids]
+    def lines(self, ids: Sequence[str], started: float | None) -> list[ListedEndpoint]:
+        return [ListedEndpoint(id, 0, 0, 1.0, EndpointStatus.READY, started) for id in ids]
 
-    def whole_list(self) -> list[Listed]:
+    def whole_list(self) -> list[ListedEndpoint]:
         if self.now >= self.began:
             return self.changed_list()
         return self.lines([*self.warm, *self.starting] if self.case.returning else self.warm, None)
 
-    def changed_list(self) -> list[Listed]:
+    def changed_list(self) -> list[ListedEndpoint]:
         return self.lines(self.warm[self.case.leaving :], None) + self.lines(self.starting, self.began)
 
     def run(self) -> Peak:
@@ -289,7 +295,8 @@
         mean = (2 + self.case.heavy) / 3
         length = self.random.lognormvariate(-(self.case.lengths**2) / 2, self.case.lengths)
         self.works[exchange] = key, (self.case.heavy if kind else 1.0) / mean * length
-        sidecar.balancer.exchange_arrived(now, exchange, kind, key, now + 4 * self.promised)
+        incoming = IncomingRequest(exchange, kind, key, now + 4 * self.promised)
+        sidecar.balancer.on_request_arrived(now, incoming)
 
     def forwarded(self, sidecar: Sidecar, exchange: int, endpoint: str, patience: float) -> None:
         (key, work), now, generation = self.works[exchange], self.now, sidecar.generation
@@ -303,9 +310,8 @@
 
         def ended(at: float) -> None:
             if generation == sidecar.generation:
-                sidecar.balancer.forward_ended(
-                    at, exchange, number, in_time, Outcome.SERVED if in_time else Outcome.TIMED_OUT
-                )
+                outcome = AttemptOutcome.SERVED if in_time else AttemptOutcome.TIMED_OUT
+                sidecar.balancer.on_attempt_ended(at, AttemptEnd(exchange, number, outcome, in_time))
 
         self.after(min(ends - now, patience), ended)
 
--- a/tests/discovery.py
+++ b/tests/discovery.py
@@ -15,14 +15,14 @@
 import select
 import socket
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
-from typing import Any, cast
+from dataclasses import dataclass
+from typing import cast
 
 import orjson
 import pytest
 
-from rainspindle.host import Listed, State
-from rainspindle.logic import Balancer
+from rainspindle.balancer.host import EndpointStatus, ListedEndpoint
+from rainspindle.balancer.list_backoff import ListBackoff
 from rainspindle.protocol.discovery import ListDecoder
 from rainspindle.routing import follow
 from rainspindle.routing.core import Core
@@ -346,46 +346,26 @@
     }
 
 
-@dataclass
-class Draw:
-    """What the module's draw of a pause goes by."""
-
-    ask_within: float
-    chance: Callable[[], float]
-    list_failures: int = 0
-    waits: list[float] = field(default_factory=list)
-
-    @property
-    def host(self) -> Draw:
-        return self
-
-    def log(self, text: str) -> None: ...
-
-    def wake(self, delay: float, token: str) -> None:
-        self.waits.append(delay)
-
-
 class ListKeeper:
     """In place of the core: notes when it is told that e0 drains or is gone, and draws the module's pause."""
 
     def __init__(self, loop: VirtualLoop, ask_within: float, chance: Callable[[], float]) -> None:
-        self.loop, self.draw = loop, Draw(ask_within, chance)
+        self.loop, self.backoff = loop, ListBackoff(ask_within, chance)
         self.told_at = math.inf
         self.want: Callable[[], None] = lambda: None
 
     def list_changed(
-        self, lines: Sequence[Listed], addresses: dict[str, Address], whole: bool, stale: bool
+        self, lines: Sequence[ListedEndpoint], addresses: dict[str, Address], whole: bool, stale: bool
     ) -> None:
-        self.draw.list_failures = 0
-        state = next((x.state for x in lines if x.id == "e0"), State.GONE if whole else None)
-        if state is not None and state is not State.READY:
+        self.backoff.record_success()
+        state = next((x.status for x in lines if x.id == "e0"), EndpointStatus.GONE if whole else None)
+        if state is not None and state is not EndpointStatus.READY:
             self.told_at = min(self.told_at, self.loop.time)
-        elif state is State.READY:
+        elif state is EndpointStatus.READY:
             self.told_at = math.inf
 
     def list_failed(self) -> None:
-        Balancer.list_failed(cast(Any, self.draw), self.loop.time)
-        self.loop.after(self.draw.waits.pop(), self.want)
+        self.loop.after(self.backoff.record_failure(), self.want)
 
 
 class Callers:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -12,11 +12,25 @@
 
 import h11
 
-from rainspindle.decisions.operation import left_out
+from rainspindle.balancer.balancer import Balancer
+from rainspindle.balancer.config import BalancerConfig, RetryLimits
+from rainspindle.balancer.host import (
+    NEVER_EXECUTED,
+    AttemptEnd,
+    AttemptOutcome,
+    DeduplicationScope,
+    EndpointListUpdate,
+    EndpointStatus,
+    Idempotency,
+    IncomingRequest,
+    LearnedState,
+    ListedEndpoint,
+    Timer,
+    TrafficClass,
+)
+from rainspindle.balancer.slow_start import SlowStartBudget
 from rainspindle.fronts.http1.back import HttpBack
 from rainspindle.fronts.http1.front import HttpFront
-from rainspindle.host import Effect, Facts, Group, Listed, Outcome, State, TrafficType
-from rainspindle.logic import NEVER_RAN, Balancer, ColdBudget, ForwardBudget
 from rainspindle.protocol.discovery import ListDecoder
 from rainspindle.protocol.settings import make_balancer, socket_settings
 from rainspindle.routing.core import Core, Directory
@@ -28,19 +42,23 @@
 MULTIPLE, WINDOW, COLD_FROM, COLD, GRACE = 2.5, 3.0, 0.15, 24.0, 0.5
 
 
-def kind(effect: Effect = Effect.RETRIABLE, group: Group = Group.ALL, value: float = 1.0) -> TrafficType:
-    return TrafficType(effect, group, 0.6, 2.0, 0.15, value)
+def kind(
+    effect: Idempotency = Idempotency.IDEMPOTENT,
+    group: DeduplicationScope = DeduplicationScope.ALL,
+    value: float = 1.0,
+) -> TrafficClass:
+    return TrafficClass(effect, group, 0.6, 2.0, 0.15, value)
 
 
 def line(
     n: int,
-    state: State = State.READY,
+    state: EndpointStatus = EndpointStatus.READY,
     started: float | None = None,
     zone: int | None = None,
     share: float = 1.0,
     machine: int = 0,
-) -> Listed:
-    return Listed(f"e{n}", n // 2, n % 2 if zone is None else zone, share, state, started, machine)
+) -> ListedEndpoint:
+    return ListedEndpoint(f"e{n}", n // 2, n % 2 if zone is None else zone, share, state, started, machine)
 
 
 @dataclass
@@ -48,15 +66,15 @@
     endpoint: str
     at: float
     patience: float
-    outcome: Outcome | None = None
+    outcome: AttemptOutcome | None = None
 
     def may_have_run(self) -> bool:
-        return self.outcome not in NEVER_RAN
+        return self.outcome not in NEVER_EXECUTED
 
 
 @dataclass
 class Held:
-    type: TrafficType
+    type: TrafficClass
     expires: float
     tenant: int | None = None
     sent: list[Sent] = field(default_factory=list)
@@ -68,8 +86,8 @@
 
     def __init__(
         self,
-        types: list[TrafficType],
-        lines: Iterable[Listed],
+        types: list[TrafficClass],
+        lines: Iterable[ListedEndpoint],
         *,
         parallel: bool = False,
         max_forwards: int = 4,
@@ -88,66 +106,63 @@
         self.max_forwards = max_forwards
         self.further, self.arrived, self.went_again = further, list[float](), list[float]()
         self.types, self.held = types, dict[int, Held]()
-        self.told: dict[str, Listed] = {}
+        self.told: dict[str, ListedEndpoint] = {}
         self.told_unready: dict[str, float] = {}
         self.cold_sent: dict[str, list[float]] = {}
         self.left_out: set[str] = set()
         self.put_back_at: dict[str, float] = {}
         self.timers: list[tuple[float, str]] = []
-        self.told_peers: list[tuple[Sequence[int], Sequence[int], bool] | Facts] = []
+        self.told_peers: list[tuple[Sequence[int], Sequence[int], bool] | LearnedState] = []
         self.logs: list[str] = []
         self.watches, self.held_off = 0, -1.0
         self.called_off: list[tuple[int, int]] = []
-        self.balancer = Balancer(
-            self,
-            seed,
-            self.now,
-            peers=peers,
-            zone=0,
-            types=types,
-            max_forwards=max_forwards,
-            parallel=parallel,
-            may_call_off=call_off,
-            max_hold_off=1.0,
-            asks_list=True,
-            ask_within=10.0,
-            use_shares=shares,
-            cross_price=cross_price,
-            budget=ColdBudget(MULTIPLE, WINDOW, COLD_FROM, COLD),
-            further=ForwardBudget(*further) if further else None,
+        config = BalancerConfig(
+            tuple(types),
+            SlowStartBudget(MULTIPLE, WINDOW, COLD_FROM, COLD),
+            sidecar_count=peers,
+            max_attempts=max_forwards,
+            parallel_attempts=parallel,
+            can_cancel=call_off,
+            max_retry_after=1.0,
+            use_listed_weights=shares,
+            cross_zone_price=cross_price,
+            retry_limits=RetryLimits(*further) if further else None,
             **pool,
         )
+        self.balancer = Balancer(self, config, seed, self.now)
         self.tell(lines, whole=True)
 
     # What can happen.
 
-    def tell(self, lines: Iterable[Listed], whole: bool = False) -> None:
+    def tell(self, lines: Iterable[ListedEndpoint], whole: bool = False) -> None:
         lines = list(lines)
         named = {x.id: x for x in lines}
         if whole:
             for id, known in self.told.items():
-                named.setdefault(id, Listed(id, known.cell, known.zone, 1.0, State.GONE, known.started))
+                named.setdefault(
+                    id, ListedEndpoint(id, known.cell, known.zone, 1.0, EndpointStatus.GONE, known.started_at)
+                )
         for id, x in named.items():
-            if x.state is State.READY:
+            if x.status is EndpointStatus.READY:
                 self.told_unready.pop(id, None)
             else:
                 self.told_unready.setdefault(id, self.now)
-            if x.started and (id not in self.told or self.told[id].started != x.started):
+            if x.started_at and (id not in self.told or self.told[id].started_at != x.started_at):
                 self.cold_sent[id] = []
             self.told[id] = x
-        self.balancer.list_changed(self.now, lines, whole, stale=False)
+        self.balancer.on_list_changed(self.now, EndpointListUpdate(lines, whole))
         self.check()
 
     def leave_out(self, id: str) -> None:
         self.left_out.add(id)
-        left_out.disable(self.balancer, self.now, id)
+        self.balancer.disable_endpoint(id)
         self.check()
 
     def put_back(self, id: str) -> None:
         if id in self.left_out:
             self.left_out.remove(id)
             self.put_back_at[id], self.cold_sent[id] = self.now, []
-        left_out.enable(self.balancer, self.now, id)
+        self.balancer.enable_endpoint(self.now, id)
         self.check()
 
     def arrive(
@@ -161,22 +176,24 @@
     ) -> Held:
         held = self.held[id] = Held(self.types[type_index], self.now + wait, tenant)
         self.arrived.append(self.now)
-        self.balancer.exchange_arrived(self.now, id, type_index, key, held.expires, repeat, tenant=tenant)
+        incoming = IncomingRequest(id, type_index, key, held.expires, repeat, tenant=tenant)
+        self.balancer.on_request_arrived(self.now, incoming)
         self.check()
         return held
 
-    def end(self, id: int, number: int, outcome: Outcome) -> None:
+    def end(self, id: int, number: int, outcome: AttemptOutcome) -> None:
         held = self.held[id]
         assert held.sent[number].outcome is None
         held.sent[number].outcome = outcome
-        if outcome is Outcome.SERVED and held.answer is None:
+        if outcome is AttemptOutcome.SERVED and held.answer is None:
             held.answer = "finished"
-        self.balancer.forward_ended(self.now, id, number, held.answer is not None, outcome)
+        end = AttemptEnd(id, number, outcome, held.answer is not None)
+        self.balancer.on_attempt_ended(self.now, end)
         self.check()
 
     def leave(self, id: int) -> None:
         self.held[id].answer = self.held[id].answer or "left"
-        self.balancer.client_left(self.now, id)
+        self.balancer.on_client_disconnected(id)
         self.check()
 
     def wait(self, seconds: float) -> None:
@@ -196,18 +213,18 @@
             at, timed_out, name, number = min(due)
             self.now = max(self.now, at)
             if timed_out:
-                self.end(int(name), number, Outcome.TIMED_OUT)
+                self.end(int(name), number, AttemptOutcome.TIMED_OUT)
             else:
                 self.timers.remove((at, name))
-                self.balancer.woken(self.now, name)
+                self.balancer.on_timer(self.now, Timer(name))
                 self.check()
         self.now = until
 
-    def tell_held(self, began: Sequence[int], ended: Sequence[int], whole: bool) -> None:
-        self.told_peers.append((began, ended, whole))
+    def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
+        self.told_peers.append((started, ended, complete))
 
-    def tell_facts(self, facts: Facts) -> None:
-        self.told_peers.append(facts)
+    def publish_learned_state(self, state: LearnedState) -> None:
+        self.told_peers.append(state)
 
     def open(self) -> list[tuple[int, int]]:
         return [(id, n) for id, h in self.held.items() for n, s in enumerate(h.sent) if s.outcome is None]
@@ -223,12 +240,13 @@
         assert held.answer is None, "rule 1: a second final answer"
         ran = [s for s in held.sent if s.may_have_run()]
         if answer == "rejected" and ran:
-            assert held.type.effect is Effect.RETRIABLE or (
-                held.type.effect is Effect.FINGERPRINTED and held.type.group is Group.ALL
+            assert held.type.idempotency is Idempotency.IDEMPOTENT or (
+                held.type.idempotency is Idempotency.DEDUPLICATED
+                and held.type.deduplication_scope is DeduplicationScope.ALL
             ), "rule 2: rejected"
         held.answer = answer
 
-    def forward(self, exchange: int, endpoint: str, patience: float) -> None:
+    def send_attempt(self, exchange: int, endpoint: str, patience: float) -> None:
         held = self.held[exchange]
         assert held.answer is None and self.now < held.expires, "rule 1: sent after the end"
         assert len(held.sent) < self.max_forwards
@@ -236,15 +254,19 @@
         assert self.parallel or all(s.outcome for s in held.sent), "rule 2: two at once"
         if ran:
             first, to = self.told[ran[0].endpoint], self.told[endpoint]
-            assert held.type.effect is not Effect.BINDING, "rule 2: a binding exchange went again"
-            if held.type.effect is Effect.FINGERPRINTED:
-                assert self.now - ran[0].at < held.type.memory_span, "rule 2: past the memory span"
-                assert held.type.group is Group.ALL or (
-                    first.zone == to.zone if held.type.group is Group.ZONE else first.cell == to.cell
+            assert held.type.idempotency is not Idempotency.NON_IDEMPOTENT, (
+                "rule 2: a binding exchange went again"
+            )
+            if held.type.idempotency is Idempotency.DEDUPLICATED:
+                assert self.now - ran[0].at < held.type.deduplication_window, "rule 2: past the memory span"
+                assert held.type.deduplication_scope is DeduplicationScope.ALL or (
+                    first.zone == to.zone
+                    if held.type.deduplication_scope is DeduplicationScope.ZONE
+                    else first.cell == to.cell
                 ), "rule 2: outside the group"
         assert endpoint not in self.told_unready, "rule 3: sent to an endpoint that is not ready"
         assert endpoint not in self.left_out, "rule 3: sent to an endpoint that the staff left out"
-        started = max(self.told[endpoint].started or -1e9, self.put_back_at.get(endpoint, -1e9))
+        started = max(self.told[endpoint].started_at or -1e9, self.put_back_at.get(endpoint, -1e9))
         if self.now - started < COLD and self.audits_cold:
             sent = self.cold_sent[endpoint]
             sent.append(self.now)
@@ -260,9 +282,9 @@
 
     def fair_share(self, age: float) -> float:
         """What one sidecar may send a cold endpoint: that multiple of what it has seen warm ones answer."""
-        served = sum(s.outcome is Outcome.SERVED for h in self.held.values() for s in h.sent)
+        served = sum(s.outcome is AttemptOutcome.SERVED for h in self.held.values() for s in h.sent)
         warm = sum(
-            e.state is State.READY and not (e.started and self.now - e.started < COLD)
+            e.status is EndpointStatus.READY and not (e.started_at and self.now - e.started_at < COLD)
             for e in self.told.values()
         )
         ready = len(self.told) - len(self.told_unready)
@@ -276,28 +298,19 @@
         self.held_off = hold_off
         self.final(exchange, "rejected")
 
-    def terminate(self, exchange: int) -> None:
+    def fail(self, exchange: int) -> None:
         self.final(exchange, "terminated")
 
-    def call_off(self, exchange: int, number: int) -> None:
+    def cancel_attempt(self, exchange: int, number: int) -> None:
         assert self.may_call_off and self.held[exchange].sent[number].outcome is None
         self.called_off.append((exchange, number))
 
-    def wake(self, delay: float, token: str) -> None:
-        self.timers.append((self.now + delay, token))
+    def schedule_timer(self, delay: float, timer: Timer) -> None:
+        self.timers.append((self.now + delay, timer.value))
 
-    def probe(self, endpoint: str) -> None:
-        raise AssertionError("the trials are real exchanges")
-
-    def watch_list(self) -> None:
-        self.watches += 1
-
-    def ask_list(self) -> None:
+    def watch_endpoint_list(self) -> None:
         self.watches += 1
 
-    def close_idle(self, endpoint: str) -> None:
-        raise AssertionError("connections are left to the host")
-
     def log(self, line: str) -> None:
         assert "\n" not in line and len(line) < 120
         self.logs.append(line)
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -16,6 +16,7 @@
 import functools
 import hashlib
 import importlib
+import importlib.util
 import json
 import os
 import shutil
@@ -95,27 +96,37 @@
 
 
 def pool() -> Iterator[Form]:
-    from rainspindle.host import Facts
+    module = there("protocol.peers")
+    for name in named("pool-"):
+        yield Form(
+            name,
+            write_pool_message if is_this_build() else write_older_pool_message,
+            read_pool_message if is_this_build() else read_older_pool_message,
+            (ValueError,),
+            module=module.__name__,
+            grows=False,
+        )
+
+
+def write_pool_message(value: dict[str, Any]) -> bytes:
+    from rainspindle.balancer.host import KindEstimate, LearnedState
     from rainspindle.protocol import peers
 
-    def write(value: dict[str, Any]) -> bytes:
-        if "rates" in value:
-            return peers.encode_facts(
-                Facts(
-                    tuple(value["rates"]),
-                    {int(kind): (time, free) for kind, (time, free) in value["kinds"].items()},
-                )
-            ).encode()
-        return peers.encode_held(value["began"], value["ended"], value["whole"]).encode()
+    if "rates" in value:
+        kinds = {int(kind): KindEstimate(*estimate) for kind, estimate in value["kinds"].items()}
+        return peers.encode_learned_state(LearnedState(tuple(value["rates"]), kinds)).encode()
+    return peers.encode_load(value["began"], value["ended"], value["whole"]).encode()
 
-    def read(data: bytes) -> dict[str, Any]:
-        told = peers.decode(data.decode())
-        if isinstance(told, Facts):
-            return {"rates": list(told.rates), "kinds": {str(k): list(v) for k, v in told.kinds.items()}}
-        return {"began": told.began, "ended": told.ended, "whole": told.whole}
 
-    for name in named("pool-"):
-        yield Form(name, write, read, (ValueError,), module=peers.__name__, grows=False)
+def read_pool_message(data: bytes) -> dict[str, Any]:
+    from rainspindle.balancer.host import LearnedState
+    from rainspindle.protocol import peers
+
+    found = peers.decode(data.decode())
+    if isinstance(found, LearnedState):
+        kinds = {str(kind): [one.unloaded_time, one.concurrency] for kind, one in found.kinds.items()}
+        return {"rates": list(found.request_rates), "kinds": kinds}
+    return {"began": found.started, "ended": found.ended, "whole": found.complete}
 
 
 # Cells.
@@ -235,8 +246,6 @@
     from rainspindle.decisions.canary import terms
     from rainspindle.decisions.members import table
     from rainspindle.decisions.shared import cells
-    from rainspindle.host import Listed, State
-    from rainspindle.logic import Endpoint
     from rainspindle.protocol import members as wire
     from rainspindle.protocol import wallet as words
 
@@ -257,7 +266,7 @@
         "cell-mark": lambda owner, name, life, number: cells.Cell(owner, name, life, number, b"").mark,
         "cell-part": cells.part,
         "wallet-cells": words.pair_cell,
-        "endpoint-mark": lambda id: Endpoint(Listed(id, 0, 0, 1.0, State.READY, None), 0.1).mark,
+        "endpoint-mark": there("balancer.endpoint").endpoint_mark if is_this_build() else older_endpoint_mark,
     }
     for name, rule in rules.items():
 
@@ -393,16 +402,80 @@
 
 
 def taken(given: dict[str, Any]) -> bytes:
-    """What a module that has taken this over would hand on itself."""
+    """What a balancer that has taken this over would hand on itself."""
     import orjson
 
     from rainspindle.decisions.operation import learnt
-    from rainspindle.host import Effect, Group, Listed, State, TrafficType
-    from rainspindle.logic import Balancer, ColdBudget
 
-    now, host, kind = 1024.0, Still(), TrafficType(Effect.RETRIABLE, Group.ALL, 0.6, 2.0, 0.15)
-    balancer = Balancer(
-        host,
+    now = 1024.0
+    balancer = make_balancer(now) if is_this_build() else make_older_balancer(now)
+    learnt.take(balancer, now, given["learnt"])
+    return orjson.dumps({"at": given["at"], "learnt": learnt.give(balancer, now)})
+
+
+def make_balancer(now: float) -> Any:
+    from rainspindle.balancer.balancer import Balancer
+    from rainspindle.balancer.config import BalancerConfig
+    from rainspindle.balancer.host import (
+        DeduplicationScope,
+        EndpointListUpdate,
+        EndpointStatus,
+        Idempotency,
+        ListedEndpoint,
+        TrafficClass,
+    )
+    from rainspindle.balancer.slow_start import SlowStartBudget
+
+    traffic_class = TrafficClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.6, 2.0, 0.15)
+    config = BalancerConfig(
+        (traffic_class,),
+        SlowStartBudget(2.5, 3.0, 0.15, 24.0),
+        max_attempts=4,
+        can_cancel=True,
+        max_retry_after=1.0,
+        use_listed_weights=True,
+        cross_zone_price=0.02,
+    )
+    host: Any = Still()
+    balancer = Balancer(host, config, 1, now)
+    listed = ListedEndpoint("e0", 0, 0, 1.0, EndpointStatus.READY, now - 64.0)
+    balancer.on_list_changed(now, EndpointListUpdate([listed], complete=True))
+    return balancer
+
+
+# Of builds before the package `balancer`: the same by their names.
+
+
+def is_this_build() -> bool:
+    return importlib.util.find_spec("rainspindle.balancer") is not None
+
+
+def write_older_pool_message(value: dict[str, Any]) -> bytes:
+    peers, host = there("protocol.peers"), there("host")
+    if "rates" in value:
+        kinds = {int(kind): tuple(estimate) for kind, estimate in value["kinds"].items()}
+        return bytes(peers.encode_facts(host.Facts(tuple(value["rates"]), kinds)).encode())
+    return bytes(peers.encode_held(value["began"], value["ended"], value["whole"]).encode())
+
+
+def read_older_pool_message(data: bytes) -> dict[str, Any]:
+    peers, host = there("protocol.peers"), there("host")
+    found = peers.decode(data.decode())
+    if isinstance(found, host.Facts):
+        return {"rates": list(found.rates), "kinds": {str(k): list(v) for k, v in found.kinds.items()}}
+    return {"began": found.began, "ended": found.ended, "whole": found.whole}
+
+
+def older_endpoint_mark(id: str) -> int:
+    host, logic = there("host"), there("logic")
+    return int(logic.Endpoint(host.Listed(id, 0, 0, 1.0, host.State.READY, None), 0.1).mark)
+
+
+def make_older_balancer(now: float) -> Any:
+    host, logic = there("host"), there("logic")
+    kind = host.TrafficType(host.Effect.RETRIABLE, host.Group.ALL, 0.6, 2.0, 0.15)
+    balancer = logic.Balancer(
+        Still(),
         1,
         now,
         peers=1,
@@ -416,12 +489,12 @@
         ask_within=10.0,
         use_shares=True,
         cross_price=0.02,
-        budget=ColdBudget(2.5, 3.0, 0.15, 24.0),
+        budget=logic.ColdBudget(2.5, 3.0, 0.15, 24.0),
         further=None,
     )
-    balancer.list_changed(now, [Listed("e0", 0, 0, 1.0, State.READY, now - 64.0)], True, stale=False)
-    learnt.take(balancer, now, given["learnt"])
-    return orjson.dumps({"at": given["at"], "learnt": learnt.give(balancer, now)})
+    listed = host.Listed("e0", 0, 0, 1.0, host.State.READY, now - 64.0)
+    balancer.list_changed(now, [listed], True, stale=False)
+    return balancer
 
 
 def rows() -> Iterator[Form]:
