--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -12,17 +12,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rainspindle.balancer.balancer import Balancer
+from rainspindle.balancer.host import AttemptOutcome, Idempotency
+from rainspindle.balancer.host import EndpointStatus as Lifecycle
 from rainspindle.decisions.canary import counts
 from rainspindle.decisions.canary.canary import Canary, NoRun, RunAborted, RunUnderWay
 from rainspindle.decisions.canary.state import State, decode
 from rainspindle.decisions.canary.terms import Step, Terms, point
 from rainspindle.decisions.shared.cells import MOST_VALUE, Cells
 from rainspindle.errors import Trouble
-from rainspindle.host import Effect, Outcome
-from rainspindle.host import State as Lifecycle
 from rainspindle.lab.canary_net import Net, Traffic
 from rainspindle.lab.canary_pair import Pair, line
-from rainspindle.logic import Balancer
 from rainspindle.program.fleet.canary import CanaryPart, unfit
 from rainspindle.routing.canary import SplitCore
 from rainspindle.routing.core import Finished, Rejected
@@ -298,7 +298,7 @@
     assert net.nodes["s3"].canary.part(net.now) == 0.0 and net.nodes["s0"].canary.part(net.now) == 0.05
 
 
-Bad = Callable[[bool, Effect, float], float]
+Bad = Callable[[bool, Idempotency, float], float]
 
 
 def judged(
@@ -327,7 +327,7 @@
             id="fails only at 25% of load",
         ),
         pytest.param(
-            lambda new, effect, part: 0.2 if new and effect is Effect.BINDING else 0.001,
+            lambda new, effect, part: 0.2 if new and effect is Idempotency.NON_IDEMPOTENT else 0.001,
             5,
             20.0,
             id="fails only for binding exchanges",
@@ -345,7 +345,7 @@
     net, traffic = judged(bad, size, rate)
     assert set(stand(net)) & {"paused", "aborted"}, net.nodes["s0"].canary.report(net.now)
     assert max(node.canary.state.stage for node in net.nodes.values()) <= 1
-    if bad(True, Effect.BINDING, 0.0) > bad(True, Effect.RETRIABLE, 0.0):
+    if bad(True, Idempotency.NON_IDEMPOTENT, 0.0) > bad(True, Idempotency.IDEMPOTENT, 0.0):
         assert any(node.canary.note.startswith("binding") for node in net.nodes.values())
     # A sidecar alone would not know: it has seen too few.
     least = min(node.canary.harmed for node in net.nodes.values())
@@ -374,12 +374,12 @@
     net = begun(size=2)
     a, b = net.nodes["s0"], net.nodes["s1"]
     for _ in range(40):
-        b.canary.ended(net.now, True, Effect.BINDING, True)
+        b.canary.ended(net.now, True, Idempotency.NON_IDEMPOTENT, True)
     b.canary.tell(net.now)
     cell = b.cells.named("canary/c")["s1"].cell
     place = counts.at(True, 2, True)
     for _ in range(40):
-        b.canary.ended(net.now, True, Effect.BINDING, True)
+        b.canary.ended(net.now, True, Idempotency.NON_IDEMPOTENT, True)
     b.canary.tell(net.now)
     newer = b.cells.named("canary/c")["s1"].cell
     a.canary.heard_counts(net.now, "s1", newer.life, newer.sequence, newer.value)
@@ -432,8 +432,8 @@
 # The cores beside each other.
 
 
-def fine(endpoint: str) -> tuple[Outcome, float]:
-    return Outcome.SERVED, 0.02
+def fine(endpoint: str) -> tuple[AttemptOutcome, float]:
+    return AttemptOutcome.SERVED, 0.02
 
 
 OLD, NEW = {"e0", "e2", "e4"}, {"e1", "e3", "e5"}
@@ -468,25 +468,25 @@
     assert {at for _, at in pair.sent} <= OLD, "all keys are back at once"
 
 
-def dead(outcome: Outcome) -> Callable[[str], tuple[Outcome, float]]:
-    return lambda endpoint: (outcome if endpoint in NEW else Outcome.SERVED, 0.01)
+def dead(outcome: AttemptOutcome) -> Callable[[str], tuple[AttemptOutcome, float]]:
+    return lambda endpoint: (outcome if endpoint in NEW else AttemptOutcome.SERVED, 0.01)
 
 
 def test_all_endpoints_of_the_new_side_die_and_keys_go_back() -> None:
     """Hard case; and a binding exchange is repeated no more than ever."""
-    pair = Pair(dead(Outcome.UNCONNECTED), kind="new")
+    pair = Pair(dead(AttemptOutcome.NOT_CONNECTED), kind="new")
     pair.start()
     for key in pair.in_canary()[:3]:
         pair.sent.clear()
         assert isinstance(pair.exchange(key, 1), Finished), "it never ran there"
         assert len(pair.sent) <= 3, "no more forwards in all than one exchange may have"
-    pair = Pair(lambda endpoint: (Outcome.UNCONNECTED, 0.01), kind="new")
+    pair = Pair(lambda endpoint: (AttemptOutcome.NOT_CONNECTED, 0.01), kind="new")
     pair.start()
     for key in pair.in_canary()[:3]:
         pair.sent.clear()
         assert isinstance(pair.exchange(key, 1), Rejected)
         assert len(pair.sent) <= 3, "nor where the old side fails too"
-    pair = Pair(dead(Outcome.RESET), kind="new")
+    pair = Pair(dead(AttemptOutcome.RESET), kind="new")
     pair.start()
     pair.exchange(pair.in_canary()[5], 2)
     assert {at for _, at in pair.sent} <= NEW, "nor does a fingerprinted one leave its group"
@@ -499,7 +499,7 @@
 
 def test_the_budget_of_forwards_binds_over_both_sides() -> None:
     pair = Pair(
-        dead(Outcome.UNCONNECTED),
+        dead(AttemptOutcome.NOT_CONNECTED),
         {"budget-free": 4.0, "repeat-ratio": 0.0, "counted-over": 6e4},
         forwards=2,
         kind="new",
@@ -512,8 +512,11 @@
         further += max(0, len(pair.sent) - 1)
     assert further == 2 and pair.run.router is not None and pair.run.router.crossed >= 2
     old = pair.core.facade.balancer
-    assert isinstance(old, Balancer) and old.further is not None
-    assert len(old.further.taken) == pair.core.taken + pair.core.further["c"].taken - pair.run.router.crossed
+    assert isinstance(old, Balancer) and old.retry_budget is not None
+    assert (
+        old.retry_budget.counted_requests
+        == pair.core.taken + pair.core.further["c"].taken - pair.run.router.crossed
+    )
 
 
 def test_in_a_pool_each_side_hears_its_like_and_both_what_tenants_ask() -> None:
@@ -528,23 +531,25 @@
         other.core.apply(other.core.facade.heard(other.loop.now(), "pair", message))
     for core, like in ((other.core, "pair"), (other.core.further["c"], "pair")):
         balancer = core.facade.balancer
-        assert isinstance(balancer, Balancer) and like in balancer.pool.words
-        assert {"pair~", "pair~c"} & balancer.pool.facts.keys()
+        assert isinstance(balancer, Balancer) and like in balancer.peer_load.reports
+        assert {"pair~", "pair~c"} & balancer.peer_load.learned.keys()
     other.core.peer_gone("pair")
     for core in other.core.cores.values():
         balancer = core.facade.balancer
         assert isinstance(balancer, Balancer)
-        assert not any(who.startswith("pair") for who in (*balancer.pool.words, *balancer.pool.facts))
+        assert not any(
+            who.startswith("pair") for who in (*balancer.peer_load.reports, *balancer.peer_load.learned)
+        )
 
 
 def test_a_canary_of_a_setting_is_one_module_and_another_traffic_type() -> None:
-    def slow(endpoint: str) -> tuple[Outcome, float]:
-        return Outcome.SERVED, 0.5
+    def slow(endpoint: str) -> tuple[AttemptOutcome, float]:
+        return AttemptOutcome.SERVED, 0.5
 
     pair = Pair(slow, setting={"traffic_type": "read", "promised_time": 200})
     balancer = pair.core.facade.balancer
     assert isinstance(balancer, Balancer) and not pair.core.further
-    assert [t.promised_time for t in balancer.types] == [0.6, 0.6, 0.6, 0.2, 0.6, 0.6]
+    assert [t.latency_objective for t in balancer.traffic_classes] == [0.6, 0.6, 0.6, 0.2, 0.6, 0.6]
     pair.start()
     for key in (*pair.in_canary()[:4], *pair.in_canary(False)[:4]):
         pair.exchange(key)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -133,12 +133,15 @@
     rig.serve_all()
     assert warm.status() == 200
     rig.wait(0.1)  # the kept connection has rested
-    counted, sent_at = rig.balancer.counted, rig.balancer.endpoints["e0"].sent_at
+    counted, sent_at = rig.balancer.popularity.total, rig.balancer.registry.by_id["e0"].last_sent_at
     warm.send(ask("late"))
     rig.loop.step()  # the request has been seen, and the coroutine has not gone on
     warm.close()
     assert rig.got() == [] and nothing_is_held(rig)
-    assert (rig.balancer.counted, rig.balancer.endpoints["e0"].sent_at) == (counted, sent_at)
+    assert (rig.balancer.popularity.total, rig.balancer.registry.by_id["e0"].last_sent_at) == (
+        counted,
+        sent_at,
+    )
     assert rig.pool.open == sum(map(len, rig.pool.idle.values())) == 1
 
 
@@ -173,14 +176,14 @@
     client.send(ask("first"))
     rig.settle()
     turned_away = only(rig.got())
-    credits_before = [e.credit for e in rig.balancer.endpoints.values()]
+    credits_before = [e.retry_credit for e in rig.balancer.registry.by_id.values()]
     client.sock.sendall(ask("second"))
     rig.loop.settle()
     turned_away.answer(503, headers="X-Not-Processed: 1\r\n")
     rig.loop.step()  # the answer has been seen, and the coroutine has not gone on
     go(client.sock)
     assert rig.got() == [] and nothing_is_held(rig)
-    assert [e.credit for e in rig.balancer.endpoints.values()] == credits_before
+    assert [e.retry_credit for e in rig.balancer.registry.by_id.values()] == credits_before
 
 
 def test_between_two_writes_of_one_request() -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rainspindle.logic import ColdBudget
+from rainspindle.balancer.slow_start import SlowStartBudget
 
 from .cold_fleet import Case, Contract, Sidecar, play
 
@@ -60,7 +60,7 @@
     planted: float | None, sidecars: int, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if planted:
-        monkeypatch.setattr(ColdBudget, "MARGIN", planted)
+        monkeypatch.setattr(SlowStartBudget, "SAFETY_MARGIN", planted)
     peak = play(replace(TIGHT, sidecars=sidecars), seed)
     assert (peak.broken > 0) == bool(planted), peak
 
@@ -78,7 +78,7 @@
     def start_with_the_whole_rate(self: Sidecar, now: float) -> None:
         start(self, now)
         if now > 0:
-            self.balancer.warm_rate = self.play.rate
+            self.balancer.slow_start.warm_rate = self.play.rate
 
     if planted:
         monkeypatch.setattr(Sidecar, "start", start_with_the_whole_rate)
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -9,9 +9,9 @@
 
 import pytest
 
+from rainspindle.balancer.host import AttemptOutcome
 from rainspindle.decisions.sites.intake import Intake
 from rainspindle.fronts.link.link import Link
-from rainspindle.host import Outcome
 from rainspindle.lab.experiment import Link as Spec
 from rainspindle.lab.models.link import LinkModel
 from rainspindle.lab.virtual import Clock
@@ -35,7 +35,7 @@
 
     def __init__(self, pair: Pair) -> None:
         self.pair, self.alive, self.runs = pair, True, True
-        self.final: Callable[[], Final] = lambda: Finished(Answered(Outcome.SERVED, (), b"done", True))
+        self.final: Callable[[], Final] = lambda: Finished(Answered(AttemptOutcome.SERVED, (), b"done", True))
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
         loop = self.pair.loop
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -282,7 +282,7 @@
         service.discovery.close()
     first.close()
     crowd = service.crowd()
-    service.until(lambda: "list lost" in service.logged())
+    service.until(lambda: "list unavailable" in service.logged())
     began = time.monotonic()
     while time.monotonic() - began < 1.0:  # the crowd comes again as soon as it is ended
         for n, one in enumerate(crowd):
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -11,6 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rainspindle.balancer.failover import CircuitBreaker
+from rainspindle.balancer.host import AttemptOutcome
+from rainspindle.balancer.key_popularity import own_share
 from rainspindle.decisions.evidence.evidence import (
     KEY_APART,
     KEY_GAP,
@@ -21,11 +24,9 @@
     Evidence,
 )
 from rainspindle.decisions.evidence.watch import Watch, Watches
-from rainspindle.host import Outcome
 from rainspindle.lab.experiment import load
 from rainspindle.lab.runs import play
 from rainspindle.lab.word_bytes import cost
-from rainspindle.logic import Breaker
 from rainspindle.program.fleet.config import unfit
 from rainspindle.protocol.evidence import (
     MOST_BYTES,
@@ -362,7 +363,9 @@
             n = 0
             while n < len(held.sent):
                 at = held.sent[n].endpoint
-                self.fleet.end(self.asked, n, Outcome.ERROR if at in self.fails else Outcome.SERVED)
+                self.fleet.end(
+                    self.asked, n, AttemptOutcome.ERROR if at in self.fails else AttemptOutcome.SERVED
+                )
                 n += 1
             went.append(held.sent[0].endpoint)
             self.fleet.wait(gap)
@@ -375,7 +378,7 @@
             self.evidence.heard(self.fleet.now, owner, Told(1, self.fleet.now, 0, outs, [out]))
 
     def out(self) -> set[str]:
-        return {e.id for e in self.fleet.balancer.endpoints.values() if e.breaker}
+        return {e.id for e in self.fleet.balancer.registry.by_id.values() if e.breaker}
 
 
 def item(id: str, **more: Any) -> Out:
@@ -420,7 +423,7 @@
 def test_without_word_the_same_failures_leave_the_module_as_it_was() -> None:
     """The same draws, the same endpoints, the same trips: word missing or old changes nothing."""
     with_word, without = Side(), Side()
-    without.all[0].balancer.spread = without.all[0].spread  # type: ignore
+    without.all[0].balancer.popularity.adjust_share = own_share
     for side in (with_word, without):
         side.fails = {"e2", "e5"}
     side = with_word
@@ -463,15 +466,15 @@
     side.hear(*((who, item("e1")) for who in "abcd"))
     side.ask(1)
     assert not side.out() and not side.evidence.own and not side.evidence.warned
-    assert side.fleet.balancer.endpoints["e1"].FAILURES == 2
+    assert side.fleet.balancer.registry.by_id["e1"].is_suspected is False
 
 
 def test_what_was_kept_or_told_at_a_start_is_told_on_once_an_own_trial_has_failed() -> None:
     side = Side()
-    kept, told = (side.fleet.balancer.endpoints[id] for id in ("e1", "e2"))
-    kept.breaker, told.breaker = Breaker(side.fleet.now - 3.0), Breaker(side.fleet.now - 12.0)
-    told.breaker.due = True
-    side.fleet.balancer.touched.update({kept: None, told: None})
+    kept, told = (side.fleet.balancer.registry.by_id[id] for id in ("e1", "e2"))
+    kept.breaker, told.breaker = CircuitBreaker(side.fleet.now - 3.0), CircuitBreaker(side.fleet.now - 12.0)
+    told.breaker.trial_due = True
+    side.fleet.balancer.registry.active.update({kept: None, told: None})
     side.look(side.fleet.now)
     assert len(side.evidence.own) == 2
     side.evidence.tick(side.fleet.now + 1.0)
@@ -480,7 +483,7 @@
     side.ask(80)
     assert side.out() == {"e1"}
     assert {out.mark for out in side.written[-1].out if out.served < 0} == {mark_of("e1")}
-    assert kept.breaker is not None and kept.breaker.since > side.fleet.now - 5.0
+    assert kept.breaker is not None and kept.breaker.failing_since > side.fleet.now - 5.0
 
 
 def test_a_key_that_is_hot_by_word_is_spread_by_those_who_meet_it_first() -> None:
--- a/tests/test_evidence_processes.py
+++ b/tests/test_evidence_processes.py
@@ -65,7 +65,9 @@
     ledger has fewer trials than of each alone, and all have it back when it is well."""
     with started(tmp_path, {"evidence": {}}) as (fleet, answers, _):
         fail(answers, "new0")
-        wait_until(lambda: all("new0 out" in s.logged() for s in fleet.sidecars.values()), PATIENCE, "trips")
+        wait_until(
+            lambda: all("new0 ejected" in s.logged() for s in fleet.sidecars.values()), PATIENCE, "trips"
+        )
         fleet.network.begin(Cut(0.0, ("a",), ("b",), 1e6))
         wait_until(lambda: evidence(fleet, "c")["words"] > 0, PATIENCE, "word")
         fleet["c"].stall()
@@ -77,7 +79,7 @@
         # By chance and news that are late about half; the bound itself is held on the class, in virtual time.
         assert 0 < met < 0.8 * len(NAMES) * watched / TRIAL_DELAY, (met, watched)
         fleet.restart("d")
-        wait_until(lambda: "new0 out" in fleet["d"].logged().split("serving")[-1], PATIENCE, "a trip")
+        wait_until(lambda: "new0 ejected" in fleet["d"].logged().split("serving")[-1], PATIENCE, "a trip")
         assert sum(evidence(fleet, name)["spared"] for name in "abce") >= 5
         answers.servers["new0"].kind = "new"
         wait_until(lambda: not any(evidence(fleet, name)["out"] for name in NAMES), PATIENCE, "all back")
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rainspindle.host import State
+from rainspindle.balancer.host import EndpointStatus
 from rainspindle.protocol.client import Unreadable
 from rainspindle.protocol.discovery import ListDecoder
 from rainspindle.routing.follow import Follower
@@ -84,7 +84,7 @@
     followed.at(3.0, lambda: followed.old.go(away), followed.move)
     followed.run(3.2)
     assert followed.targets(followed.new)[0] == "/v1/endpoints" and not failed
-    assert not followed.keeper.draw.list_failures
+    assert not followed.keeper.backoff.failures
 
 
 def test_a_move_in_the_middle_of_a_list_gives_up_the_rest_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -204,8 +204,11 @@
     follower.want()
     only(rig.got()).tell(42, True, entry("e1", rig.stands[1].port))
     assert "index=42" in only(rig.got()).target
-    states = {e.id: e.line.state for e in rig.balancer.endpoints.values()}
-    assert states.get("e0", State.GONE) is State.GONE and states.get("e2", State.GONE) is State.GONE
+    states = {e.id: e.listed.status for e in rig.balancer.registry.by_id.values()}
+    assert (
+        states.get("e0", EndpointStatus.GONE) is EndpointStatus.GONE
+        and states.get("e2", EndpointStatus.GONE) is EndpointStatus.GONE
+    )
     for n in range(12):
         rig.asked(ask(f"x{n}"))
         rig.serve_all()
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -18,9 +18,9 @@
 import orjson
 import pytest
 
+from rainspindle.balancer.host import Idempotency
 from rainspindle.decisions.canary.terms import Step, Terms
 from rainspindle.decisions.shared.cells import Cells
-from rainspindle.host import Effect
 from rainspindle.lab.canary_net import Net, Traffic
 from rainspindle.lab.fleet.long.run import plan, play
 from rainspindle.lab.fleet.virtual import World
@@ -349,7 +349,7 @@
     terms = Terms("c", "kind new", (Step(0.1, 20.0, 40), Step(0.5, 30.0, 60)), budget=0.02)
     net = Net(9, 8, terms)
 
-    def part(new: bool, effect: Effect, share: float) -> float:
+    def part(new: bool, effect: Idempotency, share: float) -> float:
         return bad if new else 0.01
 
     traffic = Traffic(net, 12.0, part)
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -14,14 +14,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rainspindle.balancer.failover import FailoverTable
+from rainspindle.balancer.host import AttemptOutcome
 from rainspindle.decisions.members.members import Member, Standing
 from rainspindle.decisions.operation import beginning, learnt
 from rainspindle.decisions.shared.cells import Cell, Cells
-from rainspindle.host import Outcome
 from rainspindle.lab.crashstates import FAULTS, HARMLESS, Check
 from rainspindle.lab.fleet.processes import wait_until
 from rainspindle.lab.fleet.starters import Herd
-from rainspindle.logic import FailoverTable
 from rainspindle.program.fleet import keep
 from rainspindle.program.fleet.keep import Clocks, KeepPart, KeepRun, Lasting, unfit
 from rainspindle.protocol import keep as forms
@@ -140,7 +140,7 @@
     for n in range(300):
         held = fleet.arrive(n, key=f"k{n % 20}")
         for m, sent in enumerate(held.sent):
-            fleet.end(n, m, Outcome.ERROR if sent.endpoint == "e0" else Outcome.SERVED)
+            fleet.end(n, m, AttemptOutcome.ERROR if sent.endpoint == "e0" else AttemptOutcome.SERVED)
         fleet.wait(0.05)
     return fleet
 
@@ -173,10 +173,10 @@
         assert learnt.aged(given, age, COLD, 5.0) == learnt.nothing()
     new = Fleet([kind()], [line(n) for n in range(6)], peers=1)
     learnt.take(new.balancer, new.now, minute)
-    breaker = new.balancer.endpoints["e0"].breaker
-    assert breaker is not None and not breaker.due
+    breaker = new.balancer.registry.by_id["e0"].breaker
+    assert breaker is not None and not breaker.trial_due
     new.wait(1.1)
-    assert breaker.due, "due for a trial, not out for good"
+    assert breaker.trial_due, "due for a trial, not out for good"
 
 
 @settings(max_examples=25, deadline=None)
@@ -197,16 +197,20 @@
     beginning.apply(new.balancer, new.now, beginning.Judged((), {f"e{n}": 0.001 for n in range(told)}))
     alone = Fleet([kind()], [line(n, started=began - seconds) for n in range(6)], peers=1)
     alone.now = old.now
-    assert new.balancer.warm_rate == alone.balancer.warm_rate == 0.0
-    for e in new.balancer.endpoints.values():
-        if new.balancer.cold_age(e, new.now) is not None:
-            like = alone.balancer.endpoints[e.id]
-            assert not e.latency.total and e.cold_left == like.cold_left and e.cold_until == like.cold_until
+    assert new.balancer.slow_start.warm_rate == alone.balancer.slow_start.warm_rate == 0.0
+    for e in new.balancer.registry.by_id.values():
+        if new.balancer.slow_start.age(e, new.now) is not None:
+            like = alone.balancer.registry.by_id[e.id]
+            assert (
+                not e.latency.total
+                and e.slow_start_remaining == like.slow_start_remaining
+                and e.slow_start_until == like.slow_start_until
+            )
     for n in range(40):  # the rig's own count is rule 4's
         held = new.arrive(n, key=f"x{n}")
         for m, sent in enumerate(held.sent):
             if sent.outcome is None:
-                new.end(n, m, Outcome.SERVED)
+                new.end(n, m, AttemptOutcome.SERVED)
         new.wait(0.02)
 
 
@@ -287,7 +291,7 @@
         self.cells.heard(self.rig.loop.now(), keep_cell(owner, word))
 
     def mark(self, id: str) -> bytes:
-        return self.run.mark_of(self.balancer.endpoints[id])
+        return self.run.mark_of(self.balancer.registry.by_id[id])
 
     def close(self) -> None:
         self.run.close()
@@ -300,10 +304,10 @@
 
 def trip(start: Start, id: str) -> None:
     """The endpoint is found failing here."""
-    e, now = start.balancer.endpoints[id], start.rig.loop.now()
-    start.balancer.touched[e] = None
+    e, now = start.balancer.registry.by_id[id], start.rig.loop.now()
+    start.balancer.registry.active[e] = None
     for _ in range(4):
-        start.balancer.judge(e, True, now, "error")
+        start.balancer.outliers.record_outcome(e, True, now, "error")
     assert e.breaker
 
 
@@ -324,7 +328,7 @@
     rig = Rig(3)  # tells of a later start of e2; e0 and e1 are as they were
     rig.tell(entry("e0", 1), entry("e1", 2), entry("e2", 3, started=77_000.0), whole=True)
     second = Start(tmp_path, At(10_002.0, "b1", 502.0), rig=rig)
-    assert second.balancer.endpoints["e1"].breaker and not second.balancer.endpoints["e2"].breaker
+    assert second.balancer.registry.by_id["e1"].breaker and not second.balancer.registry.by_id["e2"].breaker
     assert second.body()["start"] == {
         "generation": 1,
         "age": 2.0,
@@ -355,7 +359,7 @@
     assert writer.flush(20.0) and writes_in(3.0) == 0, "nothing is new"
     trip(start, "e1")
     assert writes_in(3.0) == 1
-    start.balancer.endpoints["e1"].breaker.failed(start.rig.loop.now())
+    start.balancer.registry.by_id["e1"].breaker.reopen(start.rig.loop.now())
     assert writes_in(3.0) == 1
     start.close()
 
@@ -377,9 +381,11 @@
         entry("e2", 3, started=50_000.0),
         whole=True,
     )
-    rig.balancer.touched[rig.balancer.endpoints["e2"]] = None  # as a predecessor's word leaves it
+    rig.balancer.registry.active[rig.balancer.registry.by_id["e2"]] = (
+        None  # as a predecessor's word leaves it
+    )
     second = Start(tmp_path, At(10_002.0 - HOUR, "b1", 502.0), rig=rig)
-    assert [id for id, e in rig.balancer.endpoints.items() if e.breaker] == ["e0"]
+    assert [id for id, e in rig.balancer.registry.by_id.items() if e.breaker] == ["e0"]
     second.close()
 
 
@@ -392,11 +398,11 @@
     rig = Rig(0)
     second = Start(tmp_path, At(10_001.0, "b1", 501.0), rig=rig)
     rig.tell(entry("e1", 2), whole=True)
-    breaker = rig.balancer.endpoints["e1"].breaker
+    breaker = rig.balancer.registry.by_id["e1"].breaker
     assert breaker
-    rig.balancer.restore(rig.balancer.endpoints["e1"], rig.loop.now(), 0.01)
+    rig.balancer.outliers.readmit(rig.balancer.registry.by_id["e1"], rig.loop.now(), 0.01)
     rig.tell(entry("e2", 2))
-    assert rig.balancer.endpoints["e2"].breaker and not rig.balancer.endpoints["e1"].breaker
+    assert rig.balancer.registry.by_id["e2"].breaker and not rig.balancer.registry.by_id["e1"].breaker
     rig.wait(keep.LASTS + 1)
     rig.tell(entry("e3", 2))
     assert not second.run.kept
@@ -419,7 +425,7 @@
     write(first)
     first.rig.close()
     second = Start(tmp_path, clocks, member)
-    assert not second.balancer.touched and not second.balancer.table.entries
+    assert not second.balancer.registry.active and not second.balancer.failover.entries
     assert second.body()["start"]["age"] == age
     if member == "a":
         assert second.run.lasting.life == 9, "a life is above it, whatever the clock says"
@@ -526,10 +532,10 @@
     start.rig.loop.time += 0.3
     assert start.run.ready_from(now + 0.3) == now + 0.3 and start.body()["start"]["words"] == 0
     trip(start, "e0")
-    own = start.balancer.endpoints["e0"].breaker
+    own = start.balancer.registry.by_id["e0"].breaker
     start.told("m0", forms.encode(9, [start.mark(e) for e in ("e0", "e1", "e2")], []))
     assert start.body()["start"]["members"] == ["e1", "e2"], "what was met here is not overruled"
-    assert start.balancer.endpoints["e0"].breaker is own
+    assert start.balancer.registry.by_id["e0"].breaker is own
     start.told("m1", forms.encode(9, [start.mark(e) for e in ("e3", "e4", "e5")], []))
     assert start.body()["start"]["words"] == 2 and len(start.body()["start"]["members"]) == 3
     start.rig.loop.time += keep.LASTS
@@ -547,9 +553,9 @@
     start.told("m3", b"")
     now = start.rig.loop.now()
     assert start.run.ready_from(now) == now
-    breaker = start.balancer.endpoints["e4"].breaker
-    assert breaker is not None and breaker.due, "one exchange of its own tells"
-    assert start.balancer.endpoints["e5"].latency.total == beginning.PRIOR
+    breaker = start.balancer.registry.by_id["e4"].breaker
+    assert breaker is not None and breaker.trial_due, "one exchange of its own tells"
+    assert start.balancer.registry.by_id["e5"].latency.total == beginning.PRIOR
     assert start.body()["start"]["members"] == ["e4", "e5"] and start.run.unread == 1
     start.close()
     old = Start(None, rig=Rig(9), others=2)
@@ -593,7 +599,9 @@
                 for m, one in enumerate(held.sent):
                     if one.outcome is None:
                         total += one.endpoint == "e0"
-                        fleet.end(n, m, Outcome.ERROR if one.endpoint == "e0" else Outcome.SERVED)
+                        fleet.end(
+                            n, m, AttemptOutcome.ERROR if one.endpoint == "e0" else AttemptOutcome.SERVED
+                        )
                 fleet.wait(0.05)
         return total
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -247,7 +247,7 @@
 
 
 def test_knobs_change_the_module_for_one_variant_only() -> None:
-    from rainspindle.logic import FailoverTable
+    from rainspindle.balancer.failover import FailoverTable
 
     before = FailoverTable.TRIAL_DELAY
     x = experiment(variants=[{"name": "slow", "knobs": {"FailoverTable.TRIAL_DELAY": 50}}])
--- a/tests/test_lab_audit.py
+++ b/tests/test_lab_audit.py
@@ -3,19 +3,20 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Collection
 from typing import Any
 
 import pytest
 
-from rainspindle.host import Listed, State
+from rainspindle.balancer.balancer import Balancer
+from rainspindle.balancer.capacity import EndpointCapacity
+from rainspindle.balancer.config import BalancerConfig
+from rainspindle.balancer.host import EndpointListUpdate, EndpointStatus
 from rainspindle.lab import decide
 from rainspindle.lab.audit import audit
 from rainspindle.lab.experiment import Experiment
 from rainspindle.lab.ledger import Asked, Ledger, Run, Told
 from rainspindle.lab.virtual import Holding, VirtualRun
 from rainspindle.lab.world import World
-from rainspindle.logic import Balancer
 
 from .lab import experiment, plant_lie, played
 
@@ -64,20 +65,28 @@
 class Deaf(Balancer):
     """Hears of new endpoints, never of drains and ends."""
 
-    def list_changed(self, now: float, lines: Collection[Listed], whole: bool, stale: bool) -> None:
-        ready = [line for line in lines if line.state is State.READY]
-        super().list_changed(now, ready, whole and len(ready) == len(lines), stale)
+    def on_list_changed(self, now: float, update: EndpointListUpdate) -> None:
+        ready = [line for line in update.lines if line.status is EndpointStatus.READY]
+        complete = update.complete and len(ready) == len(update.lines)
+        super().on_list_changed(now, EndpointListUpdate(ready, complete, update.cached))
 
 
 class Reckless(Balancer):
     """Takes every endpoint for warm and lets queues grow."""
 
-    MOST_TURNED = 0.0
+    def __init__(self, host: Any, config: BalancerConfig, seed: int, now: float) -> None:
+        super().__init__(host, config, seed, now)
+        self.slow_start.age = lambda endpoint, now: None  # type: ignore[method-assign]
+        self.shedder.MAX_PROBABILITY = 0.0
+        self.capacity.__class__ = Boundless
 
-    def cold_age(self, e: Any, now: float) -> float | None:
-        return None
 
-    def room(self, e: Any, mean: float, now: float) -> bool:
+class Boundless(EndpointCapacity):
+    """Has room for everything."""
+
+    __slots__ = ()
+
+    def has_room(self, endpoint: Any, mean_in_flight: float, now: float) -> bool:
         return True
 
 
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -8,7 +8,7 @@
 import numpy as np
 import pytest
 
-from rainspindle.host import State
+from rainspindle.balancer.host import EndpointStatus
 from rainspindle.lab.experiment import Clients, Kind, Link, Rules, Traffic
 from rainspindle.lab.ledger import Run
 from rainspindle.lab.models.clients import Operation, draw_work, next_try
@@ -182,12 +182,15 @@
     )
     for seed in range(20):
         registry = World(x, x.variants[0], seed).registry
-        states = {id: [c.line.state for c in registry.changes if c.line.id == id] for id in ("e0", "e1")}
-        assert states == {"e0": [State.GONE, State.READY], "e1": [State.DRAINING, State.GONE, State.READY]}
+        states = {id: [c.line.status for c in registry.changes if c.line.id == id] for id in ("e0", "e1")}
+        assert states == {
+            "e0": [EndpointStatus.GONE, EndpointStatus.READY],
+            "e1": [EndpointStatus.DRAINING, EndpointStatus.GONE, EndpointStatus.READY],
+        }
         assert registry.version(0.0) == 1 and registry.since(1, 0.9) == []
-        assert {line.id: line.state for line in registry.since(1, 99.0)} == {
-            "e0": State.READY,
-            "e1": State.READY,
+        assert {line.id: line.status for line in registry.since(1, 99.0)} == {
+            "e0": EndpointStatus.READY,
+            "e1": EndpointStatus.READY,
         }
         assert registry.down(5.0) and not registry.down(6.5) and registry.next_outage(1.0) == 4.0
 
--- a/tests/test_values.py
+++ b/tests/test_lazy_dataclasses.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainspindle import values
+from rainspindle import lazy_dataclasses
 
 ROOT = Path(__file__).parent.parent
 LIBRARIES = "import h11, orjson, argparse, logging, dataclasses"
@@ -59,7 +59,7 @@
 def test_they_do_what_the_standard_librarys_do(count: int, one: Any, two: Any, how: dict[str, bool]) -> None:
     how = {**how, "slots": True, "order": how["order"] and how["eq"]}
     told: list[list[Any]] = []
-    for module in (dataclasses, values):
+    for module in (dataclasses, lazy_dataclasses):
         cls = made_by(module, count, **how)
         x, y = (outcome(lambda cls=cls, call=call: cls(*call[0], **call[1])) for call in (one, two))
         if TypeError in (x, y):
@@ -85,13 +85,19 @@
 
 
 def test_lists_are_not_shared_and_a_subclass_adds_its_fields() -> None:
-    cls: Any = made_by(values, 5)
+    cls: Any = made_by(lazy_dataclasses, 5)
     x, y = cls(1, 2), cls(1, 2)
     x.d.append(1)
     assert y.d == [] and x != y
 
-    more: Any = values.dataclass(frozen=True)(type("More", (cls,), {"__annotations__": {"f": "int"}, "f": 5}))
-    assert values.fields(more) == ("a", "b", "c", "d", "e", "f") and more(1, 2).f == 5 and more(1, 2) != y
+    more: Any = lazy_dataclasses.dataclass(frozen=True)(
+        type("More", (cls,), {"__annotations__": {"f": "int"}, "f": 5})
+    )
+    assert (
+        lazy_dataclasses.fields(more) == ("a", "b", "c", "d", "e", "f")
+        and more(1, 2).f == 5
+        and more(1, 2) != y
+    )
     with pytest.raises(AttributeError):
         more(1, 2).g = 1
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rainspindle.balancer.host import EndpointStatus, ListedEndpoint
 from rainspindle.decisions.listing.relay import LAST_PART, RETRIES, Relay, Terms, place
-from rainspindle.host import Listed, State
 from rainspindle.lab.listing_net import AT, Net, Service, encoded, listed, play
 from rainspindle.lab.models.registry import Change, Registry
 from rainspindle.program.config import Config
@@ -39,7 +39,7 @@
 ) -> Service:
     """A list of which an endpoint drains, or is back, at each of these times."""
     turns = [
-        Change(at, listed(n // 2 % size, State.READY if n % 2 else State.DRAINING))
+        Change(at, listed(n // 2 % size, EndpointStatus.READY if n % 2 else EndpointStatus.DRAINING))
         for n, at in enumerate(changes)
     ]
     return Service(Registry([listed(n) for n in range(size)], turns, list(outages)), rate)
@@ -235,7 +235,7 @@
 
 def test_word_of_the_address_before_counts_for_nothing() -> None:
     net = begun([12.0, 30.0], seconds=25.0)
-    drains = Change(45.0, listed(31, State.DRAINING))
+    drains = Change(45.0, listed(31, EndpointStatus.DRAINING))
     other = Service(Registry([listed(n) for n in range(30, 40)], [drains], []))
     other.at = words.mark("another")
     for name in OTHERS[:10]:
@@ -303,8 +303,8 @@
 def test_a_large_change_and_a_fast_list_reach_all() -> None:
     """More than a head can carry: the whole list is told in its chunks."""
     lines = [listed(n) for n in range(400)]
-    changes = [Change(30.0, listed(n, State.DRAINING)) for n in range(100)]
-    changes += [Change(40.0 + n / 8, listed(n, State.GONE)) for n in range(80)]
+    changes = [Change(30.0, listed(n, EndpointStatus.DRAINING)) for n in range(100)]
+    changes += [Change(40.0 + n / 8, listed(n, EndpointStatus.GONE)) for n in range(80)]
     net = Net(Service(Registry(lines, changes, [])), NAMES, 1)
     net.start()
     net.run(65.0)
@@ -489,11 +489,13 @@
 def test_lines_are_told_as_the_service_told_them() -> None:
     for started in (None, 1_700_000_000.123, 1.5):
         offset = 12_345.678901 - 1_700_000_500.25
-        line = Listed("e", 2, 1, 0.75, State.DRAINING, None if started is None else started + offset, 3)
+        line = ListedEndpoint(
+            "e", 2, 1, 0.75, EndpointStatus.DRAINING, None if started is None else started + offset, 3
+        )
         data = words.encode_line(line, ("::1", 80), offset)
         other = 99.5 - 1_700_000_400.125
         assert words.decode_line("e", data, other) == (
-            Listed("e", 2, 1, 0.75, State.DRAINING, started and started + other, 3),
+            ListedEndpoint("e", 2, 1, 0.75, EndpointStatus.DRAINING, started and started + other, 3),
             ("::1", 80),
         )
     whole = words.encode(Head(1, AT, 1, 1, 5, b"d", 0))
@@ -506,13 +508,13 @@
     with pytest.raises(words.UnreadableList):
         words.decode_line("e", b"\x97\xa1x\x00\x00\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\xa1?\xc0\x00", 0.0)
     with pytest.raises(words.TooLarge):
-        words.encode_line(Listed("e" * 500, 0, 0, 1.0, State.READY, None), None, 0.0)
+        words.encode_line(ListedEndpoint("e" * 500, 0, 0, 1.0, EndpointStatus.READY, None), None, 0.0)
 
 
 def test_word_of_an_older_start_makes_nothing_warm() -> None:
-    known = Listed("e", 0, 0, 1.0, State.READY, 100.0)
+    known = ListedEndpoint("e", 0, 0, 1.0, EndpointStatus.READY, 100.0)
     for told, then in ((None, 100.0), (50.0, 100.0), (100.0005, 100.0), (130.0, 130.0)):
-        assert kept(Listed("e", 0, 0, 1.0, State.READY, told), known).started == then
+        assert kept(ListedEndpoint("e", 0, 0, 1.0, EndpointStatus.READY, told), known).started_at == then
 
 
 def test_the_table_says_what_is_wrong() -> None:
@@ -544,15 +546,17 @@
         {"generation": 43, "reset": False, "instances": [entry("e0", rig.stands[0].port, "DRAINING")]}
     )
     follower.take(drains)
-    assert rig.balancer.endpoints["e0"].line.state is State.DRAINING
+    assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
     rig.wait(1.1)
     call = only(rig.got())
     assert call.target == "/v1/endpoints", "what others told is not built on"
     call.tell(42, True, entry("e0", rig.stands[0].port))  # an old copy: it would undo the drain
     again = only(rig.got())
-    assert rig.balancer.endpoints["e0"].line.state is State.DRAINING and not failed, "asked again at once"
+    assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING and not failed, (
+        "asked again at once"
+    )
     again.tell(44, True, entry("e0", rig.stands[0].port, "DRAINING"), entry("e9", 9))
-    assert "index=44" in only(rig.got()).target and "e9" in rig.balancer.endpoints
+    assert "index=44" in only(rig.got()).target and "e9" in rig.balancer.registry.by_id
     follower.anew()
     call = only(rig.got())
     assert "index=44" in call.target, "asked anew, as it was asked"
--- a/tests/test_mysql.py
+++ b/tests/test_mysql.py
@@ -236,7 +236,7 @@
     vanish(one, cursor)
     rig.all_at(lambda sql, at: "")
     endpoints: Any = rig.facade.balancer
-    endpoints = list(endpoints.endpoints.values())
+    endpoints = list(endpoints.registry.by_id.values())
     two = rig.connect(cursorclass=pymysql.cursors.SSCursor)
     unread = two.cursor()  # kept, or it would read all that is left
     for _ in range(50):  # on a busy machine it may be turned away for what the first one took
@@ -247,13 +247,15 @@
     else:
         pytest.fail("the second result never began")
     # Not counted before: on a busy machine a server may rightly be blamed for one of the tries.
-    before = sum(sum(e.failures) for e in endpoints)
+    before = sum(e.failure_counts.total_failures for e in endpoints)
     vanish(two, unread)
     end = time.monotonic() + PATIENCE
     while rig.facade.in_flight() and time.monotonic() < end:
         time.sleep(0.01)
     assert not rig.facade.in_flight(), "a server is held for a client that has left"
-    assert sum(sum(e.failures) for e in endpoints) <= before, "a server was blamed for its client"
+    assert sum(e.failure_counts.total_failures for e in endpoints) <= before, (
+        "a server was blamed for its client"
+    )
     rig.end()
 
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -12,12 +12,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rainspindle.balancer.host import AttemptOutcome, EndpointStatus, Idempotency
 from rainspindle.decisions.operation import learnt
 from rainspindle.decisions.operation.crowd import Crowd
 from rainspindle.decisions.operation.orders import DRAIN, MOST_IDS, Order, Orders
 from rainspindle.decisions.operation.stage import Stage, Stages
 from rainspindle.fronts.http1.room import FEWEST, Room
-from rainspindle.host import Effect, Outcome, State
 from rainspindle.program.operation import Operation
 from rainspindle.protocol.console import MOST_BODY, Act, ConsoleSide, FleetCall, No
 from rainspindle.protocol.console import Order as Call
@@ -260,28 +260,28 @@
         if n == 30:
             fleet.tell([line(k) for k in range(3)], whole=True)
         fleet.arrive(n, key=f"k{n}")
-        fleet.end(n, 0, Outcome.SERVED)
+        fleet.end(n, 0, AttemptOutcome.SERVED)
         fleet.wait(0.1)
     assert {held.sent[0].endpoint for held in fleet.held.values()} == {"e0", "e2"}
 
 
-def state(fleet: Fleet, id: str) -> State:
-    return fleet.balancer.endpoints[id].line.state
+def state(fleet: Fleet, id: str) -> EndpointStatus:
+    return fleet.balancer.registry.by_id[id].listed.status
 
 
 def test_neither_order_nor_list_ends_the_other() -> None:
     fleet = Fleet([kind()], [line(0), line(1)])
     fleet.leave_out("e1")
-    fleet.tell([line(1, State.DRAINING)])
+    fleet.tell([line(1, EndpointStatus.DRAINING)])
     fleet.put_back("e1")
-    assert state(fleet, "e1") is State.DRAINING
+    assert state(fleet, "e1") is EndpointStatus.DRAINING
     fleet.tell([line(1)])
-    assert state(fleet, "e1") is State.READY
+    assert state(fleet, "e1") is EndpointStatus.READY
     fleet.leave_out("e9")  # of which nothing is known yet
     fleet.tell([line(9)])
-    assert state(fleet, "e9") is State.LEFT_OUT
+    assert state(fleet, "e9") is EndpointStatus.DISABLED
     fleet.put_back("e9")
-    assert state(fleet, "e9") is State.READY
+    assert state(fleet, "e9") is EndpointStatus.READY
 
 
 def test_an_endpoint_put_back_is_cold_and_gets_the_next_exchange() -> None:
@@ -289,22 +289,24 @@
     fleet = Fleet([kind()], [line(n) for n in range(6)], peers=1)
     for n in range(300):
         fleet.arrive(n, key=f"k{n % 20}")
-        fleet.end(n, 0, Outcome.SERVED)
+        fleet.end(n, 0, AttemptOutcome.SERVED)
         fleet.wait(0.05)
     used = {held.sent[0].endpoint for held in fleet.held.values()}
     fleet.leave_out("e2")
     fleet.wait(2.0)
     fleet.put_back("e2")
-    assert "e2" in used and fleet.balancer.cold_age(fleet.balancer.endpoints["e2"], fleet.now) == 0.0
+    assert (
+        "e2" in used and fleet.balancer.slow_start.age(fleet.balancer.registry.by_id["e2"], fleet.now) == 0.0
+    )
     sent = [fleet.arrive(1000 + n, key="k1").sent[0].endpoint for n in range(3)]
     assert sent[0] == "e2" and sent.count("e2") == 1
     fleet.wait(1.0)
     fleet.tell([line(2, started=fleet.now - 500.0)])  # a list that knows nothing of the restart
-    assert fleet.balancer.cold_age(fleet.balancer.endpoints["e2"], fleet.now) == 1.0
+    assert fleet.balancer.slow_start.age(fleet.balancer.registry.by_id["e2"], fleet.now) == 1.0
 
 
 def test_a_binding_exchange_is_not_the_first_at_an_endpoint_just_put_back() -> None:
-    fleet = Fleet([kind(Effect.BINDING)], [line(n) for n in range(8)], peers=1)
+    fleet = Fleet([kind(Idempotency.NON_IDEMPOTENT)], [line(n) for n in range(8)], peers=1)
     fleet.wait(3.0)
     for n in range(8):
         fleet.leave_out(f"e{n}") if n else None
@@ -321,7 +323,7 @@
             rig.loop.resume(rig.loop.ready.popleft())
         else:
             rig.loop.step()
-    first = next(f.endpoint.id for f in rig.balancer.forwards.values())
+    first = next(f.endpoint.id for f in rig.balancer.attempts.values())
     rig.core.leave_out(first, True)
     got = rig.got()
     assert len(got) == 1 and f"e{rig.stands.index(got[0].stand)}" != first
@@ -345,7 +347,7 @@
     for n in range(300):
         held = fleet.arrive(n, key=f"k{n % 20}")
         for m, sent in enumerate(held.sent):
-            fleet.end(n, m, Outcome.ERROR if sent.endpoint == "e0" else Outcome.SERVED)
+            fleet.end(n, m, AttemptOutcome.ERROR if sent.endpoint == "e0" else AttemptOutcome.SERVED)
         fleet.wait(0.05)
     return fleet
 
@@ -357,8 +359,8 @@
     plain = orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now)))
     learnt.take(new.balancer, new.now, plain)
     assert orjson.loads(orjson.dumps(learnt.give(new.balancer, new.now))) == plain
-    assert new.balancer.warm_rate > 0 and new.balancer.endpoints["e0"].breaker
-    assert new.balancer.table.entries.keys() == old.balancer.table.entries.keys() != set()
+    assert new.balancer.slow_start.warm_rate > 0 and new.balancer.registry.by_id["e0"].breaker
+    assert new.balancer.failover.entries.keys() == old.balancer.failover.entries.keys() != set()
 
 
 def test_of_an_endpoint_that_restarted_or_is_left_out_nothing_is_handed_on() -> None:
@@ -366,8 +368,11 @@
     new = Fleet([kind()], [line(0, started=old.now - 1.0), *(line(n) for n in range(1, 6))], peers=1)
     new.leave_out("e1")
     learnt.take(new.balancer, old.now, orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))))
-    assert new.balancer.endpoints["e0"].breaker is None and not new.balancer.endpoints["e1"].latency.total
-    assert new.balancer.endpoints["e2"].latency.total
+    assert (
+        new.balancer.registry.by_id["e0"].breaker is None
+        and not new.balancer.registry.by_id["e1"].latency.total
+    )
+    assert new.balancer.registry.by_id["e2"].latency.total
 
 
 def test_what_cannot_be_taken_over_changes_nothing() -> None:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -12,9 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainspindle.host import Effect, Facts, Outcome, State
+from rainspindle.balancer.host import AttemptOutcome, EndpointStatus, Idempotency, KindEstimate, LearnedState
+from rainspindle.balancer.peer_load import PeerLoad
 from rainspindle.lab.sockets.run import reserve_port
-from rainspindle.pool import Pool
 from rainspindle.program import migrate
 from rainspindle.protocol import peers
 from rainspindle.protocol.discovery import ListDecoder
@@ -22,15 +22,15 @@
 from .fleet import SETTINGS, Fleet, entry, kind, line
 from .test_program import CALM, Service, ask, config, run
 
-POOL: dict[str, Any] = {"tells": True, "shares": False, "cross_price": 0.0}
+POOL: dict[str, Any] = {"share_load": True, "shares": False, "cross_price": 0.0}
 
 
 def home(fleet: Fleet, key: str = "k") -> str:
-    return fleet.balancer.rank(key)[0].id
+    return fleet.balancer.ranking.order(key)[0].id
 
 
 def mark(fleet: Fleet, id: str) -> int:
-    return fleet.balancer.endpoints[id].mark
+    return fleet.balancer.registry.by_id[id].mark
 
 
 def served(fleet: Fleet, count: int, took: float = 0.05, first: int = 0, **arrival: Any) -> None:
@@ -38,66 +38,68 @@
         held = fleet.arrive(id, key=f"key{id}", **arrival)
         fleet.wait(took)
         if held.sent:
-            fleet.end(id, 0, Outcome.SERVED)
+            fleet.end(id, 0, AttemptOutcome.SERVED)
 
 
 def test_what_others_have_at_an_endpoint_passes_it_over_until_their_word_is_old() -> None:
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)  # a sidecar sees a part of the load
     first = home(fleet)
-    fleet.balancer.pool.told(fleet.now, "2", [mark(fleet, first)] * 9, (), True)
+    fleet.balancer.peer_load.on_load_report(fleet.now, "2", [mark(fleet, first)] * 9, (), True)
     assert fleet.arrive(1).sent[0].endpoint != first
-    fleet.balancer.pool.told(fleet.now, "2", [], (), True)
+    fleet.balancer.peer_load.on_load_report(fleet.now, "2", [], (), True)
     assert fleet.arrive(2).sent[0].endpoint == first
-    fleet.balancer.pool.told(fleet.now, "2", [mark(fleet, first)] * 9, (), True)
+    fleet.balancer.peer_load.on_load_report(fleet.now, "2", [mark(fleet, first)] * 9, (), True)
     fleet.wait(2.0)
-    assert fleet.balancer.pool.total == 0 and fleet.arrive(3).sent[0].endpoint == first
+    assert fleet.balancer.peer_load.total == 0 and fleet.arrive(3).sent[0].endpoint == first
 
 
 def test_a_word_tells_what_has_changed_and_now_and_then_all() -> None:
-    fleet = Fleet([kind(Effect.BINDING)], [line(n, zone=0) for n in range(4)], **POOL)
+    fleet = Fleet([kind(Idempotency.NON_IDEMPOTENT)], [line(n, zone=0) for n in range(4)], **POOL)
     other = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)
     for id in range(30):
         fleet.arrive(id, key=f"key{id}", wait=2.0)
         fleet.wait(0.04)
         if id % 3 == 0:
-            fleet.end(id, 0, Outcome.SERVED)
+            fleet.end(id, 0, AttemptOutcome.SERVED)
         fleet.wait(0.04)
         for told in fleet.told_peers:
-            if not isinstance(told, Facts):
-                peers.hear(other.balancer.pool, other.now, "2", peers.encode_held(*told))
+            if not isinstance(told, LearnedState):
+                peers.receive(other.balancer.peer_load, other.now, "2", peers.encode_load(*told))
         fleet.told_peers.clear()
-        out = Counter(e.mark for e in fleet.balancer.endpoints.values() for _ in e.out)
-        assert +other.balancer.pool.held == out and other.balancer.pool.total == out.total()
+        out = Counter(e.mark for e in fleet.balancer.registry.by_id.values() for _ in e.in_flight)
+        assert +other.balancer.peer_load.in_flight == out and other.balancer.peer_load.total == out.total()
     fleet.wait(0.3)
-    words = [told for told in fleet.told_peers if not isinstance(told, Facts)]
-    assert 1 <= len(words) <= 4 and any(whole for *_, whole in words), "little has changed since"
+    words = [told for told in fleet.told_peers if not isinstance(told, LearnedState)]
+    assert 1 <= len(words) <= 4 and any(complete for *_, complete in words), "little has changed since"
 
 
 def test_changes_count_only_on_top_of_a_whole_that_is_not_old() -> None:
-    pool = Pool()  # a sidecar that tells changes alone, or whose whole was lost, must not make counts grow
-    pool.told(0.0, "2", [7], [], False)
-    assert (pool.total, dict(pool.held)) == (0, {})
-    pool.told(1.0, "2", [7, 7, 8], [], True)
-    pool.told(1.1, "2", [9], [7], False)
-    assert (pool.total, +pool.held) == (3, Counter({7: 1, 8: 1, 9: 1}))
+    pool = (
+        PeerLoad()
+    )  # a sidecar that tells changes alone, or whose whole was lost, must not make counts grow
+    pool.on_load_report(0.0, "2", [7], [], False)
+    assert (pool.total, dict(pool.in_flight)) == (0, {})
+    pool.on_load_report(1.0, "2", [7, 7, 8], [], True)
+    pool.on_load_report(1.1, "2", [9], [7], False)
+    assert (pool.total, +pool.in_flight) == (3, Counter({7: 1, 8: 1, 9: 1}))
     for n in range(100):
-        pool.told(1.2 + n / 100, "2", [100 + n], [], False)
+        pool.on_load_report(1.2 + n / 100, "2", [100 + n], [], False)
     pool.sweep(2.2)
-    assert pool.total == 0 and not pool.held and not pool.words
+    assert pool.total == 0 and not pool.in_flight and not pool.reports
 
 
 def test_word_keeps_to_its_price() -> None:
     def bytes_told(price: float) -> float:
-        fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, peer_price=price, **POOL)
+        fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, message_price=price, **POOL)
         served(fleet, 400, took=0.02)
-        words = [told for told in fleet.told_peers if not isinstance(told, Facts)]
-        return 19 * sum(len(peers.encode_held(*word)) for word in words) / 256 / 400
+        words = [told for told in fleet.told_peers if not isinstance(told, LearnedState)]
+        return 19 * sum(len(peers.encode_load(*word)) for word in words) / 256 / 400
 
     free, dear = bytes_told(0.0), bytes_told(0.1)
     assert dear < 0.7 * free
-    fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, peer_price=99.0, **POOL)
+    fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, message_price=99.0, **POOL)
     served(fleet, 10, took=0.1)  # before a rate was known the price kept word back for seconds
-    assert sum(not isinstance(told, Facts) for told in fleet.told_peers) >= 4
+    assert sum(not isinstance(told, LearnedState) for told in fleet.told_peers) >= 4
 
 
 def test_a_slow_kind_gets_fewer_keys_once_its_times_are_known() -> None:
@@ -105,45 +107,50 @@
     for id in range(400):
         held = fleet.arrive(id, key=f"key{id}")
         fleet.wait(0.09 if int(held.sent[0].endpoint[1:]) % 2 else 0.03)
-        fleet.end(id, 0, Outcome.SERVED)
+        fleet.end(id, 0, AttemptOutcome.SERVED)
     slow = sum(int(home(fleet, f"new{n}")[1:]) % 2 for n in range(400))
     assert 4 < slow < 40, "a third of the speed, and speeds weigh by their cubes"
 
 
 def test_free_places_come_from_a_list_whose_weights_move_with_load() -> None:
-    fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], live=True, **POOL)
+    fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], live_weights=True, **POOL)
     served(fleet, 40)
     for _ in range(20):
         held = [mark(fleet, f"e{n}") for n in range(4) for _ in range(6)]
-        fleet.balancer.pool.told(fleet.now, "2", held, (), True)
+        fleet.balancer.peer_load.on_load_report(fleet.now, "2", held, (), True)
         fleet.tell([line(n, zone=0, share=0.5) for n in range(4)])  # one held by each core
         served(fleet, 2, first=int(fleet.now * 100))
-    assert fleet.balancer.grades[0].free == pytest.approx(6, rel=0.2)
+    assert fleet.balancer.service_times.models[0].concurrency == pytest.approx(6, rel=0.2)
 
 
 def test_a_restarted_sidecar_goes_by_what_the_others_learnt() -> None:
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)
     for who, free in ("2", 3.0), ("3", 5.0), ("4", 40.0):
-        fleet.balancer.pool.learnt(fleet.now, who, Facts((), {0: (0.04, free)}))
+        fleet.balancer.peer_load.on_learned_state(
+            fleet.now, who, LearnedState((), {0: KindEstimate(0.04, free)})
+        )
     fleet.arrive(1)
     fleet.wait(1.2)
-    assert (fleet.balancer.grades[0].free, fleet.balancer.grades[0].time) == (5.0, 0.04)
+    assert (
+        fleet.balancer.service_times.models[0].concurrency,
+        fleet.balancer.service_times.models[0].unloaded_time,
+    ) == (5.0, 0.04)
 
 
 def test_the_least_of_worth_is_turned_away_first_and_what_is_over_a_share_counts_less() -> None:
     types = [kind(value=1.0), kind(value=8.0)]
-    fleet = Fleet(types, [line(0, zone=0)], allowances=(5.0, 100.0), excess_value=0.2, **POOL)
+    fleet = Fleet(types, [line(0, zone=0)], tenant_allowances=(5.0, 100.0), excess_weight=0.2, **POOL)
     for id in range(400):
         fleet.arrive(id, id % 2, key=None, tenant=0 if id % 4 else 1)
         fleet.wait(0.02)
-        fleet.end(id, 0, Outcome.SERVED) if fleet.held[id].sent else None
-    fleet.balancer.pool.learnt(fleet.now, "2", Facts((30.0, 10.0), {}))
+        fleet.end(id, 0, AttemptOutcome.SERVED) if fleet.held[id].sent else None
+    fleet.balancer.peer_load.on_learned_state(fleet.now, "2", LearnedState((30.0, 10.0), {}))
     fleet.wait(1.2)
-    assert fleet.balancer.over[0] > 0.8 and fleet.balancer.over[1] == 0.0
+    assert fleet.balancer.quotas.excess[0] > 0.8 and fleet.balancer.quotas.excess[1] == 0.0
     fleet.arrive(1000, 0, tenant=0)
-    assert 0.2 in fleet.balancer.worths
-    fleet.balancer.worths = {0.2: 100.0, 1.0: 100.0, 8.0: 100.0}
-    places = [fleet.balancer.place(worth) for worth in (0.2, 1.0, 8.0)]
+    assert 0.2 in fleet.balancer.weights.counts
+    fleet.balancer.weights.counts = {0.2: 100.0, 1.0: 100.0, 8.0: 100.0}
+    places = [fleet.balancer.weights.position(worth) for worth in (0.2, 1.0, 8.0)]
     assert places[0] < 0.34 < places[1] < 0.68 < places[2]
 
 
@@ -152,30 +159,36 @@
     for id in range(100):  # in turn, so that the sidecar knows what is asked
         fleet.arrive(id, id % 2, f"key{id}")
         fleet.wait(0.02)
-        fleet.end(id, 0, Outcome.SERVED)
+        fleet.end(id, 0, AttemptOutcome.SERVED)
     sent = [0, 0]
     for id in range(1000, 1200):
         for who in "23":
-            fleet.balancer.pool.learnt(fleet.now, who, Facts((), {0: (0.1, 1.3)}))
-        fleet.balancer.pool.told(fleet.now, "2", [e.mark for e in fleet.balancer.ready], [], True)
+            fleet.balancer.peer_load.on_learned_state(
+                fleet.now, who, LearnedState((), {0: KindEstimate(0.1, 1.3)})
+            )
+        fleet.balancer.peer_load.on_load_report(
+            fleet.now, "2", [e.mark for e in fleet.balancer.registry.ready], [], True
+        )
         held = fleet.arrive(id, id % 2, f"key{id}")
         assert all(s.patience == pytest.approx(2.0) for s in held.sent)  # promised is 0.6 s
         sent[id % 2] += bool(held.sent)
         fleet.wait(0.02)
-        fleet.end(id, 0, Outcome.SERVED) if held.sent else None
+        fleet.end(id, 0, AttemptOutcome.SERVED) if held.sent else None
     assert sent[0] < 0.3 * sent[1] and sent[1] > 70
     for id in range(2000, 2200):
-        fleet.balancer.pool.told(fleet.now, "2", [e.mark for e in fleet.balancer.ready] * 4, [], True)
+        fleet.balancer.peer_load.on_load_report(
+            fleet.now, "2", [e.mark for e in fleet.balancer.registry.ready] * 4, [], True
+        )
         assert not fleet.arrive(id, 1, f"key{id}").sent, "three times what is free is held"
 
 
 def test_ranks_stay_while_a_list_changes_nothing_that_they_go_by() -> None:
-    fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], live=True, **POOL)
-    ranked = fleet.balancer.rank("k")
+    fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], live_weights=True, **POOL)
+    ranked = fleet.balancer.ranking.order("k")
     fleet.tell([line(n, zone=0, share=0.7) for n in range(4)], whole=True)
-    assert fleet.balancer.rank("k") is ranked  # sorted anew for each key, twice a second
-    fleet.tell([line(0, State.GONE)])
-    assert len(fleet.balancer.rank("k")) == 3
+    assert fleet.balancer.ranking.order("k") is ranked  # sorted anew for each key, twice a second
+    fleet.tell([line(0, EndpointStatus.GONE)])
+    assert len(fleet.balancer.ranking.order("k")) == 3
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -188,15 +201,24 @@
 )
 def test_messages_come_back_as_they_went_and_fit(marks, rates, kinds):  # type: ignore[no-untyped-def]
     for whole in (True, False):
-        word = peers.encode_held(marks, marks[:9], whole)
+        word = peers.encode_load(marks, marks[:9], whole)
         told = peers.decode(word)
-        assert len(word) <= 256 and isinstance(told, peers.Word)
-        assert (told.began, told.whole) == (marks[:63], whole)
-        assert told.ended == ([] if whole else marks[: min(9, 63 - len(told.began))])
-    text = peers.encode_facts(Facts(tuple(map(float, rates)), kinds))
+        assert len(word) <= 256 and isinstance(told, peers.LoadMessage)
+        assert (told.started, told.complete) == (marks[:63], whole)
+        assert told.ended == ([] if whole else marks[: min(9, 63 - len(told.started))])
+    text = peers.encode_learned_state(
+        LearnedState(tuple(map(float, rates)), {k: KindEstimate(*v) for k, v in kinds.items()})
+    )
     facts = peers.decode(text)
-    assert len(text) <= 256 and isinstance(facts, Facts) and facts.rates == tuple(map(float, rates))
-    assert all(facts.kinds[k] == pytest.approx(v, abs=0.06) for k, v in kinds.items())
+    assert (
+        len(text) <= 256
+        and isinstance(facts, LearnedState)
+        and facts.request_rates == tuple(map(float, rates))
+    )
+    assert all(
+        (facts.kinds[k].unloaded_time, facts.kinds[k].concurrency) == pytest.approx(v, abs=0.06)
+        for k, v in kinds.items()
+    )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -204,7 +226,7 @@
 def test_any_text_is_a_message_or_is_refused(text: str) -> None:
     fleet = Fleet([kind()], [line(0)], **POOL)
     try:
-        peers.hear(fleet.balancer.pool, fleet.now, "2", text)
+        peers.receive(fleet.balancer.peer_load, fleet.now, "2", text)
     except ValueError:
         return
     fleet.wait(1.5)
@@ -215,7 +237,7 @@
     decoder = ListDecoder(("north",), 0.0, ("fast", "small"))
     entries = [{**entry(f"e{n}", 1), "machineType": name} for n, name in enumerate(("small", "odd", "fast"))]
     change = decoder.decode({"generation": 1, "reset": True, "instances": entries})
-    assert [told.kind for told in change.lines] == [1, 2, 0]
+    assert [told.machine_kind for told in change.lines] == [1, 2, 0]
 
 
 def pooled(**changes: Any) -> dict[str, Any]:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -216,7 +216,7 @@
     assert service.answer(client)[0] == 200
     last.tell(44, False)
     assert "index=44" in service.watch().target
-    assert "list lost" in service.logged() and "list back after 4 failures" in service.logged()
+    assert "list unavailable" in service.logged() and "list restored after 4 failures" in service.logged()
 
 
 @pytest.mark.parametrize("known", [[], [entry("e8", 9)], [entry("e8", 9, "DELETED"), entry("e0", 9)]])
@@ -303,7 +303,7 @@
     whole = service.next(moved)
     assert whole.target == "/v1/endpoints"  # no version of the old one means anything here
     whole.tell(5, True, entry("e0", service.endpoint.port))
-    assert "index=5" in service.next(moved).target and "list lost" not in service.logged()
+    assert "index=5" in service.next(moved).target and "list unavailable" not in service.logged()
     got.answer(200, b"finished")
     assert service.answer(held)[:2] == (200, b"finished")
     moved.close()
@@ -479,8 +479,8 @@
         assert new.answer(new.asked(ask(f"x{n}")))[0] == 503, "the ban was lost"
         if n == 1:  # an order given to the old one holds at the new one too, and the other way round
             assert old.call("resume") == 200 and new.call("endpoints/e0/enable") == 200
-            new.until(lambda new=new: "put back" in new.logged() or None)  # type: ignore[misc]
-            old.until(lambda old=old: "put back" in old.logged() or None)  # type: ignore[misc]
+            new.until(lambda new=new: "enabled by order" in new.logged() or None)  # type: ignore[misc]
+            old.until(lambda old=old: "enabled by order" in old.logged() or None)  # type: ignore[misc]
             assert new.call("endpoints/e0/disable") == 200 and new.call("drain") == 200
         old.term()
         assert old.process.wait(PATIENCE) == 0
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainspindle.host import Outcome, State
+from rainspindle.balancer.host import AttemptOutcome, EndpointStatus
 from rainspindle.protocol import plain
 from rainspindle.protocol.application import ApplicationSide, Ask, Bad
 from rainspindle.protocol.client import Call, Reply, Unreadable
 from rainspindle.protocol.discovery import DiscoverySide, ListDecoder
 from rainspindle.protocol.endpoint import Answered, EndpointSide
-from rainspindle.protocol.settings import forward_budget, make_balancer
+from rainspindle.protocol.settings import make_balancer, retry_limits
 from rainspindle.transport.address import address_text, parse_address
 
 from .fleet import SETTINGS, Fleet, ask, entry, kind
@@ -127,19 +127,19 @@
 @pytest.mark.parametrize(
     ("head", "outcome"),
     [
-        (b"200 OK", Outcome.SERVED),
-        (b"500 X", Outcome.ERROR),
-        (b"503 X", Outcome.ERROR),
-        (b"503 X\r\nX-Not-Processed: 1", Outcome.FULL),
-        (b"504 X\r\nX-Not-Processed: 1", Outcome.FULL),
-        (b"500 X\r\nX-Not-Processed: 1", Outcome.ERROR),
-        (b"503 X\r\nX-Not-Processed: 0", Outcome.ERROR),
-        (b"201 X", Outcome.ERROR),
-        (b"302 X", Outcome.ERROR),
-        (b"400 X", Outcome.ERROR),
+        (b"200 OK", AttemptOutcome.SERVED),
+        (b"500 X", AttemptOutcome.ERROR),
+        (b"503 X", AttemptOutcome.ERROR),
+        (b"503 X\r\nX-Not-Processed: 1", AttemptOutcome.OVERLOADED),
+        (b"504 X\r\nX-Not-Processed: 1", AttemptOutcome.OVERLOADED),
+        (b"500 X\r\nX-Not-Processed: 1", AttemptOutcome.ERROR),
+        (b"503 X\r\nX-Not-Processed: 0", AttemptOutcome.ERROR),
+        (b"201 X", AttemptOutcome.ERROR),
+        (b"302 X", AttemptOutcome.ERROR),
+        (b"400 X", AttemptOutcome.ERROR),
     ],
 )
-def test_only_a_plain_word_proves_that_it_never_ran(head: bytes, outcome: Outcome) -> None:
+def test_only_a_plain_word_proves_that_it_never_ran(head: bytes, outcome: AttemptOutcome) -> None:
     found = ended(b"HTTP/1.1 " + head + b"\r\nContent-Length: 2\r\n\r\nab")
     assert found is not None and found.outcome is outcome and found.reusable
 
@@ -152,7 +152,7 @@
         b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\nunasked for",
     ):
         found = ended(data)
-        assert found is not None and found.outcome is Outcome.SERVED and not found.reusable
+        assert found is not None and found.outcome is AttemptOutcome.SERVED and not found.reusable
     early = ended(b"HTTP/1.1 102 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nz")
     assert early is not None and early.body == b"z" and early.reusable
 
@@ -182,9 +182,9 @@
     change, reusable = found
     a, b, c = change.lines
     assert (change.version, change.whole, reusable) == (43, True, True)
-    assert (a.state, a.zone, a.started) == (State.DRAINING, 1, 250.5)
-    assert (b.state, b.zone, b.started) == (State.READY, 0, None)
-    assert c.state is State.GONE and change.addresses["a"] == ("127.0.0.1", 81)
+    assert (a.status, a.zone, a.started_at) == (EndpointStatus.DRAINING, 1, 250.5)
+    assert (b.status, b.zone, b.started_at) == (EndpointStatus.READY, 0, None)
+    assert c.status is EndpointStatus.GONE and change.addresses["a"] == ("127.0.0.1", 81)
 
 
 GOOD = {"generation": 2, "reset": False, "instances": [entry("a", 81)]}
@@ -240,6 +240,6 @@
 
 def test_a_budget_of_forwards_is_read_from_the_settings() -> None:
     contract = {**SETTINGS["contract"], "budget-free": 1, "repeat-ratio": 0.15, "counted-over": 2000}
-    assert forward_budget(SETTINGS["contract"]) is None
-    made = forward_budget(contract)
+    assert retry_limits(SETTINGS["contract"]) is None
+    made = retry_limits(contract)
     assert made and (made.free, made.share, made.window) == (1.0, 0.15, 2.0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rainspindle.host import State
+from rainspindle.balancer.host import EndpointStatus
 from rainspindle.routing.follow import Follower
 from rainspindle.transport.connection import Connection
 from rainspindle.transport.loop import Coroutine
@@ -214,8 +214,8 @@
         rig.core.directory.started,
         rig.back.heard,
         rig.pool.idle,
-        balancer.endpoints,
-        balancer.touched,
+        balancer.registry.by_id,
+        balancer.registry.active,
     ):
         assert len(kept) <= 2
 
@@ -285,7 +285,7 @@
         rig.loop.time += 0.4
         rig.settle()
         assert client.status() == 200
-    assert rig.balancer.latency.quantile(0.9) < 0.1
+    assert rig.balancer.latency.overall.quantile(0.9) < 0.1
 
 
 def test_idle_connections_to_an_endpoint_that_turned_silent_are_dropped() -> None:
@@ -318,7 +318,7 @@
 def test_a_forward_called_off_by_the_module_goes_again_for_the_same_client(rig: Rig) -> None:
     client = rig.asked(ask("x"))
     lost = only(rig.got())
-    rig.facade.call_off(next(iter(rig.core.held)), 0)
+    rig.facade.cancel_attempt(next(iter(rig.core.held)), 0)
     rig.core.apply(rig.facade.taken())
     again = only(rig.got())
     assert lost.gone() and again.id == "x" and again.stand is not lost.stand
@@ -602,7 +602,7 @@
     rig.loop.faults.clear()
     monkeypatch.undo()
     rig.settle()
-    assert client.status() == 502 and not rig.core.held and not rig.balancer.forwards
+    assert client.status() == 502 and not rig.core.held and not rig.balancer.attempts
     rig.asked(ask("y"))
     assert len(rig.got()) == 1
 
@@ -690,7 +690,7 @@
         assert rig.watches == 1, "a pause was drawn first"
     only(again).tell(42, not wait, entry("e0", rig.stands[0].port, "DRAINING"))  # the list had moved on
     rig.got()
-    assert rig.balancer.endpoints["e0"].line.state is State.DRAINING
+    assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
     assert rig.loop.now() - asked_at < (wait + 2.0 if wait else 6.0) - 0.5, "it counts as told before that"
 
 
@@ -707,7 +707,7 @@
     before = rig.loop.now()
     second.tell(42, False, entry("e0", rig.stands[0].port, "DRAINING"))
     assert "index=42" in only(rig.got()).target and rig.loop.now() == before
-    assert rig.balancer.endpoints["e0"].line.state is State.DRAINING
+    assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
 
 
 def test_a_pushed_list_is_had_at_once_after_an_outage_with_no_pause_drawn(rig: Rig) -> None:
@@ -725,7 +725,7 @@
         rig.wait(0.02)
     only(calls).tell(42, False, entry("e0", 9, "DRAINING"))
     rig.got()
-    assert rig.balancer.endpoints["e0"].line.state is State.DRAINING
+    assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
 
 
 def test_what_a_service_has_is_heard_within_6_s_of_its_return_however_long_the_asking_period() -> None:
@@ -770,7 +770,7 @@
     follower.want()
     for whole in (True, False):
         only(rig.got()).tell(40, whole, entry("e0", rig.stands[0].port))  # it would bring back what drains
-        assert rig.got() == [] and rig.balancer.endpoints["e0"].line.state is State.DRAINING
+        assert rig.got() == [] and rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
         follower.want()
         rig.wait(Follower.AGAIN)
         again = only(rig.got())
@@ -781,7 +781,7 @@
     follower.want()
     rig.wait(Follower.AGAIN)
     only(rig.got()).tell(3, True, entry("e7", rig.stands[0].port))  # it counts anew
-    assert "index=3" in only(rig.got()).target and "e7" in rig.balancer.endpoints
+    assert "index=3" in only(rig.got()).target and "e7" in rig.balancer.registry.by_id
 
 
 def test_an_old_address_under_a_new_id_is_another_endpoint() -> None:
@@ -796,7 +796,7 @@
     assert first.gone() and got.sock is not first.sock, "sent on a connection of the one that is gone"
     got.answer(200)
     rig.settle()
-    assert client.status() == 200 and set(rig.balancer.endpoints) == {"e9"}
+    assert client.status() == 200 and set(rig.balancer.registry.by_id) == {"e9"}
 
 
 def test_stand_in_is_found_again_at_its_new_address(rig: Rig) -> None:
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -126,6 +126,16 @@
     assert found == ["s1 was not told to leave e9 out", "x of s0 came to e9, which is left out, at 1.600 s"]
 
 
+def test_a_build_laid_out_in_two_folders_is_found_in_each(
+    had: Callable[[str], Build], tmp_path: Path
+) -> None:
+    first = had(OLDER)
+    second = older(tmp_path, OLDER)
+    for build in (first, second, first):
+        found = build.module("decisions.shared.cells").__file__
+        assert found is not None and Path(found).is_relative_to(build.root)
+
+
 @pytest.mark.parametrize("commit", [OLDER, SHARING], ids=[*BY_NAME])
 def test_half_a_fleet_one_release_behind_in_virtual_time(had: Callable[[str], Build], commit: str) -> None:
     """Ten minutes, of which the results have whole days: both builds' classes, by bytes alone."""
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -7,10 +7,17 @@
 
 import pytest
 
-from rainspindle.host import Effect, Group, Outcome, State, TrafficType
+from rainspindle.balancer.host import (
+    AttemptOutcome,
+    DeduplicationScope,
+    EndpointListUpdate,
+    EndpointStatus,
+    Idempotency,
+    TrafficClass,
+)
+from rainspindle.lazy_dataclasses import replace
 from rainspindle.transport.connection import Connection, Unless
 from rainspindle.transport.loop import Coroutine
-from rainspindle.values import replace
 
 from .fleet import SETTINGS, Client, Fleet, Got, Rig, ask, entry, line, only
 
@@ -158,14 +165,14 @@
 # Where a repeat may go, and which attempt begins the window: the module alone.
 
 
-def fleet_of(group: Group, span: float = SPAN, endpoints: int = 8, **other: Any) -> Fleet:
+def fleet_of(group: DeduplicationScope, span: float = SPAN, endpoints: int = 8, **other: Any) -> Fleet:
     """Endpoints two to a cell, zones by turns."""
-    kind = TrafficType(Effect.FINGERPRINTED, group, 4.0, 8.0, span)
+    kind = TrafficClass(Idempotency.DEDUPLICATED, group, 4.0, 8.0, span)
     return Fleet([kind], [line(n) for n in range(endpoints)], **other)
 
 
-@pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
-def test_the_group_is_that_of_the_endpoint_when_the_attempt_was_sent(group: Group) -> None:
+@pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
+def test_the_group_is_that_of_the_endpoint_when_the_attempt_was_sent(group: DeduplicationScope) -> None:
     """Guards against word that the endpoint is gone, or has another place, which comes while it works: the
     group that may drop the repeat is the old one."""
     repeats = 0
@@ -173,12 +180,14 @@
         fleet = fleet_of(group)
         held = fleet.arrive(1, key=f"key{n}", wait=8.0)
         first = fleet.told[held.sent[0].endpoint]
-        gone = replace(first, state=State.GONE, zone=-1, cell=0)  # as decoded where an entry lacks them
-        fleet.balancer.list_changed(fleet.now, [gone], False, stale=False)
-        fleet.end(1, 0, Outcome.ERROR)
+        gone = replace(
+            first, status=EndpointStatus.GONE, zone=-1, cell=0
+        )  # as decoded where an entry lacks them
+        fleet.balancer.on_list_changed(fleet.now, EndpointListUpdate([gone], complete=False))
+        fleet.end(1, 0, AttemptOutcome.ERROR)
         for sent in held.sent[1:]:
             to = fleet.told[sent.endpoint]
-            assert to.zone == first.zone if group is Group.ZONE else to.cell == first.cell
+            assert to.zone == first.zone if group is DeduplicationScope.ZONE else to.cell == first.cell
             repeats += 1
     assert repeats >= 8, "the group has one more that is ready"
 
@@ -186,23 +195,23 @@
 @pytest.mark.parametrize("late", [-JUST, 0.0, JUST])
 def test_the_window_begins_with_the_first_attempt_that_may_have_run(late: float) -> None:
     """Not with one that never ran, and not with a later one; a time-out counts from its sending too."""
-    fleet = fleet_of(Group.ALL)
+    fleet = fleet_of(DeduplicationScope.ALL)
     held = fleet.arrive(1, wait=8.0)
     fleet.wait(SPAN * 2)
-    fleet.end(1, 0, Outcome.FULL)  # never ran: nothing to be dropped, the window is not yet open
+    fleet.end(1, 0, AttemptOutcome.OVERLOADED)  # never ran: nothing to be dropped, the window is not yet open
     fleet.wait(SPAN / 2)
-    fleet.end(1, 1, Outcome.RESET)  # may have run
+    fleet.end(1, 1, AttemptOutcome.RESET)  # may have run
     fleet.wait(SPAN / 2 + late)
-    fleet.end(1, 2, Outcome.RESET)
+    fleet.end(1, 2, AttemptOutcome.RESET)
     assert len(held.sent) == (4 if late < 0 else 3)
     assert held.answer == (None if late < 0 else "rejected")
 
 
 @pytest.mark.parametrize("span, again", [(0.0, False), (JUST, True), (4.0, True), (8.0, True), (60.0, True)])
 def test_windows_shorter_and_longer_than_the_deadline_and_none(span: float, again: bool) -> None:
-    fleet = fleet_of(Group.CELL, span)
+    fleet = fleet_of(DeduplicationScope.CELL, span)
     held = fleet.arrive(1, wait=8.0)
-    fleet.end(1, 0, Outcome.ERROR)  # at once
+    fleet.end(1, 0, AttemptOutcome.ERROR)  # at once
     assert (len(held.sent) == 2) is again and held.answer == (None if again else "terminated")
     late = fleet.arrive(2, key="other", wait=8.0)
     fleet.wait(7.0)  # the first attempt times out at the promised time of 4 s
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,20 +10,26 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from rainspindle.host import Effect, Group, Listed, Outcome, State
-from rainspindle.logic import ForwardBudget
+from rainspindle.balancer.host import (
+    AttemptOutcome,
+    DeduplicationScope,
+    EndpointStatus,
+    Idempotency,
+    ListedEndpoint,
+)
+from rainspindle.balancer.retry_budget import RetryBudget
 
 from .fleet import COLD, COLD_FROM, MULTIPLE, WINDOW, Fleet, kind, line
 
 TYPES = [
     kind(e, g)
     for e, g in (
-        (Effect.RETRIABLE, Group.ALL),
-        (Effect.RETRIABLE, Group.ALL),
-        (Effect.BINDING, Group.ALL),
-        (Effect.FINGERPRINTED, Group.ALL),
-        (Effect.FINGERPRINTED, Group.ZONE),
-        (Effect.FINGERPRINTED, Group.CELL),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ALL),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.ZONE),
+        (Idempotency.DEDUPLICATED, DeduplicationScope.CELL),
     )
 ]
 
@@ -33,7 +39,7 @@
     st.integers(-1, 4),
     st.sampled_from([2.0, 0.3, -0.1]),
 )
-END = st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome)), st.just(0.0))
+END = st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(AttemptOutcome)), st.just(0.0))
 STEP = st.one_of(
     ARRIVE,
     ARRIVE,
@@ -48,7 +54,7 @@
     st.tuples(
         st.just("list"),
         st.integers(0, 7),
-        st.sampled_from([State.GONE, State.DRAINING, State.READY]),
+        st.sampled_from([EndpointStatus.GONE, EndpointStatus.DRAINING, EndpointStatus.READY]),
         st.sampled_from([0.0, 1.5]),
     ),
     st.tuples(st.just("out"), st.integers(0, 7), st.booleans(), st.just(0.0)),
@@ -90,7 +96,7 @@
                 held = fleet.arrive(next_id, 0, f"k{next_id % 40}")
                 if held.sent:
                     fleet.wait(0.01)
-                    fleet.end(next_id, len(held.sent) - 1, Outcome.SERVED)
+                    fleet.end(next_id, len(held.sent) - 1, AttemptOutcome.SERVED)
                 next_id += 1
         elif what == "wait":
             fleet.wait(c)
@@ -98,17 +104,17 @@
             fleet.leave(a % next_id)
         elif what == "list":
             old = fleet.told.get(f"e{a}")
-            started = fleet.now - c if c and b is State.READY else old.started if old else None
-            fleet.tell([Listed(f"e{a}", a // 2, a % 2, 1.0, b, started)])
+            started = fleet.now - c if c and b is EndpointStatus.READY else old.started_at if old else None
+            fleet.tell([ListedEndpoint(f"e{a}", a // 2, a % 2, 1.0, b, started)])
         elif what == "whole":
             fleet.tell([fleet.told.get(f"e{n}", line(n)) for n in range(8) if a >> n & 1], whole=True)
         elif what == "out":
             fleet.leave_out(f"e{a}") if b else fleet.put_back(f"e{a}")
         elif what == "list failed":
-            fleet.balancer.list_failed(fleet.now)
+            fleet.balancer.on_list_failed()
     fleet.wait(10.0)
     assert all(held.answer for held in fleet.held.values())
-    assert not fleet.balancer.exchanges and not fleet.balancer.forwards
+    assert not fleet.balancer.requests and not fleet.balancer.attempts
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -123,7 +129,7 @@
             held = fleet.arrive(id, 0, f"k{id * 7919 % keys}")
             fleet.wait(1 / rate)
             if held.sent and held.sent[-1].outcome is None:
-                fleet.end(id, len(held.sent) - 1, Outcome.SERVED)
+                fleet.end(id, len(held.sent) - 1, AttemptOutcome.SERVED)
             id += 1
 
 
@@ -138,12 +144,12 @@
         fleet.wait(seed / peers / rate)
         id = 0
         while fleet.now < 1025.0:
-            if fleet.now > 1015.0 and fleet.told["e0"].started is None:
+            if fleet.now > 1015.0 and fleet.told["e0"].started_at is None:
                 fleet.tell([line(n, started=1014.0) for n in range(starts)])
             held = fleet.arrive(id, 0, f"k{id * 7919 % 40}")
             if held.sent:
                 fleet.wait(0.01)
-                fleet.end(id, 0, Outcome.SERVED)
+                fleet.end(id, 0, AttemptOutcome.SERVED)
                 answered += fleet.now < 1015.0
                 sent += [fleet.now] * (held.sent[0].endpoint == "e0" and fleet.now > 1015.0)
             fleet.wait(1 / rate)
@@ -173,7 +179,7 @@
             fleet.wait(gap)
         while held.sent and held.answer is None:
             bad = id > 100 and (id * 7919 % 100) / 100 < failing and len(held.sent) < 4
-            fleet.end(id, len(held.sent) - 1, Outcome.UNCONNECTED if bad else Outcome.SERVED)
+            fleet.end(id, len(held.sent) - 1, AttemptOutcome.NOT_CONNECTED if bad else AttemptOutcome.SERVED)
         if not late:
             fleet.wait(gap)
     if free >= 1.0 and share:
@@ -185,9 +191,9 @@
     more: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A planted fault: one forward too many, or the window a twentieth too short."""
-    allows = ForwardBudget.allows
+    allows = RetryBudget.allows
 
-    def planted(self: ForwardBudget, now: float, worth: float) -> bool:
+    def planted(self: RetryBudget, now: float, worth: float) -> bool:
         if more < 1:
             return allows(self, now + more * self.window, worth)
         self.free += 1
@@ -196,14 +202,16 @@
         finally:
             self.free -= 1
 
-    monkeypatch.setattr(ForwardBudget, "allows", planted)
-    monkeypatch.setattr(ForwardBudget, "AT_ONCE", 1.0)
+    monkeypatch.setattr(RetryBudget, "allows", planted)
+    monkeypatch.setattr(RetryBudget, "BURST_SHARE", 1.0)
     fleet = Fleet(TYPES, [line(n) for n in range(8)], further=(2.0, 0.1, 2.0))
     with pytest.raises(AssertionError, match="budget"):
         for id in range(400):
             held = fleet.arrive(id, 0, f"k{id % 30}")
             while held.sent and held.answer is None:
-                fleet.end(id, len(held.sent) - 1, Outcome.UNCONNECTED if id % 2 else Outcome.SERVED)
+                fleet.end(
+                    id, len(held.sent) - 1, AttemptOutcome.NOT_CONNECTED if id % 2 else AttemptOutcome.SERVED
+                )
             fleet.wait(0.043)
 
 
@@ -237,12 +245,14 @@
             at, n, exchange, number = heapq.heappop(due)
             fleets[n].wait(max(0.0, at - fleets[n].now))
             if fleets[n].held[exchange].sent[number].outcome is None:
-                fleets[n].end(exchange, number, Outcome.SERVED)
+                fleets[n].end(exchange, number, AttemptOutcome.SERVED)
         n = id % peers
         fleet = fleets[n]
         fleet.wait(max(0.0, now - fleet.now))
         if now >= cold.born and "e2" not in fleet.told:
-            fleet.tell([line(2, started=cold.born), line(0, State.GONE), line(1, State.GONE)])
+            fleet.tell(
+                [line(2, started=cold.born), line(0, EndpointStatus.GONE), line(1, EndpointStatus.GONE)]
+            )
         for number, sent in enumerate(fleet.arrive(id, 0, f"k{id % 150}").sent):
             takes = rng.expovariate(1 / cold.work)
             ends = cold.takes(now, takes) if sent.endpoint == "e2" else now + takes
@@ -280,7 +290,7 @@
             at, n, exchange, number = heapq.heappop(due)
             fleets[n].wait(max(0.0, at - fleets[n].now))
             if fleets[n].held[exchange].sent[number].outcome is None:
-                fleets[n].end(exchange, number, Outcome.SERVED)
+                fleets[n].end(exchange, number, AttemptOutcome.SERVED)
         fleet.wait(max(0.0, now - fleet.now))
         if now >= begun + 4.0 and f"e{n_warm}" not in fleet.told:
             fleet.tell([line(n, started=begun + 4.0) for n in range(n_warm, n_warm + n_cold)])
@@ -299,7 +309,9 @@
 def test_a_cold_endpoint_that_takes_as_long_as_it_may_is_not_sick() -> None:
     """Its late answers put it out for five seconds and more, just when it was needed."""
     for age, out in (8.0, False), (COLD, True):
-        fleet = Fleet([kind(Effect.BINDING)], [line(n) for n in range(3)], peers=1, max_forwards=1)
+        fleet = Fleet(
+            [kind(Idempotency.NON_IDEMPOTENT)], [line(n) for n in range(3)], peers=1, max_forwards=1
+        )
         for id in range(200):
             if id == 60:
                 fleet.tell([line(0, started=fleet.now - age)])
@@ -308,5 +320,5 @@
             for done, number in fleet.open():
                 sent = fleet.held[done].sent[number]
                 if fleet.now - sent.at > (0.7 if sent.endpoint == "e0" and id > 60 else 0.25):
-                    fleet.end(done, number, Outcome.SERVED)
-        assert any("e0 out" in x for x in fleet.logs) is out, fleet.logs
+                    fleet.end(done, number, AttemptOutcome.SERVED)
+        assert any("e0 ejected" in x for x in fleet.logs) is out, fleet.logs
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,12 +8,12 @@
 
 import pytest
 
+from rainspindle.balancer.failover import CircuitBreaker
+from rainspindle.balancer.host import DeduplicationScope, Idempotency, TrafficClass
 from rainspindle.decisions.sites.intake import Intake
 from rainspindle.decisions.sites.sites import Route, Site, Sites
-from rainspindle.host import Effect, Group, TrafficType
 from rainspindle.lab.virtual import Clock
 from rainspindle.lab.virtual_sites import VirtualLoop
-from rainspindle.logic import Breaker
 from rainspindle.routing.core import Finished, Given, Rejected, Terminated
 from rainspindle.routing.sites import Free, SiteRouter
 from rainspindle.transport.loop import Coroutine
@@ -125,7 +125,7 @@
         both.wait(3.0)
     peer = both.sites.sites["rabat"]
     assert not peer.usable(both.now) and peer.hold == Site.MOST_HOLD
-    both.sites.own.breaker = Breaker(both.now)  # with nothing at home it is used all the same
+    both.sites.own.breaker = CircuitBreaker(both.now)  # with nothing at home it is used all the same
     assert both.goes("k") == "rabat"
     both.sites.own.breaker = None
     both.wait(Site.MOST_HOLD)
@@ -250,12 +250,14 @@
         return (yield from self.run(given, gone))
 
 
-def routed(effect: Effect, home: tuple[float, Any], away: tuple[float, Any]) -> tuple[Any, Sites, Leg, Leg]:
+def routed(
+    effect: Idempotency, home: tuple[float, Any], away: tuple[float, Any]
+) -> tuple[Any, Sites, Leg, Leg]:
     clock = Clock()
     loop = VirtualLoop(clock, lambda fault: None)
     sites = Sites("casa", ["rabat"], 7, loop.now(), lambda line: None)
     sites.linked(loop.now(), "rabat", True)
-    kind = TrafficType(effect, Group.ALL, 0.6, 2.0, 0.0)
+    kind = TrafficClass(effect, DeduplicationScope.ALL, 0.6, 2.0, 0.0)
     core, peer = Leg(loop, *home), Leg(loop, *away)
     fake: Any = core
     router = SiteRouter(loop, fake, sites, Intake(loop.now(), 0.5, 4, lambda line: None), [kind], False)
@@ -273,20 +275,20 @@
 
 def test_each_site_is_judged_by_the_time_that_it_took_itself() -> None:
     done = Finished(None)
-    final, sites, _, peer = routed(Effect.BINDING, (0.5, Rejected(0.0, False)), (0.4, done))
+    final, sites, _, peer = routed(Idempotency.NON_IDEMPOTENT, (0.5, Rejected(0.0, False)), (0.4, done))
     assert final is done and peer.came == 1
     assert sites.sites["rabat"].shares.failed() == 0 and sites.own.shares.failed() == 1
-    final, sites, _, _ = routed(Effect.BINDING, (0.0, Rejected(0.0, False)), (0.7, done))
+    final, sites, _, _ = routed(Idempotency.NON_IDEMPOTENT, (0.0, Rejected(0.0, False)), (0.7, done))
     assert final is done and sites.sites["rabat"].shares.failed() == 1
 
 
 def test_what_may_have_run_goes_nowhere_else_and_what_did_not_crosses_once() -> None:
     for effect, home, away, came in (
-        (Effect.BINDING, Terminated(), Finished(None), 0),
-        (Effect.FINGERPRINTED, Rejected(0.0, True), Finished(None), 0),
-        (Effect.RETRIABLE, Rejected(0.0, True), Finished(None), 1),
-        (Effect.BINDING, Rejected(0.0, False), Free(True, 0.5), 1),
-        (Effect.BINDING, Rejected(0.0, False), Terminated(), 1),
+        (Idempotency.NON_IDEMPOTENT, Terminated(), Finished(None), 0),
+        (Idempotency.DEDUPLICATED, Rejected(0.0, True), Finished(None), 0),
+        (Idempotency.IDEMPOTENT, Rejected(0.0, True), Finished(None), 1),
+        (Idempotency.NON_IDEMPOTENT, Rejected(0.0, False), Free(True, 0.5), 1),
+        (Idempotency.NON_IDEMPOTENT, Rejected(0.0, False), Terminated(), 1),
     ):
         final, _, core, peer = routed(effect, (0.0, home), (0.0, away))
         assert (core.came, peer.came) == (1, came)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -161,7 +161,7 @@
             reader = Reader(client.sock)
             reader.look()
             assert reader.data.startswith(b"HTTP/1.1 408" if how == "silent" else b"HTTP/1.1 400")
-        assert not any(sum(e.failures) for e in rig.balancer.endpoints.values())
+        assert not any(e.failure_counts.total_failures for e in rig.balancer.registry.by_id.values())
         endpoint.sock.close()
 
 
@@ -211,7 +211,9 @@
     rig.loop.wait(0.1)
     reader.look()
     assert reader.data.startswith(b"HTTP/1.1 200 ") and LONG[:1000] in reader.data, "held back"
-    assert not any(e.out for e in rig.balancer.endpoints.values()), "it holds a place in the window"
+    assert not any(e.in_flight for e in rig.balancer.registry.by_id.values()), (
+        "it holds a place in the window"
+    )
     rig.loop.wait(5.0)  # past the expiry: the endpoint is given its time
     pour(rig, endpoint.sock, body[2000:], reader)
     if how == "end":
@@ -279,7 +281,7 @@
     rig.loop.wait(SILENCE + 1)
     rig.loop.settle()
     assert not rig.core.held and rig.facade.in_flight() == 0
-    assert not any(sum(e.failures) for e in rig.balancer.endpoints.values())
+    assert not any(e.failure_counts.total_failures for e in rig.balancer.registry.by_id.values())
 
 
 def test_a_slow_client_has_the_time_that_its_body_takes(rig: Rig) -> None:
@@ -308,7 +310,7 @@
     client = rig.client()
     client.sock.sendall(ask("x", "book", b"").replace(b"Content-Length: 0", b"Content-Length: 200000"))
     pour(rig, client.sock, b"x" * 100_000)
-    first = next(iter(rig.balancer.forwards.values())).endpoint.id
+    first = next(iter(rig.balancer.attempts.values())).endpoint.id
     port = rig.stands[int(first[1:])].port
     rig.tell(entry(first, port, "DRAINING"))
     rig.loop.wait(0.2)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -176,7 +176,7 @@
         assert {name for _, name in ledger.at} == {"e0", "e1", "e2"}
         new = Operated(tmp_path, old, known=known)
         assert new.call("endpoints/e1/disable") == 200
-        old.until(lambda: "left out by order" in old.logged() or None)
+        old.until(lambda: "disabled by order" in old.logged() or None)
         begun = time.monotonic()
         enough(new, ledger)
         old.term()
