--- a/rainspindle/balancer/selection.py
+++ b/rainspindle/balancer/selection.py
@@ -13,7 +13,7 @@
 from .host import EndpointStatus
 from .key_popularity import KeyPopularity
 from .latency import LatencyTracker
-from .load_shedding import LoadShedder
+from .load_shedding import FleetTimes, LoadShedder
 from .random_sequence import RandomSequence
 from .ranking import RendezvousRanking
 from .request import RequestState
@@ -169,9 +169,7 @@
                 if self._may_try(context, endpoint.breaker):
                     return Selection(endpoint, endpoint.breaker)
                 continue
-            if not self.capacity.slow_start.takes_key(endpoint, context.request.key, context.now):
-                continue
-            if self.shedder.sheds(context.request, endpoint, fleet, context.now):
+            if self._is_passed_over(context, endpoint, fleet):
                 continue
             predicted = endpoint.predicted_time(context.now, self.latency.median)
             if predicted <= remaining * self.MAX_PREDICTED or self._is_idle(context, endpoint):
@@ -181,6 +179,13 @@
                 quickest_time = predicted
         return quickest
 
+    def _is_passed_over(self, context: SelectionContext, endpoint: EndpointState, fleet: FleetTimes) -> bool:
+        """Returns whether the endpoint does not take this key yet, or is too loaded for the request."""
+        request = context.request
+        if not self.capacity.slow_start.takes_key(endpoint, request.key, context.now):
+            return True
+        return self.shedder.sheds(request, endpoint, fleet, context.now)
+
     def _may_try(self, context: SelectionContext, breaker: CircuitBreaker) -> bool:
         """Returns whether the request may be the trial of an ejected endpoint.
 
--- a/rainspindle/lazy_dataclasses.py
+++ b/rainspindle/lazy_dataclasses.py
@@ -6,6 +6,9 @@
 dataclasses (PEP 681), and only they keep a frozen instance unchanged: nothing does at run time.
 """
 
+# The fields of a dataclass may be of any type, so its shared methods take and return any.
+# ruff: noqa: ANN401
+
 from __future__ import annotations
 
 import operator
