--- a/rainspindle/balancer/balancer.py
+++ b/rainspindle/balancer/balancer.py
@@ -27,6 +27,7 @@
 from .load_publisher import LoadPublisher
 from .load_shedding import LoadShedder, WeightRanking
 from .outlier_detection import OutlierDetector
+from .overdue import OverdueMonitor
 from .peer_load import PeerLoad
 from .quotas import TenantQuotas
 from .random_sequence import RandomSequence
@@ -69,7 +70,6 @@
     TICK = 0.1  # seconds between looks at overdue attempts
     SWEEP = 1.0  # seconds between sweeps
     FLEET_QUEUE = 1.0  # requests that all sidecars together let wait at an endpoint
-    SLOW_FACTOR = 3  # times the slow response time, after which a silent attempt is overdue
     RETRY_AFTER_SHARE = 12  # the shortest Retry-After is one part in so many of the latency objective
     RETRY_AFTER_FACTOR = 3  # so many times Retry-After must be left for the retry to be in time
 
@@ -135,6 +135,9 @@
         self._recorder = AttemptRecorder(
             self.capacity, self.failover, self.latency, self.outliers, self.ranking
         )
+        self._overdue = OverdueMonitor(
+            config, self._host, self.latency, self.slow_start, self.outliers, self._is_within_retry_budget
+        )
         self._publisher = LoadPublisher(self._host, self.registry, config.sidecar_count, config.message_price)
 
     # Events: the endpoint list and operators' orders.
@@ -406,48 +409,10 @@
 
     def _on_tick(self, now: float) -> None:
         self._host.schedule_timer(self.TICK, Timer.TICK)
-        self._check_overdue(now)
+        self._overdue.check(now, self.attempts.values(), self.traffic_classes)
         if now - self.swept_at >= self.SWEEP:
             self._sweep(now)
 
-    def _check_overdue(self, now: float) -> None:
-        overdue_after = self.SLOW_FACTOR * self.latency.slow
-        if not overdue_after:  # no response yet
-            overdue_after = max(one.latency_objective for one in self.traffic_classes)
-        for attempt in list(self.attempts.values()):  # the oldest first
-            if attempt.body_incomplete or attempt.response_started:
-                continue
-            if now - attempt.sent_at < overdue_after:
-                break
-            self._check_overtaken(attempt, now)
-            self._check_silent(attempt, now, overdue_after)
-
-    def _check_overtaken(self, attempt: Attempt, now: float) -> None:
-        """Guards against a silent connection: an overtaken attempt takes no room, and may go again."""
-        endpoint = attempt.endpoint
-        if attempt.overtaken or endpoint.latest_answered_send <= attempt.sent_at:
-            return
-        attempt.overtaken = True
-        request = attempt.request
-        endpoint.in_flight.pop((request.id, attempt.number), None)
-        if (
-            self.config.can_cancel
-            and request.is_idempotent
-            and request.attempt_count == 1
-            and request.objective_at - now > self.latency.slow
-            and self._is_within_retry_budget(request.traffic_class, now)
-        ):
-            self._host.cancel_attempt(request.id, attempt.number)
-
-    def _check_silent(self, attempt: Attempt, now: float, overdue_after: float) -> None:
-        """Counts the attempt as a failure if its endpoint has answered nothing since it was sent."""
-        endpoint = attempt.endpoint
-        if attempt.overdue or endpoint.breaker or endpoint.last_response_at >= attempt.sent_at:
-            return
-        if (now - attempt.sent_at) * self.slow_start.capacity(endpoint, now) >= overdue_after:
-            attempt.overdue = True
-            self.outliers.record_outcome(endpoint, 1.0, now, "silent")
-
     def _sweep(self, now: float) -> None:
         """Ages what was learned, and derives what is looked up until the next sweep."""
         elapsed = now - self.swept_at
--- a/rainspindle/balancer/endpoint.py
+++ b/rainspindle/balancer/endpoint.py
@@ -4,16 +4,13 @@
 
 import math
 import zlib
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ..histogram import Histogram
 from .failover import CircuitBreaker
 from .failure_counts import FailureCounts
 from .host import ListedEndpoint
 
-if TYPE_CHECKING:
-    from .request import Attempt
-
 MARK_BITS = 24
 
 
@@ -22,6 +19,12 @@
     return zlib.crc32(endpoint_id.encode()) & ((1 << MARK_BITS) - 1)
 
 
+class SentAttempt(Protocol):
+    """What an endpoint needs to know of an attempt there."""
+
+    sent_at: float
+
+
 class EndpointState:
     """One endpoint: as listed, and as this sidecar's own attempts found it.
 
@@ -68,7 +71,7 @@
         self.id = listed.id
         self.mark = endpoint_mark(listed.id)
         self.queue_share = queue_share
-        self.in_flight: dict[tuple[int, int], Attempt] = {}
+        self.in_flight: dict[tuple[int, int], SentAttempt] = {}
         self.is_suspected = False
         self.reset(listed)
 
--- a/rainspindle/lab/relayed.py
+++ b/rainspindle/lab/relayed.py
@@ -7,7 +7,6 @@
 import random
 from collections.abc import Sequence
 from functools import partial
-from typing import TYPE_CHECKING
 
 from ..balancer.host import EndpointStatus, ListedEndpoint
 from ..decisions.listing.relay import Relay, Terms
@@ -16,9 +15,7 @@
 from ..protocol.listing import Head, Lines
 from .ledger import Met
 from .listing_net import AT, DEATH_TIME, JOIN_TIME, Delays
-
-if TYPE_CHECKING:
-    from .virtual import SidecarNode, VirtualRun
+from .virtual_views import RunView, SidecarView
 
 ASKERS = 3
 
@@ -26,7 +23,7 @@
 class Cells:
     """All that is written, and who is there."""
 
-    def __init__(self, run: VirtualRun) -> None:
+    def __init__(self, run: RunView) -> None:
         self.run, self.random = run, random.Random(run.world.seed)
         self.delays = Delays(self.random)
         self.names = [f"s{n}" for n in range(run.world.x.sidecars.count)]
@@ -37,7 +34,7 @@
         self.heads: dict[bytes, Head] = {}
         self.there: tuple[float, list[str]] = -math.inf, []
 
-    def join(self, node: SidecarNode, known: Sequence[ListedEndpoint]) -> Relayed:
+    def join(self, node: SidecarView, known: Sequence[ListedEndpoint]) -> Relayed:
         part = self.parts[f"s{node.number}"] = Relayed(self, node, known)
         self.gone.pop(part.name, None)
         clock = node.clock
@@ -82,7 +79,7 @@
 class Relayed:
     """One sidecar's part in it, for one of its lives."""
 
-    def __init__(self, cells: Cells, node: SidecarNode, known: Sequence[ListedEndpoint]) -> None:
+    def __init__(self, cells: Cells, node: SidecarView, known: Sequence[ListedEndpoint]) -> None:
         self.cells, self.node, self.name = cells, node, f"s{node.number}"
         world, now = node.run.world, node.clock.now
         self.seen: dict[tuple[str, str], tuple[int, bytes]] = {}
--- a/rainspindle/lab/virtual.py
+++ b/rainspindle/lab/virtual.py
@@ -452,8 +452,8 @@
         self.world, self.clock, self.ledger = world, Clock(), Ledger()
         self.types = world.x.traffic
         self.gate = Gate(world.x.registry.calls)
-        self.words = Words(self) if world.variant.word else None
-        self.cells = Cells(self) if world.variant.relay else None
+        self.words: Words | None = Words(self) if world.variant.word else None
+        self.cells: Cells | None = Cells(self) if world.variant.relay else None
         self.beyond: frozenset[int] = frozenset()  # endpoints that the first sidecar cannot reach
         self.links = world.links()
         self.endpoints = [EndpointNode(self.clock, world.endpoint(n)) for n in range(len(world.kinds))]
--- a/rainspindle/lab/word.py
+++ b/rainspindle/lab/word.py
@@ -9,16 +9,13 @@
 import random
 import zlib
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from ..balancer.balancer import Balancer
 from ..decisions.evidence.evidence import Evidence
 from ..decisions.evidence.watch import Watch, Watches
 from ..protocol.evidence import Out, Told, decode_told, encode_told, mark_of
 from .ledger import Met
-
-if TYPE_CHECKING:
-    from .virtual import SidecarNode, VirtualRun
+from .virtual_views import RunView, SidecarView
 
 LOOK, LOOK_OUT = 0.25, 0.1  # as the program looks
 DELAYS = (0.02, 0.05, 0.09, 0.13, 0.17, 0.25, 0.45, 1.0)  # of the eighths of the members
@@ -34,7 +31,7 @@
 class Words:
     """All cells that were written, in order of time."""
 
-    def __init__(self, run: VirtualRun) -> None:
+    def __init__(self, run: RunView) -> None:
         self.run, self.news = run, list[News]()
         self.chance = random.Random(run.world.seed)
         count = run.world.x.sidecars.count
@@ -42,7 +39,7 @@
         self.rank = {n: place for place, n in enumerate(order)}
         self.liar = run.world.variant.liar
 
-    def join(self, node: SidecarNode) -> Informed | None:
+    def join(self, node: SidecarView) -> Informed | None:
         balancer = node.facade.balancer
         return Informed(self, node, balancer) if isinstance(balancer, Balancer) else None
 
@@ -60,7 +57,7 @@
 class Informed(Watches):
     """One sidecar's part in it, for one of its lives."""
 
-    def __init__(self, words: Words, node: SidecarNode, balancer: Balancer) -> None:
+    def __init__(self, words: Words, node: SidecarView, balancer: Balancer) -> None:
         super().__init__()
         self.words, self.node = words, node
         world, now = node.run.world, node.clock.now
