--- a/rainspindle/balancer/balancer.py
+++ b/rainspindle/balancer/balancer.py
@@ -223,7 +223,7 @@
             attempt.endpoint.last_sent_at = now
             del self.attempts[request_id, number]  # it is the latest now
             self.attempts[request_id, number] = attempt
-            attempt.endpoint.in_flight[request_id, number] = attempt
+            attempt.endpoint.in_flight[request_id, number] = now
         return self._timeout(request, now)
 
     def on_response_started(self, now: float, request_id: int, number: int) -> None:
@@ -337,7 +337,7 @@
         endpoint.last_sent_at = now
         self.registry.mark_active(endpoint)
         if not request.body_incomplete:
-            endpoint.in_flight[request.id, attempt.number] = attempt
+            endpoint.in_flight[request.id, attempt.number] = now
         request.attempt_count += 1
         request.in_flight += 1
         request.tried.append(endpoint)
--- a/rainspindle/balancer/endpoint.py
+++ b/rainspindle/balancer/endpoint.py
@@ -4,7 +4,6 @@
 
 import math
 import zlib
-from typing import Protocol
 
 from ..histogram import Histogram
 from .failover import CircuitBreaker
@@ -19,12 +18,6 @@
     return zlib.crc32(endpoint_id.encode()) & ((1 << MARK_BITS) - 1)
 
 
-class SentAttempt(Protocol):
-    """What an endpoint needs to know of an attempt there."""
-
-    sent_at: float
-
-
 class EndpointState:
     """One endpoint: as listed, and as this sidecar's own attempts found it.
 
@@ -32,7 +25,8 @@
         id: The endpoint's name in the list.
         mark: Its number in messages between sidecars.
         queue_share: Waiting requests that this sidecar alone may cause there.
-        in_flight: This sidecar's attempts there, the oldest first; they outlast a restart of the endpoint.
+        in_flight: When this sidecar's attempts there were sent, by request and number, the oldest first;
+            they outlast a restart of the endpoint.
         is_suspected: Whether peers report it as failing, so that fewer failures of its own eject it.
         listed: Its line of the endpoint list.
         slow_start_remaining: Attempts left in the current part of the slow-start window.
@@ -71,7 +65,7 @@
         self.id = listed.id
         self.mark = endpoint_mark(listed.id)
         self.queue_share = queue_share
-        self.in_flight: dict[tuple[int, int], SentAttempt] = {}
+        self.in_flight: dict[tuple[int, int], float] = {}
         self.is_suspected = False
         self.reset(listed)
 
@@ -121,7 +115,7 @@
 
     def predicted_time(self, now: float, usual_time: float) -> float:
         """Returns the seconds that an attempt is expected to take; `usual_time` counts as one more value."""
-        oldest = next(iter(self.in_flight.values())).sent_at if self.in_flight else now
+        oldest = next(iter(self.in_flight.values())) if self.in_flight else now
         return max(self.latency.quantile(0.75, usual_time, 1.0), now - oldest)
 
     def readmit(self, now: float) -> None:
