--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -164,7 +164,7 @@
     assert not fleet.logs
 
 
-def test_queue_seen_in_latency_closes_the_window_before_the_promised_time_is_near() -> None:
+def test_a_queue_seen_in_latency_shrinks_the_window_before_the_latency_objective_is_near() -> None:
     fleet = Fleet([kind()], [line(0)])  # the overloads: forwards waited until they timed out
     serve_some(fleet, 0, 40)
     assert fleet.balancer.registry.ready[0].window == 2  # one at a time earns no more
@@ -247,7 +247,7 @@
     assert len(second) > 2
 
 
-def test_where_all_is_binding_an_endpoint_gets_its_trial_at_last() -> None:
+def test_where_all_requests_are_non_idempotent_an_ejected_endpoint_gets_its_trial_at_last() -> None:
     fleet = Fleet([kind(Idempotency.NON_IDEMPOTENT)], [line(0), line(1)])  # both were out for good
     for id in range(40):
         held = fleet.arrive(id, key=f"k{id}")
@@ -266,7 +266,7 @@
     assert not any(e.breaker for e in fleet.balancer.registry.ready)
 
 
-def test_a_keyless_exchange_leaves_no_entry() -> None:
+def test_a_request_without_a_key_leaves_no_failover_entry() -> None:
     fleet = Fleet([kind()], [line(0)])
     for id in range(2):
         fleet.arrive(id, key=None)
@@ -303,7 +303,7 @@
     assert 1 < len(used) <= 6 and any(h.answer == "rejected" for h in fleet.held.values())
 
 
-def test_a_hot_key_is_spread_though_one_forward_is_out_at_a_time() -> None:
+def test_a_hot_key_is_spread_though_one_attempt_is_in_flight_at_a_time() -> None:
     fleet = Fleet([kind()], [line(n) for n in range(20)])  # its first endpoint took 25 times its part
     for id in range(400):
         fleet.arrive(id, key="hot" if id % 4 == 0 else f"key{id}")
@@ -313,7 +313,7 @@
     assert 2 < len(used) <= 6
 
 
-def test_exchanges_are_turned_away_while_times_are_long_everywhere() -> None:
+def test_requests_are_rejected_while_times_are_long_everywhere() -> None:
     fleet = Fleet([kind()], [line(n) for n in range(8)], peers=200)  # queues made by 124 sidecars together
     serve_some(fleet, 0, 40)
     assert not any(h.answer == "rejected" for h in fleet.held.values())
@@ -347,7 +347,7 @@
     assert max(after - at for at, after in itertools.pairwise(sent)) < 4.0
 
 
-def test_failures_everywhere_alike_take_no_endpoint_out() -> None:
+def test_failures_everywhere_alike_eject_no_endpoint() -> None:
     fleet = Fleet([kind()], [line(n) for n in range(6)])  # half a fleet was out for 5 s after a short trouble
     serve_some(fleet, 0, 60)
     for outcome in (AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED):
@@ -383,7 +383,7 @@
     assert any(x.startswith("e0 ejected: 8 of ") for x in fleet.logs) and failures < 12
 
 
-def test_a_forward_overtaken_on_a_silent_connection_is_called_off_and_goes_again() -> None:
+def test_an_attempt_overtaken_on_a_silent_connection_is_cancelled_and_retried() -> None:
     fleet = Fleet([kind(), kind(Idempotency.NON_IDEMPOTENT)], [line(n) for n in range(2)])
     serve_together(fleet, 0, 80)
     fleet.wait(2.0)
@@ -416,7 +416,7 @@
     assert fleet.balancer.latency.overall.quantile(0.95) > 0.4
 
 
-def test_a_slow_endpoint_is_remembered_where_few_exchanges_come() -> None:
+def test_a_slow_endpoint_is_remembered_where_few_requests_come() -> None:
     fleet = Fleet([kind()], [line(n) for n in range(6)], peers=200)  # its times were forgotten after 2 s
     home = fleet.arrive(0).sent[0].endpoint
     fleet.wait(0.02)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("seconds", [1.0, 3.0, 8.0, 20.0])
-def test_one_stalled_buries_nobody_when_it_wakes_and_is_back_soon(seconds: float) -> None:
+def test_one_stalled_declares_nobody_dead_when_it_wakes_and_recovers_soon(seconds: float) -> None:
     world = settled(40)
     for name in ("m5", "m6"):
         world.pause(name, seconds)
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.3])
-def test_loss_buries_nobody(loss: float) -> None:
+def test_loss_has_nobody_declared_dead(loss: float) -> None:
     world = settled(40, loss=loss)
     wrong = buried(world)
     world.run(world.now + 40)
@@ -241,7 +241,7 @@
         assert table.next_in_ring() is min(alive, key=table.ring_distance, default=None)
 
 
-def test_one_that_is_back_knows_all_soon_though_first_exchanges_are_lost() -> None:
+def test_one_that_returns_knows_all_soon_though_first_state_exchanges_are_lost() -> None:
     for seed in range(10):
         world = ready(12, seed)
         world.loss = 0.3
@@ -311,7 +311,7 @@
     assert max(p.sent - sent[p.name] for p in world.running()) < 10 * tuning.extra_burst + 5.5 * most
 
 
-def test_stalls_bury_nobody_that_is_there_and_cost_few_datagrams() -> None:
+def test_stalls_have_no_live_member_declared_dead_and_cost_few_datagrams() -> None:
     world, size = ready(100, 1), 100
     wrong: list[str] = []
 
@@ -328,7 +328,7 @@
     assert world.run_until(world.agreed, 10)
 
 
-def test_a_death_is_told_on_though_all_others_tell_it_too() -> None:
+def test_a_death_is_broadcast_though_all_others_broadcast_it_too() -> None:
     world = ready(30, 1)
     members, record = world.processes["m0"].members, world.processes["m0"].members.table.records["m1"]
     world.loss = 1.0
@@ -368,7 +368,7 @@
     )
 
 
-def test_two_of_one_name_are_a_fault_told_to_both_until_one_is_gone() -> None:
+def test_two_of_one_name_are_a_fault_reported_to_both_until_one_is_gone() -> None:
     world = settled(10)
     first = world.processes["m4"]
     second = world.start("m4", address=("10.9.9.9", 7946))
@@ -491,7 +491,7 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 9), st.booleans())), st.integers(1, 5))
-def test_news_are_told_a_bounded_number_of_times_the_least_told_first(
+def test_updates_are_broadcast_a_bounded_number_of_times_the_least_sent_first(
     steps: list[tuple[int, bool]], most: int
 ) -> None:
     queue, limit, told_of = BroadcastQueue[int](most), transmissions(10), dict.fromkeys(range(10), 0)
@@ -600,7 +600,7 @@
 # Cells.
 
 
-def test_a_change_is_everywhere_at_once_and_ages_tell_how_old_word_is() -> None:
+def test_a_register_is_everywhere_at_once_and_its_age_tells_how_old_it_is() -> None:
     world = settled(12)
     at: list[float] = []
     written = world.now
@@ -622,7 +622,7 @@
     assert world.run_until(lambda: same_cells(world) and reader.named("x/a")["m3"].register.value == b"", 10)
 
 
-def test_cells_of_one_that_is_gone_outlive_it_for_the_stated_time_and_no_longer() -> None:
+def test_registers_outlive_their_owner_for_the_stated_time_and_no_longer() -> None:
     world = settled(6)
     for process in world.running():
         spread = process.members.messenger.registers
@@ -643,7 +643,7 @@
     assert all(len(p.cells.named("x/a")) == 5 for p in world.running())
 
 
-def test_thousands_of_cells_of_one_member_come_whole_to_others_at_bounded_cost() -> None:
+def test_thousands_of_registers_of_one_member_reach_others_at_bounded_cost() -> None:
     world = settled(3)
     process = world.processes["m0"]
     newcomer = world.start("m3", [world.address(1)])
@@ -666,7 +666,7 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_cells_merge_to_the_highest_in_any_order_and_sums_tell_it(
+def test_registers_merge_to_the_highest_in_any_order_and_digests_tell_it(
     told_of: list[tuple[str, str, int, int]], chance: random.Random
 ) -> None:
     first, second = RegisterStore("me", 5, 50), RegisterStore("me", 5, 50)
@@ -687,7 +687,7 @@
     assert first.count == 0
 
 
-def test_the_own_cells_of_this_life_are_believed_from_nobody_and_limits_hold() -> None:
+def test_own_registers_of_this_incarnation_are_believed_from_nobody_and_limits_hold() -> None:
     cells = RegisterStore("me", 5, max_per_subject=2)
     cells.write(0.0, "x/a", b"mine")
     assert not cells.merge(1.0, Register("me", "x/a", 5, 9, b"forged"))
@@ -703,7 +703,7 @@
     assert mine is not None and mine.register.order == (6, 1)
 
 
-def test_the_pools_word_goes_to_the_living_and_counts_only_from_them() -> None:
+def test_load_reports_go_to_the_living_and_count_only_from_them() -> None:
     world = settled(4)
     words: list[tuple[str, str, str]] = []
     for process in world.running():
@@ -761,7 +761,7 @@
     return runs
 
 
-def test_members_on_sockets_news_of_a_loaded_process_are_not_late(loop: Loop) -> None:
+def test_members_on_sockets_updates_of_a_loaded_process_are_not_late(loop: Loop) -> None:
     runs = fleet_of(loop, 4)
 
     rounds = 0.0
@@ -813,7 +813,9 @@
         run.close()
 
 
-def test_a_life_is_kept_in_the_folder_and_outruns_a_clock_that_went_back(loop: Loop, tmp_path: Path) -> None:
+def test_an_incarnation_is_kept_in_the_folder_and_outruns_a_clock_that_went_back(
+    loop: Loop, tmp_path: Path
+) -> None:
     ahead = (time.time_ns() // 1_000_000 + 3_600_000) << 12
     StoredFile(str(tmp_path / "members.life"), 3, 1, 64).write(b"%d" % ahead, "test")
     lives = []
--- a/tests/test_peer_load.py
+++ b/tests/test_peer_load.py
@@ -41,7 +41,7 @@
             fleet.end(id, 0, AttemptOutcome.SERVED)
 
 
-def test_what_others_have_at_an_endpoint_passes_it_over_until_their_word_is_old() -> None:
+def test_what_peers_have_in_flight_passes_an_endpoint_over_until_their_report_is_old() -> None:
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)  # a sidecar sees a part of the load
     first = home(fleet)
     fleet.balancer.peer_load.on_load_report(fleet.now, "2", [mark(fleet, first)] * 9, (), True)
@@ -53,7 +53,7 @@
     assert fleet.balancer.peer_load.total == 0 and fleet.arrive(3).sent[0].endpoint == first
 
 
-def test_a_word_tells_what_has_changed_and_now_and_then_all() -> None:
+def test_a_load_report_has_what_changed_and_now_and_then_everything() -> None:
     fleet = Fleet([kind(Idempotency.NON_IDEMPOTENT)], [line(n, zone=0) for n in range(4)], **POOL)
     other = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)
     for id in range(30):
@@ -88,7 +88,7 @@
     assert pool.total == 0 and not pool.in_flight and not pool.reports
 
 
-def test_word_keeps_to_its_price() -> None:
+def test_load_reports_keep_to_their_price() -> None:
     def bytes_told(price: float) -> float:
         fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, message_price=price, **POOL)
         served(fleet, 400, took=0.02)
@@ -137,7 +137,7 @@
     ) == (5.0, 0.04)
 
 
-def test_the_least_of_worth_is_turned_away_first_and_what_is_over_a_share_counts_less() -> None:
+def test_the_least_priority_weight_is_shed_first_and_what_exceeds_a_quota_weighs_less() -> None:
     types = [kind(value=1.0), kind(value=8.0)]
     fleet = Fleet(types, [line(0, zone=0)], tenant_allowances=(5.0, 100.0), excess_weight=0.2, **POOL)
     for id in range(400):
@@ -154,7 +154,7 @@
     assert places[0] < 0.34 < places[1] < 0.68 < places[2]
 
 
-def test_what_is_held_turns_the_least_of_worth_away_and_no_forward_is_given_up_early() -> None:
+def test_load_at_peers_sheds_the_least_weight_and_no_attempt_times_out_early() -> None:
     fleet = Fleet([kind(value=1.0), kind(value=8.0)], [line(n, zone=0) for n in range(4)], **POOL)
     for id in range(100):  # in turn, so that the sidecar knows what is asked
         fleet.arrive(id, id % 2, f"key{id}")
@@ -271,7 +271,7 @@
     assert done.returncode == 2 and named in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_sidecar_tells_another_and_goes_by_its_word_on_sockets(tmp_path: Path) -> None:
+def test_a_sidecar_reports_its_load_to_another_on_sockets(tmp_path: Path) -> None:
     """A stand-in for another sidecar: it hears the word, and its own turns a key away from its endpoint."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.0.1", 0))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -168,7 +168,7 @@
     failing=st.floats(0.1, 1.0),
     late=st.booleans(),
 )
-def test_the_budget_of_forwards_holds_at_any_rate(  # type: ignore[no-untyped-def]
+def test_the_retry_budget_holds_at_any_rate(  # type: ignore[no-untyped-def]
     free, share, gap, failing, late
 ):
     """Steady, then failing: each further forward counts at its sending, over the whole window."""
