--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -81,6 +81,14 @@
     "contract": {**SETTINGS["contract"], "budget-free": 3.0, "repeat-ratio": 0.2, "counted-over": 10000.0},
     "policy-limits": {**SETTINGS["policy-limits"], "parallel-tries": True, "cancel": False},
 }
+WEIGHTED: Message = {
+    **BUDGET,
+    "contract": {**BUDGET["contract"], "budget-free": 1.0, "repeat-ratio": 0.05},
+    "traffic-types": [
+        {**kind, "value": value}
+        for kind, value in zip(SETTINGS["traffic-types"], (1.0, 8.0, 3.0), strict=True)
+    ],
+}
 PLAIN: Message = {**SETTINGS, "peers-total": 40}
 
 
@@ -275,6 +283,7 @@
     [
         pytest.param(POOL, 1, 25.0, "45830 ea0f782cc043bb7f", id="pool"),
         pytest.param(BUDGET, 2, 25.0, "14955 45ec1e0c6c10dbf0", id="budget"),
+        pytest.param(WEIGHTED, 4, 12.0, "28041 2b501d13680d2e18", id="weighted"),
         pytest.param(PLAIN, 3, 60.0, "7764 9fdc0b1d649681e0", id="plain"),
     ],
 )
@@ -315,6 +324,25 @@
     assert str(written) == "24 da0dd19d1fa4d7fc"
 
 
+def test_a_mass_failure_among_members_is_the_same() -> None:
+    """Suspicions by hearsay run out where those who had them first are killed too."""
+    world, digest = World(8), Digest()
+    carry = world.carry
+
+    def recorded(sender: Any, to: Any, data: bytes) -> None:
+        digest.add(world.now, sender.name, to, data)
+        carry(sender, to, data)
+
+    world.carry = recorded  # type: ignore[method-assign]
+    processes = world.fleet(30, over=1.0)
+    world.run(8.0)
+    world.loss = 0.25
+    for n, process in enumerate(processes[4:27]):
+        world.at(8.0 + 0.12 * n, world.kill, process.name)
+    world.run(30.0)
+    assert str(digest) == "6655 8d3839e11394d0ee"
+
+
 def test_wallets_are_the_same(written: Digest) -> None:
     day = WalletDay(8, 11, loss=0.05)
     day.top_up("first", 6000)
