--- a/rainspindle/__init__.py
+++ b/rainspindle/__init__.py
@@ -1,3 +1,3 @@
-"""rainspindle: a load balancer of which every client process has its own copy, a sidecar."""
+"""Rainspindle: a load balancer that runs as a sidecar of every client process."""
 
 __version__ = "0.2.0"
--- a/rainspindle/__main__.py
+++ b/rainspindle/__main__.py
@@ -1,8 +1,8 @@
-"""python -m rainspindle: the command line of the real sidecar."""
+"""Runs the sidecar's command line: python -m rainspindle."""
 
 import sys
 
 from .program.main import main
 
-if __name__ == "__main__":  # guards against a second start where the lab's own processes read this again
+if __name__ == "__main__":  # the lab's child processes import this module again, and must not start a sidecar
     sys.exit(main())
--- a/rainspindle/balancer/__init__.py
+++ b/rainspindle/balancer/__init__.py
@@ -2,5 +2,5 @@
 
 A host (`host.py`) makes one `Balancer` (`balancer.py`) for each start of the sidecar, from a `BalancerConfig`
 (`config.py`), and calls one method for each event. The package does no I/O, reads no clock and draws all
-chance from one seed, so that the same calls lead to the same decisions.
+random numbers from one seed, so the same calls lead to the same decisions.
 """
--- a/rainspindle/balancer/attempt_recorder.py
+++ b/rainspindle/balancer/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches about its endpoint and its key."""
+"""Updates what is known of an endpoint and a key when an attempt ends."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 
 @dataclass(eq=False, slots=True)
 class AttemptRecorder:
-    """Hands an outcome to all that learn from it.
+    """Passes each outcome to the components that learn from it.
 
     Attributes:
-        capacity: Whose service times learn, and whose slow start tells how late a warming endpoint may be.
+        capacity: Holds the service times to update and the slow start that says how slow a warming endpoint
+            may be.
         failover: Counts failures by key.
         latency: Counts response times of all endpoints.
         outliers: Ejects and readmits endpoints.
-        ranking: Names a key's next endpoint.
+        ranking: Gives the next endpoint of a key.
     """
 
     capacity: EndpointCapacity
@@ -33,11 +34,11 @@
     ranking: RendezvousRanking
 
     def record_response(self, attempt: Attempt, now: float) -> None:
-        """Takes in that the attempt was answered."""
+        """Records that the attempt was answered at `now`."""
         endpoint = attempt.endpoint
         latency = now - attempt.sent_at
         objective = attempt.request.traffic_class.latency_objective
-        # Guards against taking a warming endpoint for a faulty one: by what it would take when warm.
+        # The latency is scaled to that of a warm endpoint, so that a warming one is not taken for faulty.
         is_late = latency * self.capacity.slow_start.capacity(endpoint, now) > objective
         self._record_time(endpoint, latency, now)
         if self.capacity.shares_load:
@@ -55,19 +56,23 @@
                 self.outliers.readmit(endpoint, now, latency)
 
     def record_failure(self, attempt: Attempt, outcome: AttemptOutcome, now: float) -> None:
-        """Takes in that the attempt failed."""
+        """Records that the attempt failed with `outcome`."""
         endpoint = attempt.endpoint
         if outcome is AttemptOutcome.OVERLOADED:
             endpoint.shrink_window(now, attempt.sent_at)
             self.latency.overall.add(attempt.request.traffic_class.latency_objective)
         elif outcome is AttemptOutcome.TIMED_OUT and not self._was_overtaken(attempt):
             endpoint.shrink_window(now, attempt.sent_at)
-            self._record_time(endpoint, now - attempt.sent_at, now)  # or only quick responses would count
-        # Guards against long work: a time-out says nothing of an endpoint that answered since.
+            self._record_time(
+                endpoint, now - attempt.sent_at, now
+            )  # else only fast responses would be counted
+        # A time-out of a long request does not count against an endpoint that has answered others since.
         is_healthy = outcome is AttemptOutcome.TIMED_OUT and endpoint.last_response_at > attempt.sent_at
         if attempt.trial:
             attempt.trial.reopen(now)
-        if attempt.request.has_key and not is_healthy:  # without a key only the endpoint's own rule counts
+        if (
+            attempt.request.has_key and not is_healthy
+        ):  # requests without a key count for outlier detection alone
             self._record_key_failure(attempt, now)
         if not endpoint.breaker and not attempt.overdue:
             failure_weight = 0.0 if is_healthy else 1.0
@@ -98,6 +103,8 @@
 
         def next_untried(tried: list[EndpointState]) -> EndpointState | None:
             order = self.ranking.order(request.key)
-            return next((e for e in order if e not in tried and not e.breaker), None)
+            return next(
+                (endpoint for endpoint in order if endpoint not in tried and not endpoint.breaker), None
+            )
 
         self.failover.record_failure(request.key, attempt.endpoint, request.is_idempotent, now, next_untried)
--- a/rainspindle/balancer/balancer.py
+++ b/rainspindle/balancer/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: one method for each event, each handing it to the part that decides."""
+"""The balancer: one method for each event, which passes it to the component that decides."""
 
 from __future__ import annotations
 
@@ -47,38 +47,38 @@
         config: The configuration.
         traffic_classes: The configured classes, and those added for canaries.
         registry: The known endpoints.
-        failover: The failover table (steps 2 to 5 of the design).
+        failover: The failover table, by key.
         latency: Response times over all endpoints.
-        slow_start: The budget of warming endpoints.
-        service_times: Service times by machine kind.
-        peer_load: What the other sidecars published.
-        capacity: Whether an endpoint may get one more attempt.
-        popularity: How much of the traffic each key makes.
+        slow_start: Limits the attempts that warming endpoints get.
+        service_times: The service time model of each machine kind.
+        peer_load: The load and learned state that the other sidecars published.
+        capacity: Decides whether an endpoint may get one more attempt.
+        popularity: Each key's share of the traffic.
         quotas: Tenants' request rates against their allowances.
-        weights: Where a request stands by its priority weight.
+        weights: Ranks requests by priority weight.
         shedder: Load shedding.
         ranking: The order of endpoints by key.
         outliers: Outlier detection.
-        retry_budget: The retry budget, where one is stated.
-        requests: Requests without a final response, by id.
-        attempts: Attempts in flight, by request and number, the oldest first.
+        retry_budget: The retry budget, or None if none is configured.
+        requests: Requests that have no final response yet, by id.
+        attempts: Attempts in flight, by request id and attempt number, the oldest first.
         request_rate: Requests per second.
-        swept_at: When the last sweep was.
-        sweep_count: How many there were.
+        swept_at: The time of the last sweep.
+        sweep_count: The number of sweeps so far.
     """
 
-    TICK = 0.1  # seconds between looks at overdue attempts
+    TICK = 0.1  # seconds between checks for overdue attempts
     SWEEP = 1.0  # seconds between sweeps
-    FLEET_QUEUE = 1.0  # requests that all sidecars together let wait at an endpoint
-    RETRY_AFTER_SHARE = 12  # the shortest Retry-After is one part in so many of the latency objective
-    RETRY_AFTER_FACTOR = 3  # so many times Retry-After must be left for the retry to be in time
+    FLEET_QUEUE = 1.0  # requests that all sidecars together may queue at one endpoint
+    RETRY_AFTER_SHARE = 12  # the shortest Retry-After is the latency objective divided by this
+    RETRY_AFTER_FACTOR = 3  # a retry may be in time if this many times Retry-After is left
 
     def __init__(self, host: BalancerHost, config: BalancerConfig, seed: int, now: float) -> None:
         self.config = config
         self.traffic_classes = list(config.traffic_classes)
         self._host = host
         self._random = RandomSequence(seed)
-        self._max_weight = max(one.priority_weight for one in config.traffic_classes)
+        self._max_weight = max(traffic_class.priority_weight for traffic_class in config.traffic_classes)
         self._make_endpoint_state()
         self._make_request_state()
         self._make_decisions()
@@ -140,10 +140,10 @@
         )
         self._publisher = LoadPublisher(self._host, self.registry, config.sidecar_count, config.message_price)
 
-    # Events: the endpoint list and operators' orders.
+    # Events: the endpoint list and operators' commands.
 
     def on_list_changed(self, now: float, update: EndpointListUpdate) -> None:
-        """Takes in what the list says."""
+        """Applies an update of the endpoint list."""
         if not update.cached and (failures := self._list_backoff.record_success()):
             self._host.log(f"endpoint list restored after {failures} failures")
         if self.config.live_weights:
@@ -151,18 +151,18 @@
         self._on_registry_changed(self.registry.apply(now, update))
 
     def on_list_failed(self) -> None:
-        """Schedules the next call for the list, after a pause that grows."""
+        """Schedules the next request for the endpoint list, after a delay that grows with each failure."""
         delay = self._list_backoff.record_failure()
         if self._list_backoff.failures == 1:
             self._host.log("endpoint list unavailable: retrying")
         self._host.schedule_timer(delay, Timer.LIST_RETRY)
 
     def disable_endpoint(self, endpoint_id: str) -> None:
-        """Sends the endpoint nothing until it is enabled, whatever the list says."""
+        """Sends the endpoint nothing until `enable_endpoint`, whatever its listed status."""
         self._on_registry_changed(self.registry.disable(endpoint_id))
 
     def enable_endpoint(self, now: float, endpoint_id: str) -> None:
-        """Ends `disable_endpoint`: the endpoint was restarted meanwhile, and nothing is known of it."""
+        """Reverses `disable_endpoint`. What was learned is dropped, as the endpoint may have restarted."""
         if endpoint_id not in self.registry.disabled:
             return
         self.slow_start.record_enabled(endpoint_id, now)
@@ -177,7 +177,7 @@
     # Events: requests.
 
     def on_request_arrived(self, now: float, incoming: IncomingRequest) -> None:
-        """Takes a request, and sends its first attempt or its final response."""
+        """Accepts a request, and sends its first attempt or its final response."""
         traffic_class = self.traffic_classes[incoming.class_index]
         weight = traffic_class.priority_weight * self.quotas.record_request(incoming.tenant)
         key = incoming.key or f"{self._random.fraction()}"
@@ -200,15 +200,15 @@
         self._continue(request, now)
 
     def on_body_consumed(self, request_id: int) -> None:
-        """Takes in that a part of the body is gone, so that no further attempt is possible."""
+        """Records that a part of the body is no longer kept, so that no further attempt is possible."""
         if request := self.requests.get(request_id):
             request.body_consumed = True
 
     def on_body_sent(self, now: float, request_id: int, number: int, deadline: float) -> float:
-        """Takes in that the endpoint has the whole body: all times count from now.
+        """Records that the endpoint has the whole body: the objective and the attempt time count from now.
 
         Returns:
-            The attempt's timeout.
+            The attempt's timeout in seconds.
         """
         attempt = self.attempts.get((request_id, number))
         if attempt is None:
@@ -221,22 +221,22 @@
             attempt.body_incomplete = False
             attempt.sent_at = now
             attempt.endpoint.last_sent_at = now
-            del self.attempts[request_id, number]  # it is the latest now
+            del self.attempts[request_id, number]  # reinserted as the latest attempt
             self.attempts[request_id, number] = attempt
             attempt.endpoint.in_flight[request_id, number] = now
         return self._timeout(request, now)
 
     def on_response_started(self, now: float, request_id: int, number: int) -> None:
-        """Takes in that a response is being sent on while it comes."""
+        """Records that a response has begun to be forwarded to the client."""
         attempt = self.attempts.get((request_id, number))
         if attempt is not None and not attempt.response_started:
             attempt.response_started = True
             self._recorder.record_response(attempt, now)
-            # It has done its work, however slow its client.
+            # The endpoint has finished its work, however slowly the client reads.
             attempt.endpoint.in_flight.pop((request_id, number), None)
 
     def on_attempt_ended(self, now: float, end: AttemptEnd) -> None:
-        """Takes in how an attempt ended, and sends the next attempt or the final response if one is due."""
+        """Records how an attempt ended, and sends the next attempt or the final response if one is due."""
         attempt = self.attempts.pop((end.request_id, end.number), None)
         if attempt is None:
             return
@@ -253,19 +253,19 @@
             self._continue(request, now)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """Drops a request whose client has gone."""
+        """Drops a request whose client has disconnected."""
         if request := self.requests.get(request_id):
             self._close(request)
 
     def shorten_deadline(self, request_id: int, deadline: float) -> None:
-        """Answers the request by `deadline`, however long its client would wait."""
+        """Makes the request's deadline `deadline` if that is earlier."""
         if request := self.requests.get(request_id):
             request.deadline = min(request.deadline, deadline)
 
-    # Events: time, and what other parts decide.
+    # Events: timers, and calls from other components.
 
     def on_timer(self, now: float, timer: Timer) -> None:
-        """Does what a timer was set for."""
+        """Handles a timer that has fired."""
         if timer is Timer.LIST_RETRY:
             self._host.watch_endpoint_list()
         elif timer is Timer.PUBLISH_LOAD:
@@ -274,24 +274,24 @@
             self._on_tick(now)
 
     def on_state_restored(self) -> None:
-        """Takes in that learned state was restored from an earlier process: it counts as one sweep."""
+        """Records that learned state was restored from an earlier process; this counts as one sweep."""
         self.sweep_count += 1
         self.shedder.is_active = True
 
     def allows_retry(self, traffic_class: TrafficClass, attempts: int, now: float) -> bool:
-        """Returns whether a request that had so many attempts may have one more, here or elsewhere."""
+        """Returns whether a request that has had `attempts` attempts may have one more, here or elsewhere."""
         return attempts < self.config.max_attempts and self._is_within_retry_budget(traffic_class, now)
 
     def add_traffic_classes(self, classes: Sequence[TrafficClass]) -> int:
-        """Adds traffic classes; returns the position of the first."""
-        position = len(self.traffic_classes)
+        """Adds traffic classes; returns the index of the first."""
+        first_index = len(self.traffic_classes)
         self.traffic_classes.extend(classes)
-        return position
+        return first_index
 
     # A request's attempts and its final response.
 
     def _continue(self, request: RequestState, now: float) -> None:
-        """Sends the next attempt, if one is permitted and predicted in time, else the final response."""
+        """Sends the next attempt if one is permitted and expected to be in time, else the final response."""
         selection = self._select(request, now)
         if selection is None:
             self._give_up(request, now)
@@ -346,16 +346,16 @@
     def _timeout(self, request: RequestState, now: float) -> float:
         remaining = request.deadline - now
         if request.is_non_idempotent:
-            return remaining  # nothing is gained by an early time-out: it could not go again
+            return remaining  # an early time-out gains nothing, since the request can't be retried
         in_time = request.objective_at - now
-        # Guards against waste: a retry after a time-out hardly has a chance, yet both are worked on. Where
-        # load is shared, what was given up would go on at the endpoint, counted by nobody.
+        # A retry after this time-out would hardly be in time, yet endpoints would work on both attempts.
+        # Where load is shared, the abandoned attempt would go on at its endpoint, counted by no sidecar.
         if self.config.share_load or in_time <= 0:
             return remaining
         return min(in_time, remaining)
 
     def _give_up(self, request: RequestState, now: float) -> None:
-        """Sends the final response at once: a rejection where a retry is harmless, else a failure."""
+        """Sends the final response: a rejection if the client may safely retry, else a failure."""
         if request.may_be_rejected():
             self._host.reject(request.id, self._retry_after(request, now))
         else:
@@ -363,16 +363,16 @@
         self._close(request)
 
     def _retry_after(self, request: RequestState, now: float) -> float:
-        """Returns when to come back: soon if that may still be in time, else as late as is allowed."""
+        """Returns Retry-After in seconds: short if a retry may still be in time, else the longest allowed."""
         objective = request.traffic_class.latency_objective
         soon = max(self.latency.median, objective / self.RETRY_AFTER_SHARE)
-        is_hopeful = request.objective_at - now > self.RETRY_AFTER_FACTOR * soon
-        if is_hopeful and not request.is_client_retry:
+        may_be_in_time = request.objective_at - now > self.RETRY_AFTER_FACTOR * soon
+        if may_be_in_time and not request.is_client_retry:
             return min(self.config.max_retry_after, soon)
         return self.config.max_retry_after
 
     def _close(self, request: RequestState) -> None:
-        """Forgets a request that has its final response, and cancels what is in flight for it."""
+        """Removes a request that has its final response, and cancels its attempts in flight."""
         self.requests.pop(request.id, None)
         if not request.in_flight or not self.config.can_cancel:
             return
@@ -382,13 +382,13 @@
                 self._host.cancel_attempt(request.id, attempt.number)
 
     def _record_end(self, attempt: Attempt, end: AttemptEnd, now: float) -> None:
-        if end.outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):  # which tell nothing
+        if end.outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):  # carry no information
             if attempt.trial:
                 attempt.trial.abandon_trial()
         elif end.outcome is not AttemptOutcome.SERVED:
             self._recorder.record_failure(attempt, end.outcome, now)
         elif not attempt.response_started:
-            # A sidecar short of CPU must not take its own delay for the endpoint's.
+            # The sidecar's own delay, when it is short of CPU, must not count as the endpoint's latency.
             answered_at = max(now - end.reported_late_by, attempt.sent_at)
             self._recorder.record_response(attempt, answered_at)
 
@@ -414,7 +414,7 @@
             self._sweep(now)
 
     def _sweep(self, now: float) -> None:
-        """Ages what was learned, and derives what is looked up until the next sweep."""
+        """Ages what was learned, and computes the values that are used until the next sweep."""
         elapsed = now - self.swept_at
         self.slow_start.learn_warm_rate(self.registry.ready, now, elapsed)
         self.request_rate = (self.request_rate + self._requests_since_sweep / elapsed) / 2
--- a/rainspindle/balancer/capacity.py
+++ b/rainspindle/balancer/capacity.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint has capacity for one more attempt."""
+"""Decides whether an endpoint has capacity for one more attempt."""
 
 from __future__ import annotations
 
@@ -11,19 +11,18 @@
 
 @dataclass(eq=False, slots=True)
 class EndpointCapacity:
-    """Bounds what is in flight at an endpoint: the design's skip line, a window, and the slow-start budget.
+    """Limits the attempts in flight at an endpoint: by the mean of all, a window, and the slow-start budget.
 
     Attributes:
-        shares_load: Whether peers publish their load; then the concurrency that was learned takes the place
-            of the window.
-        peer_load: What the peers have in flight.
-        service_times: The concurrency of machine kinds.
-        slow_start: The budget of warming endpoints.
+        shares_load: Whether peers publish their load; then the learned concurrency replaces the window.
+        peer_load: The attempts that peers have in flight.
+        service_times: The learned concurrency of each machine kind.
+        slow_start: Limits the attempts that warming endpoints get.
     """
 
-    SKIP_FACTOR = 1.25  # times the mean in flight, above which an endpoint is passed over
-    SKIP_EXTRA = 2  # in addition, where no concurrency is known
-    MAX_OVER_CONCURRENCY = 3  # in flight at most, in parts of the concurrency
+    SKIP_FACTOR = 1.25  # an endpoint is skipped above this multiple of the mean in flight
+    SKIP_EXTRA = 2  # attempts added to that limit where no concurrency is known
+    MAX_OVER_CONCURRENCY = 3  # the most in flight, as a multiple of the concurrency
 
     shares_load: bool
     peer_load: PeerLoad
@@ -31,7 +30,7 @@
     slow_start: SlowStart
 
     def in_flight(self, endpoint: EndpointState) -> int:
-        """Returns this sidecar's attempts at the endpoint, and those of the peers as last published."""
+        """Returns the attempts in flight at the endpoint: this sidecar's, plus the peers' last published."""
         return len(endpoint.in_flight) + max(0, self.peer_load.in_flight[endpoint.mark])
 
     def has_room(self, endpoint: EndpointState, mean_in_flight: float, now: float) -> bool:
@@ -39,8 +38,8 @@
 
         Args:
             endpoint: The endpoint.
-            mean_in_flight: What an endpoint has in flight in the mean.
-            now: The time.
+            mean_in_flight: The mean number of attempts in flight at an endpoint.
+            now: The current time.
         """
         in_flight = self.in_flight(endpoint)
         extra = float(self.SKIP_EXTRA)
--- a/rainspindle/balancer/config.py
+++ b/rainspindle/balancer/config.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """A budget of retries: in any `window` seconds, `free` and a `share` of the requests taken."""
+    """A retry budget: in any `window` seconds, `free` retries and `share` times the requests accepted."""
 
     free: float
     share: float
@@ -18,27 +18,27 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerConfig:
-    """Everything that one balancer is configured with. Times are seconds.
+    """The configuration of one balancer. Times are in seconds.
 
     Attributes:
-        traffic_classes: The deployment's traffic classes; requests name them by position.
-        slow_start: The bound on what warming endpoints get.
-        zone: The sidecar's own zone.
-        sidecar_count: All sidecars of the deployment, at least 1.
-        max_attempts: Attempts that a request may have.
+        traffic_classes: The deployment's traffic classes; requests refer to them by index.
+        slow_start: The limit on attempts to warming endpoints.
+        zone: The sidecar's own zone, by number.
+        sidecar_count: The number of sidecars in the deployment, at least 1.
+        max_attempts: The most attempts of one request.
         parallel_attempts: Whether an attempt may begin while another of its request is in flight.
         can_cancel: Whether attempts in flight may be cancelled.
-        max_retry_after: The longest time after which a rejected client is asked to come back.
-        watch_list: Whether the endpoint list comes only where it is asked for.
-        list_poll_interval: Within which the endpoint list is to be asked for.
-        use_listed_weights: Whether listed weights are sizes by which keys are distributed.
-        live_weights: Whether listed weights move with the load.
+        max_retry_after: The longest Retry-After sent to a rejected client.
+        watch_list: Whether the host must be asked to watch the endpoint list.
+        list_poll_interval: The time within which the endpoint list must be requested again.
+        use_listed_weights: Whether listed weights are fixed sizes by which keys are distributed.
+        live_weights: Whether listed weights fall as load rises.
         cross_zone_price: The cost of sending a request to another zone.
-        retry_limits: The retry budget, where one is stated.
+        retry_limits: The retry budget, or None if none is configured.
         share_load: Whether sidecars publish their load to one another.
         message_price: The cost of a message between sidecars.
-        tenant_allowances: Requests per second that each tenant may make at all sidecars.
-        excess_weight: The weight factor of a request over the allowance.
+        tenant_allowances: Requests per second that each tenant may make at all sidecars together.
+        excess_weight: The factor on the priority weight of a request over the allowance.
     """
 
     traffic_classes: tuple[TrafficClass, ...]
--- a/rainspindle/balancer/endpoint.py
+++ b/rainspindle/balancer/endpoint.py
@@ -1,4 +1,4 @@
-"""What this sidecar knows of one endpoint."""
+"""The state that this sidecar keeps for one endpoint."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 
 def endpoint_mark(endpoint_id: str) -> int:
-    """Returns the number by which sidecars name an endpoint to one another."""
+    """Returns the 24-bit hash that identifies an endpoint in messages between sidecars."""
     return zlib.crc32(endpoint_id.encode()) & ((1 << MARK_BITS) - 1)
 
 
 class EndpointState:
-    """One endpoint: as listed, and as this sidecar's own attempts found it.
+    """One endpoint: its list entry, and what this sidecar's own attempts have shown.
 
     Attributes:
         id: The endpoint's name in the list.
-        mark: Its number in messages between sidecars.
-        queue_share: Waiting requests that this sidecar alone may cause there.
-        in_flight: When this sidecar's attempts there were sent, by request and number, the oldest first;
-            they outlast a restart of the endpoint.
-        is_suspected: Whether peers report it as failing, so that fewer failures of its own eject it.
-        listed: Its line of the endpoint list.
-        slow_start_remaining: Attempts left in the current part of the slow-start window.
-        slow_start_until: When that part ends.
-        latency: Response times of the recent past.
-        retry_credit: Retries that it may get; earned by responses.
-        window: Attempts that this sidecar may have in flight there.
-        unloaded_time: The lowest median response time so far, drifting up; 0 while unknown.
+        mark: Its 24-bit hash in messages between sidecars.
+        queue_share: The number of queued requests that this sidecar alone may cause there.
+        in_flight: The sending times of this sidecar's attempts there, by request id and attempt number, the
+            oldest first; kept when the endpoint restarts.
+        is_suspected: Whether peers report it as failing, so that fewer failures seen here eject it.
+        listed: Its entry in the endpoint list.
+        slow_start_remaining: The attempts left in the current part of the slow-start window.
+        slow_start_until: The time at which that part ends.
+        latency: Recent response times.
+        retry_credit: The retries that it may get; responses add to it.
+        window: The most attempts that this sidecar may have in flight there.
+        unloaded_time: The lowest median response time so far, slowly rising; 0 while unknown.
         responses_since_sweep: Responses since the last sweep.
-        busy_cores: Cores that this sidecar keeps busy there.
+        busy_cores: The number of cores that this sidecar keeps busy there.
         consecutive_failures: Weighted failures since the last response.
-        last_response_at: When a response came last.
-        latest_answered_send: The sending time of the latest attempt that was answered.
-        last_sent_at: When an attempt was sent last.
-        window_shrunk_at: When the window was halved last.
-        readmitted_at: When a trial ended its last ejection.
-        failure_counts: Failures and outcomes of the recent past.
-        breaker: Its circuit breaker while it is ejected.
+        last_response_at: The time of the last response.
+        latest_answered_send: The latest sending time of an attempt that was answered.
+        last_sent_at: The time at which the last attempt was sent.
+        window_shrunk_at: The time at which the window was last halved.
+        readmitted_at: The time at which a trial ended its last ejection.
+        failure_counts: Recent failures and outcomes.
+        breaker: Its circuit breaker while it is ejected, else None.
     """
 
     INITIAL_RETRY_CREDIT = 3.0
@@ -52,14 +52,14 @@
     CREDIT_PER_RESPONSE = 0.2
     MIN_WINDOW = 1.0
     MAX_WINDOW = 64.0
-    INITIAL_QUEUE_SHARES = 4  # the first window is one and so many shares of a waiting request
-    SHORT_WORK = 0.05  # of the latency objective; below it, more requests may wait in proportion
-    BUSY_KEPT = 0.7  # of the busy cores known before, at each sweep
-    BUSY_ADDED = 0.3  # of those seen since the last sweep
-    UNLOADED_DRIFT = 1.01  # by which the lowest median rises at each sweep
-    MIN_TIMES = 4  # response times from which a median is trusted
-    MIN_OUTCOMES = 8  # fewer outcomes are kept for longer
-    MIN_KEPT_TIMES = 8.0  # fewer response times are kept for longer
+    INITIAL_QUEUE_SHARES = 4  # the first window is 1 plus this many queue shares
+    SHORT_WORK = 0.05  # part of the latency objective; shorter work allows proportionally longer queues
+    BUSY_KEPT = 0.7  # weight of the previous estimate of busy cores, at each sweep
+    BUSY_ADDED = 0.3  # weight of the busy cores seen since the last sweep
+    UNLOADED_DRIFT = 1.01  # factor by which the lowest median rises at each sweep
+    MIN_TIMES = 4  # response times needed for a median
+    MIN_OUTCOMES = 8  # where there are no more, outcomes are kept for longer
+    MIN_KEPT_TIMES = 8.0  # where there are no more, response times are kept for longer
 
     def __init__(self, listed: ListedEndpoint, queue_share: float) -> None:
         self.id = listed.id
@@ -70,7 +70,7 @@
         self.reset(listed)
 
     def reset(self, listed: ListedEndpoint) -> None:
-        """Forgets what was learned: the endpoint was restarted."""
+        """Discards what was learned, because the endpoint was restarted."""
         self.listed = listed
         self.slow_start_remaining = 0
         self.slow_start_until = -math.inf
@@ -92,10 +92,10 @@
     def record_response(
         self, now: float, sent_at: float, unloaded_time: float, latency_objective: float
     ) -> None:
-        """Takes in that an attempt sent at `sent_at` was answered, and adapts the window.
+        """Records that an attempt sent at `sent_at` was answered, and adapts the window.
 
-        Guards against overload: what waits there is the window less what is being worked on. More may wait
-        where work is short.
+        The window shrinks, against overload, when the requests queued at the endpoint exceed a limit: the
+        queue is estimated as the window less the requests being worked on. Short work allows a longer queue.
         """
         self.last_response_at = now
         self.latest_answered_send = max(self.latest_answered_send, sent_at)
@@ -104,26 +104,26 @@
         self.consecutive_failures = 0.0
         if self._waiting(unloaded_time) > self._max_waiting(unloaded_time, latency_objective):
             self.shrink_window(now, sent_at)
-        elif len(self.in_flight) + 1 >= self.window:  # earned by use: idle times must not allow a burst
+        elif len(self.in_flight) + 1 >= self.window:  # grows only when used: idle time must not allow a burst
             self.window = min(self.window + 1 / self.window, self.MAX_WINDOW)
 
     def shrink_window(self, now: float, sent_at: float) -> None:
-        """Halves the window, once for all attempts that were in flight together."""
+        """Halves the window, only once for all attempts that were in flight together."""
         if sent_at > self.window_shrunk_at:
             self.window = max(self.MIN_WINDOW, self.window * 0.5)
             self.window_shrunk_at = now
 
     def predicted_time(self, now: float, usual_time: float) -> float:
-        """Returns the seconds that an attempt is expected to take; `usual_time` counts as one more value."""
+        """Returns the expected seconds of an attempt; `usual_time` counts as one more response time."""
         oldest = next(iter(self.in_flight.values())) if self.in_flight else now
         return max(self.latency.quantile(0.75, usual_time, 1.0), now - oldest)
 
     def readmit(self, now: float) -> None:
-        """Closes the circuit after a good trial."""
+        """Closes the circuit after a successful trial."""
         self.breaker = None
         self.failure_counts = FailureCounts()
         self.latency = Histogram()
-        self.readmitted_at = now  # or a good trial would send all keys back at once
+        self.readmitted_at = now  # ramps keys up; else one trial would send all keys back at once
 
     def update_estimates(self, elapsed: float) -> None:
         """Updates the busy cores and the unloaded time, `elapsed` seconds after the last sweep."""
@@ -135,7 +135,7 @@
             self.unloaded_time = min(drifted, self.latency.quantile(0.5))
 
     def has_history(self) -> bool:
-        """Returns whether anything is left that a sweep could change."""
+        """Returns whether anything is left for a sweep to age."""
         return bool(self.in_flight or self.breaker or self.latency.total or any(self.failure_counts.outcomes))
 
     def _waiting(self, unloaded_time: float) -> float:
--- a/rainspindle/balancer/endpoint_registry.py
+++ b/rainspindle/balancer/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that this sidecar knows: as the list names them, and as operators disabled them."""
+"""The endpoints that this sidecar knows, from the endpoint list and from operators' commands."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class EndpointRegistry:
-    """Owns the endpoints, the list's latest word on them, and the operators' orders.
+    """Owns the endpoints, their latest list entries, and which of them operators have disabled.
 
     Attributes:
-        by_id: All known endpoints; replaced by another dictionary at each change.
-        ready: Those that may get requests, by name.
-        disabled: By the name of each disabled endpoint, its line as the list last told it, if any.
-        active: Endpoints with a history that sweeps have to age, in the order of their first attempts.
+        by_id: All known endpoints by name; replaced by a new dictionary at each change.
+        ready: The endpoints that may get requests, sorted by name.
+        disabled: The last list entry of each disabled endpoint, by name; None if the list lacks it.
+        active: The endpoints whose history sweeps have to age, in the order of their first attempts.
     """
 
     def __init__(self, host: BalancerHost, queue_share: float) -> None:
-        """`queue_share`: waiting requests that this sidecar alone may cause at an endpoint."""
+        """Starts empty; `queue_share` is the queued requests that this sidecar may cause at an endpoint."""
         self.by_id = dict[str, EndpointState]()
         self.ready = list[EndpointState]()
         self.disabled = dict[str, ListedEndpoint | None]()
@@ -49,9 +49,9 @@
         return self._refresh()
 
     def enable(self, endpoint_id: str) -> EndpointState | None:
-        """Ends `disable` with nothing learned kept; returns the endpoint if the list names it.
+        """Reverses `disable`, discarding what was learned; returns the endpoint, or None if it is not listed.
 
-        The caller refreshes what depends on the ready endpoints.
+        The caller must refresh what depends on the ready endpoints.
         """
         line = self.disabled.pop(endpoint_id)
         endpoint = self.by_id.get(endpoint_id)
@@ -63,7 +63,7 @@
         return endpoint
 
     def mark_active(self, endpoint: EndpointState) -> None:
-        """Has the endpoint swept from now on."""
+        """Includes the endpoint in the sweeps from now on."""
         self.active[endpoint] = None
 
     def _apply_line(self, now: float, line: ListedEndpoint) -> None:
@@ -85,17 +85,17 @@
             self.disabled[endpoint.id] = None
 
     def _refresh(self) -> bool:
-        """Drops what is gone and collects the ready endpoints anew.
+        """Drops endpoints that are gone and collects the ready ones again; returns whether those changed.
 
-        Guards against growth, as endpoint names are ever new. An endpoint with attempts in flight stays until
-        they end.
+        Without this the registry would grow without bound, as new endpoints have new names. An endpoint with
+        attempts in flight stays until they end.
         """
         self.by_id = {
             endpoint.id: endpoint
             for endpoint in self.by_id.values()
             if endpoint.in_flight or endpoint.listed.status is not EndpointStatus.GONE
         }
-        self.active = dict.fromkeys(e for e in self.active if e.id in self.by_id)
+        self.active = dict.fromkeys(active for active in self.active if active.id in self.by_id)
         ready = [
             endpoint
             for _, endpoint in sorted(self.by_id.items())
--- a/rainspindle/balancer/failover.py
+++ b/rainspindle/balancer/failover.py
@@ -9,22 +9,22 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-Target = TypeVar("Target")  # what a key is sent to: an endpoint, or a site where sites are chosen
+Target = TypeVar("Target")  # where requests of a key go: an endpoint, or a site when choosing among sites
 
 
 class CircuitBreaker:
-    """An open circuit: failing, then due for one trial (half-open), then in that trial.
+    """An open circuit: first failing, then due for one trial (half-open), then in that trial.
 
-    A closed circuit has no object.
+    A closed circuit is represented by no object.
     """
 
     def __init__(self, now: float) -> None:
-        self.failing_since = now  # restarted by a failed trial
+        self.failing_since = now  # set again by a failed trial
         self.trial_due = False
         self.in_trial = False
 
     def sweep(self, now: float, trial_delay: float) -> None:
-        """Makes a trial due once the circuit was open for over `trial_delay` seconds."""
+        """Makes a trial due once the circuit has been open for over `trial_delay` seconds."""
         if not self.in_trial and now - self.failing_since > trial_delay:
             self.trial_due = True
 
@@ -34,19 +34,19 @@
         self.in_trial = True
 
     def abandon_trial(self) -> None:
-        """Records that the trial ended without telling anything, so that another becomes due."""
+        """Records that the trial ended without a result, so that another is due."""
         self.trial_due = True
         self.in_trial = False
 
     def reopen(self, now: float) -> None:
-        """Records a failed trial: the delay begins again."""
+        """Records a failed trial, which restarts the delay."""
         self.failing_since = now
         self.trial_due = False
         self.in_trial = False
 
 
 class FailoverEntry(CircuitBreaker, Generic[Target]):
-    """What is kept of one key that has failed.
+    """The failover state of one key that has failed.
 
     Attributes:
         first: The target that failed first, to which the key returns.
@@ -54,7 +54,7 @@
         tried: All targets that the key has used, `first` first.
         idempotent_failures: Failures of idempotent requests within the reset window.
         other_failures: Failures of all other requests within the reset window.
-        last_failure_at: When the key failed last.
+        last_failure_at: The time of the key's last failure.
     """
 
     def __init__(self, target: Target, now: float) -> None:
@@ -68,13 +68,13 @@
 
 
 class FailoverTable(Generic[Target]):
-    """Counts failures by key and moves a key to its next target past a threshold."""
+    """Counts failures by key and moves a key to its next target beyond a threshold."""
 
     IDEMPOTENT_FAILURE_LIMIT = 2
     OTHER_FAILURE_LIMIT = 5
     MAX_ENTRIES = 4096
     TRIAL_DELAY = 5.0  # seconds
-    RESET_WINDOW = 30.0  # seconds; outlasts the delay, or counts would restart before any trial
+    RESET_WINDOW = 30.0  # seconds; longer than TRIAL_DELAY, else counts would be reset before any trial
 
     def __init__(self) -> None:
         self.entries: dict[str, FailoverEntry[Target]] = {}
@@ -92,9 +92,9 @@
         Args:
             key: The failing key.
             target: Where the request failed.
-            idempotent: Whether the request was idempotent; such failures have a limit of their own.
-            now: The time.
-            next_untried: Returns the key's next target that is not in the list, or None.
+            idempotent: Whether the request was idempotent; such failures have a separate limit.
+            now: The current time.
+            next_untried: Returns the key's next target that is not in the given list, or None.
         """
         entry = self._entry(key, target, now)
         self._count(entry, idempotent, now)
@@ -102,14 +102,14 @@
             self._move(key, entry, next_untried)
 
     def has_moved(self, entry: FailoverEntry[Target]) -> bool:
-        """Returns whether the key has passed a threshold and uses `entry.current`."""
+        """Returns whether the key is beyond a threshold and therefore uses `entry.current`."""
         return (
             entry.idempotent_failures > self.IDEMPOTENT_FAILURE_LIMIT
             or entry.other_failures > self.OTHER_FAILURE_LIMIT
         )
 
     def sweep(self, now: float) -> None:
-        """Forgets entries past the reset window and makes trials due."""
+        """Removes entries older than the reset window and makes trials due."""
         for key, entry in list(self.entries.items()):
             if now - entry.last_failure_at > self.RESET_WINDOW and not entry.in_trial:
                 del self.entries[key]
@@ -141,9 +141,9 @@
         entry: FailoverEntry[Target],
         next_untried: Callable[[list[Target]], Target | None],
     ) -> None:
-        following = next_untried(entry.tried)
-        if following is None:
+        next_target = next_untried(entry.tried)
+        if next_target is None:
             del self.entries[key]
             return
-        entry.current = following
-        entry.tried = [*entry.tried, following]
+        entry.current = next_target
+        entry.tried = [*entry.tried, next_target]
--- a/rainspindle/balancer/host.py
+++ b/rainspindle/balancer/host.py
@@ -1,6 +1,6 @@
-"""What the balancer is given, as plain values, and the host interface through which it acts.
+"""The plain values that the balancer receives, and the host interface through which it acts.
 
-All times are seconds on the host's clock.
+All times are in seconds on the host's clock.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do. The values are the console's names."""
+    """The effect of executing a request twice. The values are the names that the console shows."""
 
     IDEMPOTENT = "retriable"
     DEDUPLICATED = "fingerprinted"  # carries an idempotency key
@@ -21,7 +21,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The endpoints that recognize each other's idempotency keys."""
+    """Which endpoints recognize each other's idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,7 +34,7 @@
     GONE = "gone"
     DRAINING = "draining"
     READY = "ready"
-    DISABLED = "left out"  # by an operator's order, whatever the endpoint list says; never listed
+    DISABLED = "left out"  # by an operator, whatever the endpoint list says; never in the list itself
 
 
 class AttemptOutcome(Enum):
@@ -63,15 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """One class of requests, as the settings describe it.
+    """One class of requests, from the settings.
 
     Attributes:
-        idempotency: What a second execution would do.
-        deduplication_scope: Where an idempotency key is recognized.
-        latency_objective: Seconds after arrival within which a response is worth something.
-        timeout: Seconds after arrival at which the client gives up.
-        deduplication_window: Seconds for which an idempotency key is remembered.
-        priority_weight: What a response in time is worth, relative to other classes.
+        idempotency: The effect of a second execution.
+        deduplication_scope: The endpoints that recognize an idempotency key.
+        latency_objective: The seconds after arrival within which a response is useful.
+        timeout: The seconds after arrival at which the client gives up.
+        deduplication_window: The seconds for which an idempotency key is remembered.
+        priority_weight: The value of a response in time, relative to other classes.
     """
 
     idempotency: Idempotency
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One line of the endpoint list."""
+    """One entry of the endpoint list; `started_at` is None if the list does not give it."""
 
     id: str
     cell: int
@@ -97,12 +97,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """What the host learned of the endpoint list.
+    """An update of the endpoint list.
 
     Attributes:
         lines: The listed endpoints, or those that changed.
-        complete: Whether endpoints without a line are gone.
-        cached: Whether this is an old copy, which proves nothing about the list service.
+        complete: Whether endpoints without an entry are gone.
+        cached: Whether this is an old copy, which does not show that the list service is available.
     """
 
     lines: Sequence[ListedEndpoint]
@@ -112,16 +112,16 @@
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A request as the host takes it.
+    """A request as the host received it.
 
     Attributes:
         id: Unique among the requests in flight.
-        class_index: The position of its traffic class in the configuration.
-        key: What failures are counted by; None for a request without one.
-        deadline: When the client gives up.
-        is_client_retry: Whether the client sent it before.
+        class_index: The index of its traffic class in the configuration.
+        key: The key that failures are counted by; None for a request without one.
+        deadline: The time at which the client gives up.
+        is_client_retry: Whether the client has sent it before.
         body_incomplete: Whether its body is still being received.
-        tenant: The position of its tenant in the configuration, if known.
+        tenant: The index of its tenant in the configuration, or None if unknown.
     """
 
     id: int
@@ -138,11 +138,11 @@
     """How one attempt of a request ended.
 
     Attributes:
-        request_id: The request.
-        number: Which of its attempts, from 0.
-        outcome: What happened.
+        request_id: The id of the request.
+        number: The attempt's number within the request, from 0.
+        outcome: How the attempt ended.
         request_closed: Whether the client has its response or has disconnected.
-        reported_late_by: Seconds that the response lay unread because the sidecar had no CPU.
+        reported_late_by: The seconds for which the response was unread because the sidecar was short of CPU.
     """
 
     request_id: int
@@ -154,7 +154,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KindEstimate:
-    """What one machine kind can do: seconds of an unloaded request, and requests held before times rise."""
+    """The performance of one machine kind.
+
+    Attributes:
+        unloaded_time: The seconds that a request takes without load.
+        concurrency: The requests in flight at one endpoint above which response times rise.
+    """
 
     unloaded_time: float
     concurrency: float
@@ -162,10 +167,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What one sidecar has learned and publishes to its peers.
+    """The learned state that one sidecar publishes to its peers.
 
     Attributes:
-        request_rates: Requests per second that it received, by tenant.
+        request_rates: The requests per second that it receives, by tenant.
         kinds: Its estimate for each machine kind.
     """
 
@@ -174,35 +179,35 @@
 
 
 class BalancerHost(Protocol):
-    """Everything that the balancer can do."""
+    """The actions that the balancer can take."""
 
     def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
-        """Sends the request to an endpoint. A request's attempts are numbered 0, 1, 2 ... in this order."""
+        """Sends the request to an endpoint. The attempts of a request are numbered from 0 in this order."""
 
     def reject(self, request_id: int, retry_after: float) -> None:
-        """Answers that the request had no effect and may be sent again after so many seconds."""
+        """Answers that the request had no effect and may be retried after `retry_after` seconds."""
 
     def fail(self, request_id: int) -> None:
         """Answers that the request failed and may have been executed."""
 
     def cancel_attempt(self, request_id: int, number: int) -> None:
-        """Gives up an attempt; its end is reported all the same."""
+        """Cancels an attempt; its end must still be reported."""
 
     def schedule_timer(self, delay: float, timer: Timer) -> None:
         """Calls `Balancer.on_timer` after `delay` seconds."""
 
     def watch_endpoint_list(self) -> None:
-        """Follows the endpoint list from now on."""
+        """Starts to watch the endpoint list."""
 
     def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
-        """Sends the other sidecars the endpoint mark (24 bits) of each attempt; may be lost.
+        """Sends the other sidecars the 24-bit endpoint mark of each attempt; the message may be lost.
 
-        `started` holds all attempts in flight if `complete`, else those since the last report, and `ended`
-        those that ended since.
+        `started` holds all attempts in flight if `complete`, else those that started since the last report;
+        `ended` holds those that ended since.
         """
 
     def publish_learned_state(self, state: LearnedState) -> None:
-        """Sends the other sidecars what was learned; may be lost."""
+        """Sends the learned state to the other sidecars; the message may be lost."""
 
     def log(self, line: str) -> None:
         """Writes one line to the sidecar's log."""
--- a/rainspindle/balancer/key_popularity.py
+++ b/rainspindle/balancer/key_popularity.py
@@ -1,4 +1,4 @@
-"""How much of this sidecar's traffic each key makes."""
+"""Each key's share of this sidecar's traffic."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 def own_share(_key: str, share: float) -> float:
-    """Returns the share that this sidecar counted itself."""
+    """Returns the share that this sidecar counted, unchanged."""
     return share
 
 
 class KeyPopularity:
-    """Requests by key, halved now and then.
+    """Counts requests by key; the counts are halved whenever their total reaches a limit.
 
     Attributes:
-        counts: Requests by key.
-        total: Requests of all keys.
-        adjust_share: Returns the share to go by, given a key and the share counted here; replaced where peers
-            tell theirs.
+        counts: The requests of each key.
+        total: The requests of all keys.
+        adjust_share: Returns the share to use, given a key and the share counted here; replaced where peers
+            report theirs.
     """
 
-    MAX_TOTAL = 128.0  # requests by which hot keys are known, at most
-    MIN_TOTAL = 8.0  # and at least
+    MAX_TOTAL = 128.0  # total at which the counts are halved
+    MIN_TOTAL = 8.0  # smallest divisor of a share, while few requests have been counted
 
     def __init__(self) -> None:
         self.counts: dict[str, float] = {}
@@ -37,6 +37,6 @@
             self.total /= 2
 
     def share(self, key: str) -> float:
-        """Returns the part of the traffic that the key makes, beyond one request."""
+        """Returns the key's share of the traffic, without its first request."""
         share = (self.counts.get(key, 1.0) - 1) / max(self.total, self.MIN_TOTAL)
         return self.adjust_share(key, share)
--- a/rainspindle/balancer/latency.py
+++ b/rainspindle/balancer/latency.py
@@ -1,4 +1,4 @@
-"""Response times over all endpoints, as this sidecar met them."""
+"""Response times over all endpoints, as seen by this sidecar."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class LatencyTracker:
-    """What attempts took at all endpoints together.
+    """Response times of attempts at all endpoints together.
 
     Attributes:
-        overall: Times of the recent past.
-        warm: Times at warm endpoints alone, halved at each sweep.
+        overall: Recent response times.
+        warm: Those of warm endpoints alone, halved at each sweep.
         median: The median of `overall` at the last sweep; 0 while unknown.
-        slow: Its 90% quantile.
-        unloaded: The lowest median so far, drifting up.
+        slow: The 90% quantile of `overall` at the last sweep.
+        unloaded: The lowest median so far, slowly rising; 0 while unknown.
     """
 
-    UNLOADED_DRIFT = 1.01  # by which the lowest median rises at each sweep
-    MIN_TIMES = 8  # from which a median is trusted, and more are halved sooner
+    UNLOADED_DRIFT = 1.01  # factor by which the lowest median rises at each sweep
+    MIN_TIMES = 8  # response times needed for a median; with more, they are halved sooner
 
     def __init__(self) -> None:
         self.overall = Histogram()
@@ -29,7 +29,7 @@
         self.unloaded = 0.0
 
     def sweep(self) -> None:
-        """Takes the quantiles anew."""
+        """Recomputes the quantiles."""
         self.median = self.overall.quantile(0.5)
         self.slow = self.overall.quantile(0.9)
         if self.overall.total >= self.MIN_TIMES:
@@ -37,6 +37,6 @@
         self.warm.halve()
 
     def forget(self, even_few: bool) -> None:
-        """Halves the weight of past times, where there are many or `even_few`."""
+        """Halves the weight of past times if there are many, or in any case if `even_few`."""
         if self.overall.total > self.MIN_TIMES or even_few:
             self.overall.halve()
--- a/rainspindle/balancer/load_publisher.py
+++ b/rainspindle/balancer/load_publisher.py
@@ -1,4 +1,4 @@
-"""Publishing this sidecar's load to its peers, as often as the price of messages allows."""
+"""Publishes this sidecar's load to its peers, as often as the cost of messages allows."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class LoadPublisher:
-    """Reports attempts in flight: what has changed, and now and then everything, as a message may be lost."""
+    """Reports changes of the attempts in flight, and regularly all of them, since messages may be lost."""
 
     MIN_INTERVAL = 0.015  # seconds
     MAX_INTERVAL = PeerLoad.REPORT_LIFETIME / 4
     COMPLETE_INTERVAL = PeerLoad.REPORT_LIFETIME / 2
-    MAX_COST = 0.008  # points of service per second that messages may cost
-    MARKS_PER_MESSAGE = 64  # by which a message is priced
+    MAX_COST = 0.008  # service points per second that messages may cost at most
+    MARKS_PER_MESSAGE = 64  # endpoint marks that the price of one message covers
 
     def __init__(
         self, host: BalancerHost, registry: EndpointRegistry, sidecar_count: int, message_price: float
     ) -> None:
-        """Begins with nothing published; `message_price` is the cost of a message a request."""
+        """Starts with nothing published; `message_price` is the cost of a message per request."""
         self._host = host
         self._registry = registry
         self._sidecar_count = sidecar_count
@@ -31,11 +31,11 @@
         self._completed_at = -math.inf
 
     def start(self) -> None:
-        """Sets the first timer."""
+        """Schedules the first report."""
         self._host.schedule_timer(self.MIN_INTERVAL, Timer.PUBLISH_LOAD)
 
     def publish(self, now: float, request_rate: float) -> None:
-        """Publishes what has changed, and sets the next timer."""
+        """Publishes a report if one is due, and schedules the next."""
         in_flight = Counter(endpoint.mark for endpoint in self._registry.active for _ in endpoint.in_flight)
         complete = now - self._completed_at > self.COMPLETE_INTERVAL
         if complete:
--- a/rainspindle/balancer/load_shedding.py
+++ b/rainspindle/balancer/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: requests are passed on, and in the end rejected, before queues grow."""
+"""Load shedding: requests go to other endpoints, and are finally rejected, before queues grow."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """Mean response times over all endpoints.
 
     Attributes:
-        usual: The mean of the lower three quarters.
-        warm: The same for warm endpoints lately, 0 where too few were met.
+        usual: The mean of the lowest three quarters.
+        warm: The same for recent times of warm endpoints alone; 0 if there are too few of them.
     """
 
     usual: float
@@ -24,14 +24,14 @@
 
 
 class WeightRanking:
-    """Where a request stands among the latest by its priority weight: the least is shed first.
+    """Ranks a request among recent ones by priority weight: the lowest weight is shed first.
 
     Attributes:
-        counts: Requests by weight, fading at each sweep.
+        counts: Requests by weight, decaying at each sweep.
     """
 
-    KEPT = 0.8  # of the counts, at each sweep
-    MIN_COUNT = 0.5  # below it a weight is forgotten
+    KEPT = 0.8  # factor on the counts at each sweep
+    MIN_COUNT = 0.5  # a weight with a lower count is dropped
 
     def __init__(self, random: RandomSequence) -> None:
         self.counts: dict[float, float] = {}
@@ -44,29 +44,29 @@
         return (below + self._random.fraction() * self.counts[weight]) / sum(self.counts.values())
 
     def sweep(self) -> None:
-        """Lets the counts fade."""
+        """Decays the counts."""
         self.counts = {
             weight: count * self.KEPT for weight, count in self.counts.items() if count > self.MIN_COUNT
         }
 
 
 class LoadShedder:
-    """Passes an endpoint over, by chance, as its response times rise.
+    """Skips an endpoint with a probability that rises with its response times.
 
-    Guards against queues that many sidecars cause with one attempt each, which none of them sees in its own
-    window. Where peers publish their load it goes by what is in flight, from the unloaded time on: heavy work
-    is late where cores are shared.
+    Many sidecars with one attempt each can cause a queue that none of them sees in its own window. Where
+    peers publish their load, the response time is predicted from the attempts in flight, and shedding begins
+    at the unloaded time, because heavy requests are late where cores are shared.
 
     Attributes:
-        is_active: Whether times are known: set by the first sweep, or by state that was restored.
+        is_active: Whether times are known: set by the first sweep, or by restored state.
     """
 
-    FROM = 0.2  # of the latency objective: the time from which requests are shed
-    TO = 0.5  # and from which nearly all are
-    MAX_PROBABILITY = 0.95  # some must pass, or the end of a jam would not be seen
-    SHARED_FACTOR = 0.25  # of both bounds, where peers publish their load
-    PRIOR_WEIGHT = 2.0  # the usual time counts as so many response times
-    FEW_TIMES = 8.0  # response times that say little of an endpoint
+    FROM = 0.2  # part of the latency objective: response time from which requests are shed
+    TO = 0.5  # part of the latency objective: response time from which nearly all are shed
+    MAX_PROBABILITY = 0.95  # some requests must pass, to show when the overload is over
+    SHARED_FACTOR = 0.25  # factor on both bounds where peers publish their load
+    PRIOR_WEIGHT = 2.0  # the usual time counts as this many response times
+    FEW_TIMES = 8.0  # this many response times say little about an endpoint
 
     def __init__(self, capacity: EndpointCapacity, latency: LatencyTracker) -> None:
         self.is_active = False
@@ -74,7 +74,7 @@
         self._latency = latency
 
     def fleet_times(self) -> FleetTimes:
-        """Returns the mean response times that single endpoints are compared with."""
+        """Returns the mean response times with which single endpoints are compared."""
         usual = self._latency.overall.low_mean(0.0, self.PRIOR_WEIGHT)
         warm = 0.0
         if self._latency.warm.total >= self.FEW_TIMES:
@@ -94,23 +94,24 @@
         return request.shed_draw < probability
 
     def _shared_probability(self, expected: float, objective: float, unloaded_time: float) -> float:
-        least = max(self.FROM * objective * self.SHARED_FACTOR, unloaded_time)
-        most = max(self.TO * objective * self.SHARED_FACTOR, 2 * unloaded_time)
-        return self._probability(expected, least, most)
+        lower = max(self.FROM * objective * self.SHARED_FACTOR, unloaded_time)
+        upper = max(self.TO * objective * self.SHARED_FACTOR, 2 * unloaded_time)
+        return self._probability(expected, lower, upper)
 
-    def _probability(self, expected: float, least: float, most: float) -> float:
+    def _probability(self, expected: float, lower: float, upper: float) -> float:
         if not self.is_active:
             return 0.0
-        return min((expected - least) / (most - least), self.MAX_PROBABILITY)
+        return min((expected - lower) / (upper - lower), self.MAX_PROBABILITY)
 
     def _mean_time(self, endpoint: EndpointState, fleet: FleetTimes, now: float) -> float:
-        """Returns the endpoint's mean time.
+        """Returns the endpoint's mean response time.
 
-        Guards against a jam that thin traffic meets too seldom at each endpoint: where that met little, what
-        all warm ones take lately counts. May hurt where most of them are slow and a few are not.
+        With little traffic, overload is met too rarely at each endpoint to be seen there. Where an endpoint
+        has few response times, the recent times of all warm endpoints count as well. Too strict for the few
+        fast endpoints where most are slow.
         """
         is_warm = self._capacity.slow_start.age(endpoint, now) is None
-        prior = fleet.usual if is_warm else 0.0  # a warming one is unloaded, by its budget
+        prior = fleet.usual if is_warm else 0.0  # a warming endpoint is unloaded, as its budget limits it
         mean = endpoint.latency.low_mean(prior, self.PRIOR_WEIGHT)
         if prior and endpoint.latency.total <= self.FEW_TIMES:
             mean = max(mean, fleet.warm)
--- a/rainspindle/balancer/outlier_detection.py
+++ b/rainspindle/balancer/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: an endpoint that fails more than the others is ejected, and readmitted by a trial."""
+"""Outlier detection: ejects an endpoint that fails more than the others; a trial readmits it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class OutlierDetector:
-    """Runs the design's keyless rule for each endpoint, on all of its outcomes."""
+    """Judges each endpoint by all of its outcomes, whatever their keys."""
 
-    MIN_FAILURES = 2  # more eject an endpoint, if they also exceed the failure ratio
-    FAILURE_RATIO = 0.25  # or twice that of all endpoints,
-    MAX_FAILURE_RATIO = 0.75  # but no more than this
-    CONSECUTIVE_FAILURES = 8  # eject whatever the ratio
-    SUSPECTED_MIN_FAILURES = 0  # the same for an endpoint that peers report as failing
-    SUSPECTED_CONSECUTIVE_FAILURES = 1
-    OVERLOADED_WEIGHT = 0.3  # of a failure, for an attempt that was rejected as overload
+    MIN_FAILURES = 2  # an endpoint with more is ejected if they also exceed the allowed ratio
+    FAILURE_RATIO = 0.25  # allowed ratio, or twice the ratio of all endpoints if that is more,
+    MAX_FAILURE_RATIO = 0.75  # but at most this
+    CONSECUTIVE_FAILURES = 8  # this many eject an endpoint whatever the ratio
+    SUSPECTED_MIN_FAILURES = 0  # MIN_FAILURES for an endpoint that peers report as failing
+    SUSPECTED_CONSECUTIVE_FAILURES = 1  # CONSECUTIVE_FAILURES for such an endpoint
+    OVERLOADED_WEIGHT = 0.3  # failure weight of an attempt that the endpoint rejected as overload
 
     def __init__(self, host: BalancerHost, registry: EndpointRegistry) -> None:
         self._host = host
@@ -27,10 +27,10 @@
         """Counts an outcome, and ejects the endpoint if it is an outlier.
 
         Args:
-            endpoint: Where the attempt was.
-            failure_weight: 0 for a success, 1 for a failure, between for what tells less.
-            now: The time.
-            cause: What the log line names as the last failure.
+            endpoint: The endpoint of the attempt.
+            failure_weight: 0 for a success, 1 for a failure, in between for weaker evidence of a failure.
+            now: The current time.
+            cause: The last failure, as the log line names it.
         """
         endpoint.failure_counts.record(failure_weight)
         endpoint.consecutive_failures += failure_weight
@@ -38,7 +38,7 @@
             self._eject(endpoint, now, cause)
 
     def should_eject(self, endpoint: EndpointState) -> bool:
-        """Returns whether the endpoint fails more often than all do."""
+        """Returns whether the endpoint fails more often than the endpoints do in general."""
         min_failures = self.MIN_FAILURES
         consecutive = self.CONSECUTIVE_FAILURES
         if endpoint.is_suspected:
@@ -51,19 +51,20 @@
         return failures > allowed or endpoint.consecutive_failures >= consecutive
 
     def readmit(self, endpoint: EndpointState, now: float, latency: float) -> None:
-        """Closes the endpoint's circuit after a trial that was answered within `latency` seconds."""
+        """Closes the endpoint's circuit after a trial that was answered in `latency` seconds."""
         self._host.log(f"{endpoint.id} readmitted: trial answered in {latency:.3f} s")
         endpoint.readmit(now)
 
     def _allowed_ratio(self) -> float:
         """Returns the ratio above which an endpoint is an outlier.
 
-        Guards against ejecting half a fleet whose endpoints all fail a part of what they get. Ejected ones
-        count too, or each in service would seem alone with its failures.
+        It rises with the failure ratio of all endpoints, so that half of them are not ejected when all fail a
+        part of their requests. Ejected endpoints count too, else each remaining one would seem to be the only
+        one that fails.
         """
         counts = [endpoint.failure_counts for endpoint in self._registry.active]
-        failures = sum(one.total_failures for one in counts)
-        usual = failures / max(1, sum(one.total_outcomes for one in counts))
+        failures = sum(count.total_failures for count in counts)
+        usual = failures / max(1, sum(count.total_outcomes for count in counts))
         return max(self.FAILURE_RATIO, min(2 * usual, self.MAX_FAILURE_RATIO))
 
     def _eject(self, endpoint: EndpointState, now: float, cause: str) -> None:
--- a/rainspindle/balancer/overdue.py
+++ b/rainspindle/balancer/overdue.py
@@ -1,4 +1,4 @@
-"""Attempts that are out for too long: a silent connection, or a silent endpoint."""
+"""Overdue attempts: finds connections and endpoints that no longer answer."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @dataclass(eq=False, slots=True)
 class OverdueMonitor:
-    """Looks at attempts that have taken several times what slow ones take.
+    """Checks attempts that have taken several times as long as slow attempts do.
 
     Attributes:
         config: The configuration.
         host: Cancels attempts.
-        latency: What slow attempts take.
-        slow_start: How much longer a warming endpoint may take.
-        outliers: Counts silence as a failure.
-        is_within_retry_budget: Tells whether a request of the class may have one more attempt now.
+        latency: Gives the response time of slow attempts.
+        slow_start: Says how much longer a warming endpoint may take.
+        outliers: Counts a missing response as a failure.
+        is_within_retry_budget: Returns whether a request of the class may have one more attempt now.
     """
 
-    SLOW_FACTOR = 3  # times the slow response time, after which an attempt is overdue
+    SLOW_FACTOR = 3  # an attempt is overdue after this multiple of the slow response time
 
     config: BalancerConfig
     host: BalancerHost
@@ -36,10 +36,10 @@
     is_within_retry_budget: Callable[[TrafficClass, float], bool]
 
     def check(self, now: float, attempts: Iterable[Attempt], classes: Iterable[TrafficClass]) -> None:
-        """Looks at the attempts in flight, the oldest first."""
+        """Checks the attempts in flight, which must come oldest first."""
         overdue_after = self.SLOW_FACTOR * self.latency.slow
         if not overdue_after:  # no response yet
-            overdue_after = max(one.latency_objective for one in classes)
+            overdue_after = max(traffic_class.latency_objective for traffic_class in classes)
         for attempt in list(attempts):
             if attempt.body_incomplete or attempt.response_started:
                 continue
@@ -49,7 +49,10 @@
             self._check_silent(attempt, now, overdue_after)
 
     def _check_overtaken(self, attempt: Attempt, now: float) -> None:
-        """Guards against a silent connection: an overtaken attempt takes no room, and may go again."""
+        """Handles an attempt whose connection seems dead, since a later one at its endpoint was answered.
+
+        The attempt no longer counts as in flight at the endpoint, and may be cancelled and retried.
+        """
         endpoint = attempt.endpoint
         if attempt.overtaken or endpoint.latest_answered_send <= attempt.sent_at:
             return
@@ -66,7 +69,7 @@
             self.host.cancel_attempt(request.id, attempt.number)
 
     def _check_silent(self, attempt: Attempt, now: float, overdue_after: float) -> None:
-        """Counts the attempt as a failure if its endpoint has answered nothing since it was sent."""
+        """Counts the attempt as a failure if its endpoint has answered no attempt since it was sent."""
         endpoint = attempt.endpoint
         if attempt.overdue or endpoint.breaker or endpoint.last_response_at >= attempt.sent_at:
             return
--- a/rainspindle/balancer/peer_load.py
+++ b/rainspindle/balancer/peer_load.py
@@ -1,4 +1,4 @@
-"""What the other sidecars last published: their attempts in flight, and what they have learned."""
+"""The state last published by the other sidecars: their attempts in flight and what they have learned."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """The attempts that one sidecar has in flight, by endpoint mark.
 
     Attributes:
-        completed_at: When its last complete report came.
-        in_flight: Its attempts, with the changes reported since.
+        completed_at: The time at which its last complete report was received.
+        in_flight: Its attempts, including the changes reported since.
     """
 
     completed_at: float
@@ -24,26 +24,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedState:
-    """What one sidecar has learned, and when it told."""
+    """The learned state of one sidecar, and when it was received."""
 
     received_at: float
     state: LearnedState
 
 
 class PeerLoad:
-    """The sum of what the other sidecars published.
+    """Sums the load published by the other sidecars.
 
-    Guards against a load that no sidecar sees by its own requests. May hurt where reports are old.
+    It shows load that no sidecar can see from its own requests. Misleading where reports are old.
 
     Attributes:
-        in_flight: Attempts of all peers, by endpoint mark.
-        total: Their sum.
+        in_flight: The attempts of all peers, by endpoint mark.
+        total: The number of these attempts.
         reports: The last report of each peer.
-        learned: What each peer has learned.
+        learned: The learned state of each peer.
     """
 
     REPORT_LIFETIME = 0.5  # seconds
-    STATE_LIFETIME = 3.0
+    STATE_LIFETIME = 3.0  # seconds
 
     def __init__(self) -> None:
         self.in_flight = Counter[int]()
@@ -54,10 +54,10 @@
     def on_load_report(
         self, now: float, peer: str, started: Collection[int], ended: Collection[int], complete: bool
     ) -> None:
-        """Takes in what has changed at a peer, or all that it has in flight.
+        """Applies a report of changes at a peer, or of all attempts that it has in flight.
 
-        Guards against memory and counts that grow: changes count only on top of a complete report that is not
-        old.
+        Changes are ignored without a recent complete report, so that neither memory nor counts can grow
+        without bound.
         """
         report = self.reports.get(peer)
         if complete:
@@ -70,17 +70,17 @@
         self.total += len(started) - len(ended)
 
     def on_learned_state(self, now: float, peer: str, state: LearnedState) -> None:
-        """Takes in what a peer has learned."""
+        """Replaces the learned state of a peer."""
         self.learned[peer] = ReceivedState(now, state)
 
     def on_peer_gone(self, now: float, peer: str) -> None:
-        """Forgets a peer that is known to be dead."""
+        """Removes a peer that is known to be dead."""
         if peer in self.reports:
             self._drop_report(now, peer)
         self.learned.pop(peer, None)
 
     def sweep(self, now: float) -> None:
-        """Forgets what is old."""
+        """Removes reports and learned state that have expired."""
         for peer, report in list(self.reports.items()):
             if now - report.completed_at > self.REPORT_LIFETIME:
                 self._drop_report(now, peer)
--- a/rainspindle/balancer/quotas.py
+++ b/rainspindle/balancer/quotas.py
@@ -12,16 +12,16 @@
 
     Attributes:
         rates: Requests per second at this sidecar, by tenant.
-        excess: The part of each tenant's requests, at all sidecars, that is over its allowance.
+        excess: The fraction of each tenant's requests, at all sidecars, that is over its allowance.
     """
 
     def __init__(self, allowances: Sequence[float], excess_weight: float, random: RandomSequence) -> None:
-        """Takes the settings.
+        """Starts with no requests counted.
 
         Args:
             allowances: Requests per second that each tenant may make at all sidecars together.
             excess_weight: The weight factor of a request over the allowance.
-            random: Decides which requests are the ones over it.
+            random: Selects which requests count as over the allowance.
         """
         self.rates = [0.0] * len(allowances)
         self.excess = [0.0] * len(allowances)
@@ -31,14 +31,14 @@
         self._requests = [0.0] * len(allowances)  # since the last sweep
 
     def record_request(self, tenant: int | None) -> float:
-        """Counts a request; returns the factor of its weight."""
+        """Counts a request; returns the factor on its priority weight."""
         if tenant is None or tenant >= len(self._requests):
             return 1.0
         self._requests[tenant] += 1
         return self._excess_weight if self._random.fraction() < self.excess[tenant] else 1.0
 
     def sweep(self, elapsed: float, peer_rates: Sequence[Sequence[float]]) -> None:
-        """Updates the rates, `elapsed` seconds after the last sweep, and what exceeds the allowances."""
+        """Updates the rates and the excess, `elapsed` seconds after the last sweep."""
         self.rates = [
             (rate + requests / elapsed) / 2 for rate, requests in zip(self.rates, self._requests, strict=True)
         ]
--- a/rainspindle/balancer/random_sequence.py
+++ b/rainspindle/balancer/random_sequence.py
@@ -1,4 +1,4 @@
-"""Reproducible random fractions, the balancer's only source of chance."""
+"""Reproducible random fractions, the balancer's only source of randomness."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class RandomSequence:
-    """Uniform fractions from a seed; sidecars that share a seed draw the same ones."""
+    """Generates uniform fractions from a seed; sidecars with the same seed get the same sequence."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._drawn = 0
 
     def fraction(self) -> float:
-        """Returns the next fraction, 0 or more and below 1."""
+        """Returns the next fraction, at least 0 and below 1."""
         self._drawn += 1
         return zlib.crc32(b"%d:%d" % (self._seed, self._drawn)) / 2**32
--- a/rainspindle/balancer/ranking.py
+++ b/rainspindle/balancer/ranking.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from _blake2 import blake2b  # hashlib's; importing hashlib would load all of OpenSSL at each start
+from _blake2 import blake2b  # hashlib's own; importing hashlib would load OpenSSL at each start
 from typing import TYPE_CHECKING
 
 from .endpoint import EndpointState
@@ -15,11 +15,11 @@
 
 
 class RendezvousRanking:
-    """Ready endpoints by weighted rendezvous hash: alike at all sidecars of a zone."""
+    """Orders the ready endpoints by weighted rendezvous hash, the same at all sidecars of a zone."""
 
-    MAX_KEYS = 4096  # whose order is kept
-    SPEED_EXPONENT = 3  # by which learned speeds weigh
-    ZONE_EXPONENT = 25  # by which the price of crossing zones weighs
+    MAX_KEYS = 4096  # keys whose order is cached
+    SPEED_EXPONENT = 3  # the weight is the learned speed to this power
+    ZONE_EXPONENT = 25  # the weight of the own zone is e to the cross-zone price times this
 
     def __init__(
         self, config: BalancerConfig, registry: EndpointRegistry, service_times: ServiceTimes
@@ -31,17 +31,17 @@
         self._orders = dict[str, list[EndpointState]]()
 
     def clear(self) -> None:
-        """Forgets the orders: endpoints or weights have changed."""
+        """Drops the cached orders, because endpoints or weights have changed."""
         self._orders.clear()
 
     def order(self, key: str) -> list[EndpointState]:
-        """Returns the ready endpoints in the key's order, which is kept until `clear`."""
+        """Returns the ready endpoints in the key's order, which is cached until `clear`."""
         order = self._orders.get(key)
         if order is None:
             if len(self._orders) > self.MAX_KEYS:
                 self._orders.clear()
             fastest = self._service_times.fastest_time()
-            order = sorted(self._registry.ready, key=lambda e: self._distance(key, e, fastest))
+            order = sorted(self._registry.ready, key=lambda endpoint: self._distance(key, endpoint, fastest))
             self._orders[key] = order
         return order
 
@@ -55,7 +55,7 @@
         weight = 1.0
         if self._config.use_listed_weights and listed.weight > 0:
             weight = listed.weight
-        if self._config.share_load:  # a kind not known yet counts as the fastest, or would never be known
+        if self._config.share_load:  # an unknown kind counts as the fastest, else it would never be learned
             weight = (self._service_times.of(listed).unloaded_time or fastest) ** -self.SPEED_EXPONENT
         if listed.zone == self._config.zone:
             weight *= self._zone_factor
--- a/rainspindle/balancer/request.py
+++ b/rainspindle/balancer/request.py
@@ -1,4 +1,4 @@
-"""The requests and attempts that the balancer holds."""
+"""The state of requests and attempts in the balancer."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     Attributes:
         id: The host's number for it.
         traffic_class: Its traffic class.
-        key: What failures are counted by; random for a request without a key.
-        objective_at: Until when a response is worth something.
-        deadline: When the client gives up.
-        is_client_retry: Whether the client sent it before.
+        key: The key that failures are counted by; random for a request without a key.
+        objective_at: The time until which a response is useful.
+        deadline: The time at which the client gives up.
+        is_client_retry: Whether the client has sent it before.
         has_key: Whether `key` came with the request.
         body_incomplete: Whether its body is still being received.
-        shed_draw: The fraction that decides whether it is shed: one for all of its attempts, or repeated
-            attempts would wear the probability down.
-        attempt_count: Attempts made so far.
-        in_flight: Attempts without an end.
-        tried: Endpoints that its attempts went to.
-        executed_since: When the first attempt was sent that may have been executed.
-        executed_at: That attempt's endpoint, as it was listed then.
-        body_consumed: Whether a part of the body is gone, so that no further attempt is possible.
+        shed_draw: The random fraction that decides whether it is shed: the same for all of its attempts, else
+            several attempts would be less likely to be shed than one.
+        attempt_count: The number of attempts so far.
+        in_flight: The number of attempts that have not ended.
+        tried: The endpoints of its attempts.
+        executed_since: The sending time of the first attempt that may have been executed.
+        executed_at: The endpoint of that attempt, as it was listed then.
+        body_consumed: Whether a part of the body is no longer kept, so that no further attempt is possible.
     """
 
     id: int
@@ -60,7 +60,7 @@
         return self.traffic_class.idempotency is Idempotency.NON_IDEMPOTENT
 
     def may_retry(self, now: float) -> bool:
-        """Returns whether another attempt may follow those that may have been executed."""
+        """Returns whether another attempt is permitted after those that may have been executed."""
         if self.executed_at is None or self.is_idempotent:
             return True
         if self.is_non_idempotent:
@@ -68,7 +68,7 @@
         return now - self.executed_since < self.traffic_class.deduplication_window
 
     def may_run_at(self, endpoint: ListedEndpoint) -> bool:
-        """Returns whether a second execution at `endpoint` would be recognized, or is harmless."""
+        """Returns whether a second execution at `endpoint` would be recognized or harmless."""
         executed_at = self.executed_at
         if executed_at is None or self.is_idempotent:
             return True
@@ -80,7 +80,7 @@
         return endpoint.cell == executed_at.cell
 
     def may_be_rejected(self) -> bool:
-        """Returns whether the client may send it again without risk of a second effect."""
+        """Returns whether the client may send it again without the risk of a second effect."""
         if self.executed_at is None and not self.in_flight:
             return True
         if self.is_idempotent:
@@ -97,17 +97,17 @@
 
     Attributes:
         request: The request.
-        number: Which of its attempts, from 0.
-        endpoint: Where it was sent.
-        listed: The endpoint as it was listed then; a later list may lack its zone and cell.
-        sent_at: When it was sent, or when its body was complete.
-        trial: The circuit breaker, of the key or of the endpoint, for which it is the trial.
-        body_incomplete: Whether the endpoint has not received the whole body, and so has not begun.
-        in_flight_before: What the endpoint had in flight when it was sent.
-        overdue: Whether it was counted as a failure for its silence.
-        overtaken: Whether it is overdue while a later attempt there was answered, so that its connection and
-            not the endpoint is taken to be at fault.
-        response_started: Whether the client is being sent the response.
+        number: Its number within the request, from 0.
+        endpoint: The endpoint that it was sent to.
+        listed: That endpoint as it was listed then; a later list may lack its zone and cell.
+        sent_at: The time at which it was sent, or at which its body was complete.
+        trial: The circuit breaker, of the key or of the endpoint, for which it is the trial, or None.
+        body_incomplete: Whether the endpoint lacks a part of the body and so has not begun to work.
+        in_flight_before: The attempts in flight at the endpoint when it was sent.
+        overdue: Whether it was counted as a failure because the endpoint answered nothing.
+        overtaken: Whether it is overdue although a later attempt there was answered, so that its connection
+            and not the endpoint is taken to be at fault.
+        response_started: Whether the response is being forwarded to the client.
     """
 
     request: RequestState
--- a/rainspindle/balancer/retry_budget.py
+++ b/rainspindle/balancer/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: how many attempts beyond each request's first may be made."""
+"""The retry budget: a limit on attempts beyond the first of each request."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class RetryBudget:
-    """In any window so many retries, and a share of the requests taken.
+    """Allows, in any window, a fixed number of retries plus a share of the requests accepted.
 
-    Guards against an allowance that is gone at once, or on requests of little weight. May hurt where a short
-    fault is over within a window.
+    Part of the allowance is held back from bursts and from requests of low weight, so that it is not used up
+    at once or on them. Too strict for a short fault that is over within a window.
     """
 
-    BURST_WINDOW = 0.25  # the part of the window in which
-    BURST_SHARE = 0.5  # no more than this part of the allowance is used
-    LEAST_SHARE = 0.5  # what requests without weight may use of the share
+    BURST_WINDOW = 0.25  # length of a burst, as a part of the window
+    BURST_SHARE = 0.5  # part of the allowance that one burst may use
+    LEAST_SHARE = 0.5  # part of the share that requests of weight 0 may use
     CLOCK_TOLERANCE = 1e-6  # seconds
 
     def __init__(self, free: float, share: float, window: float) -> None:
-        """Allows `free` retries, and `share` of the requests taken, in any `window` seconds."""
+        """Allows `free` retries plus `share` times the requests accepted, in any `window` seconds."""
         self.free = free
         self.share = share
         self.window = window
@@ -27,11 +27,11 @@
         self._skip_next_request = False
 
     def skip_next_request(self) -> None:
-        """Leaves the next request uncounted: it was counted when it was taken first."""
+        """Does not count the next request, which was counted when it was first accepted."""
         self._skip_next_request = True
 
     def record_request(self, now: float) -> None:
-        """Counts a request that was taken."""
+        """Counts a request that was accepted."""
         if self._skip_next_request:
             self._skip_next_request = False
         else:
@@ -39,7 +39,7 @@
 
     @property
     def counted_requests(self) -> int:
-        """Requests that count in the current window."""
+        """The number of requests that count in the current window."""
         return len(self._requests)
 
     def record_retry(self, now: float) -> None:
@@ -50,13 +50,13 @@
         """Returns whether a retry is within the budget.
 
         Args:
-            now: The time.
-            weight: The request's priority weight, in parts of the highest.
+            now: The current time.
+            weight: The request's priority weight, as a fraction of the highest.
         """
         self._forget(now)
         share = self.share * len(self._requests)
         usable = self.LEAST_SHARE + (1 - self.LEAST_SHARE) * weight
-        recent = sum(at > now - self.BURST_WINDOW * self.window for at in self._retries)
+        recent = sum(retried_at > now - self.BURST_WINDOW * self.window for retried_at in self._retries)
         within_window = len(self._retries) + 1 <= self.free + share * usable
         within_burst = recent + 1 <= max(1.0, self.BURST_SHARE * (self.free + share))
         return within_window and within_burst
--- a/rainspindle/balancer/selection.py
+++ b/rainspindle/balancer/selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: where the next attempt of a request goes."""
+"""Endpoint selection: chooses the endpoint of a request's next attempt."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Where an attempt goes, and the circuit breaker for which it is the trial."""
+    """The endpoint of an attempt, and the circuit breaker for which it is the trial, if any."""
 
     endpoint: EndpointState
     trial: CircuitBreaker | None = None
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SelectionContext:
-    """One selection: the request, the time, and what an endpoint has in flight in the mean."""
+    """The input of one selection: the request, the time, and the mean attempts in flight per endpoint."""
 
     request: RequestState
     now: float
@@ -37,33 +37,33 @@
 
     @property
     def is_retry(self) -> bool:
-        """Whether the request has had an attempt."""
+        """Whether the request has already had an attempt."""
         return self.request.attempt_count > 0
 
 
 @dataclass(eq=False, slots=True)
 class EndpointSelector:
-    """Selects an endpoint by the key's order, with the departures that docs/design.md lists.
+    """Selects an endpoint in the key's order, with the exceptions that docs/design.md lists.
 
     Attributes:
-        sidecar_count: All sidecars of the deployment.
+        sidecar_count: The number of sidecars in the deployment.
         registry: The known endpoints.
         failover: The failover table.
         ranking: The order of endpoints by key.
-        popularity: How much of the traffic a key makes.
-        capacity: Whether an endpoint may get one more attempt.
-        shedder: Whether an endpoint is too loaded.
-        latency: What attempts usually take.
-        random: The source of chance.
+        popularity: Each key's share of the traffic.
+        capacity: Decides whether an endpoint may get one more attempt.
+        shedder: Decides whether an endpoint is too loaded.
+        latency: The usual response times.
+        random: The source of random fractions.
     """
 
-    MAX_DEPTH = 6  # endpoints in service that are looked at, or
-    MAX_DEPTH_SHARE = 3  # one in so many, where that is more
+    MAX_DEPTH = 6  # the most endpoints in service that are examined,
+    MAX_DEPTH_SHARE = 3  # or all of them divided by this, if that is more
     TRIAL_PATIENCE = 15.0  # seconds until a non-idempotent request may be an endpoint's trial
-    ENABLED_PATIENCE = 1.0  # seconds until one may be the first at an endpoint that was enabled again
-    IDLE_INTERVAL = 1.0  # seconds after which an idle endpoint may be tried whatever is predicted
-    IDLE_INTERVAL_PER_SIDECAR = 0.25  # the same for each sidecar, where that is more
-    MAX_PREDICTED = 0.5  # of the time left, up to which an endpoint is taken at once
+    ENABLED_PATIENCE = 1.0  # seconds until one may be the first request of a re-enabled endpoint
+    IDLE_INTERVAL = 1.0  # seconds after which an idle endpoint may be tried whatever its predicted time
+    IDLE_INTERVAL_PER_SIDECAR = 0.25  # the same per sidecar of the deployment, if that is more
+    MAX_PREDICTED = 0.5  # part of the time left; an endpoint predicted within it is chosen at once
 
     sidecar_count: int
     registry: EndpointRegistry
@@ -76,18 +76,18 @@
     random: RandomSequence
 
     def select(self, request: RequestState, now: float, attempts_in_flight: int) -> Selection | None:
-        """Returns where the request's next attempt goes, or None where no endpoint may take it in time."""
+        """Returns where the request's next attempt goes, or None if no endpoint can take it in time."""
         ranked = self.ranking.order(request.key)
         total = attempts_in_flight + self.capacity.peer_load.total
         context = SelectionContext(request, now, total / len(ranked) if ranked else 0.0)
         entry = self._entry(request.key)
         if entry is not None and self._is_key_trial(context, entry):
-            return Selection(entry.first, entry)  # step 5: the key's next request alone is the trial
+            return Selection(entry.first, entry)  # exactly one request of the key is the trial
         order = self._order(request.key, entry, ranked)
-        return self._enabled_again(context, order) or self._first_acceptable(context, order)
+        return self._reenabled(context, order) or self._first_acceptable(context, order)
 
     def _entry(self, key: str) -> FailoverEntry[EndpointState] | None:
-        """Returns the key's entry; step 4: it drops when its current endpoint is not ready."""
+        """Returns the key's failover entry; drops it if its current endpoint is not ready."""
         entry = self.failover.entries.get(key)
         if entry is not None and entry.current.listed.status is not EndpointStatus.READY:
             del self.failover.entries[key]
@@ -101,7 +101,7 @@
             and not context.is_retry
             and first.listed.status is EndpointStatus.READY
             and not first.breaker
-            and self._is_open(context, first)
+            and self._is_permitted(context, first)
         )
 
     def _order(
@@ -113,16 +113,17 @@
         return self._rotated(key, ranked)
 
     def _rotated(self, key: str, ranked: list[EndpointState]) -> list[EndpointState]:
-        """Returns the order, rotated by chance for a key that makes more than one endpoint's part.
+        """Returns the order, randomly rotated for a key whose share exceeds that of one endpoint.
 
-        Guards against a hot key of which no sidecar has enough for the skip line to act.
+        Without this a hot key would overload its first endpoint when no sidecar alone has enough of the key's
+        requests in flight to skip that endpoint.
         """
         share = self.popularity.share(key)
         first = int(self.random.fraction() * share * len(ranked) / self.capacity.SKIP_FACTOR)
         return ranked[first:] + ranked[:first]
 
-    def _is_open(self, context: SelectionContext, endpoint: EndpointState) -> bool:
-        """Returns whether the endpoint may get this request's next attempt at all."""
+    def _is_permitted(self, context: SelectionContext, endpoint: EndpointState) -> bool:
+        """Returns whether the endpoint may get the request's next attempt, whatever its predicted time."""
         request = context.request
         return (
             endpoint not in request.tried
@@ -131,10 +132,10 @@
             and self.capacity.has_room(endpoint, context.mean_in_flight, context.now)
         )
 
-    def _enabled_again(self, context: SelectionContext, order: Sequence[EndpointState]) -> Selection | None:
-        """Returns an endpoint that was enabled and has got nothing since.
+    def _reenabled(self, context: SelectionContext, order: Sequence[EndpointState]) -> Selection | None:
+        """Returns an endpoint that was enabled again and has had no attempt since, if there is one.
 
-        Guards against one that waits for its own keys: the next request that may go there does.
+        Such an endpoint does not have to wait for its own keys: the next permitted request goes there.
         """
         for endpoint_id, enabled_at in self.capacity.slow_start.enabled_at.items():
             endpoint = self.registry.by_id.get(endpoint_id)
@@ -143,8 +144,8 @@
                 and endpoint in order
                 and endpoint.last_sent_at < enabled_at
                 and not context.is_retry
-                and self._is_open(context, endpoint)
-                and self._may_risk(context, enabled_at, self.ENABLED_PATIENCE)
+                and self._is_permitted(context, endpoint)
+                and self._may_take_risk(context, enabled_at, self.ENABLED_PATIENCE)
             ):
                 return Selection(endpoint)
         return None
@@ -152,21 +153,23 @@
     def _first_acceptable(
         self, context: SelectionContext, order: Sequence[EndpointState]
     ) -> Selection | None:
-        """Returns the first endpoint that is likely to respond in time, or else the quickest one."""
+        """Returns the first endpoint that is likely to respond in time, else the fastest predicted one."""
         remaining = context.request.objective_at - context.now
         fleet = self.shedder.fleet_times()
-        quickest: Selection | None = None
-        quickest_time = math.inf
+        fastest: Selection | None = None
+        fastest_time = math.inf
         examined = 0
         for endpoint in order:
             if examined >= max(self.MAX_DEPTH, len(order) / self.MAX_DEPTH_SHARE):
                 break
             if not endpoint.breaker:
                 examined += 1
-            if endpoint.listed.status is not EndpointStatus.READY or not self._is_open(context, endpoint):
+            if endpoint.listed.status is not EndpointStatus.READY or not self._is_permitted(
+                context, endpoint
+            ):
                 continue
             if endpoint.breaker:
-                if self._may_try(context, endpoint.breaker):
+                if self._may_be_trial(context, endpoint.breaker):
                     return Selection(endpoint, endpoint.breaker)
                 continue
             if self._is_passed_over(context, endpoint, fleet):
@@ -174,37 +177,42 @@
             predicted = endpoint.predicted_time(context.now, self.latency.median)
             if predicted <= remaining * self.MAX_PREDICTED or self._is_idle(context, endpoint):
                 return Selection(endpoint)
-            if predicted < quickest_time and predicted <= remaining:
-                quickest = Selection(endpoint)
-                quickest_time = predicted
-        return quickest
+            if predicted < fastest_time and predicted <= remaining:
+                fastest = Selection(endpoint)
+                fastest_time = predicted
+        return fastest
 
     def _is_passed_over(self, context: SelectionContext, endpoint: EndpointState, fleet: FleetTimes) -> bool:
-        """Returns whether the endpoint does not take this key yet, or is too loaded for the request."""
+        """Returns whether the endpoint does not get this key yet, or is too loaded for the request."""
         request = context.request
         if not self.capacity.slow_start.takes_key(endpoint, request.key, context.now):
             return True
         return self.shedder.sheds(request, endpoint, fleet, context.now)
 
-    def _may_try(self, context: SelectionContext, breaker: CircuitBreaker) -> bool:
+    def _may_be_trial(self, context: SelectionContext, breaker: CircuitBreaker) -> bool:
         """Returns whether the request may be the trial of an ejected endpoint.
 
-        Guards against one that stays ejected for good where only non-idempotent requests come.
+        A non-idempotent request may be the trial after a delay, else an endpoint that gets no other requests
+        would stay ejected forever.
         """
         return (
             breaker.trial_due
             and not context.is_retry
-            and self._may_risk(context, breaker.failing_since, self.TRIAL_PATIENCE)
+            and self._may_take_risk(context, breaker.failing_since, self.TRIAL_PATIENCE)
         )
 
-    def _may_risk(self, context: SelectionContext, since: float, patience: float) -> bool:
-        """Returns whether the request may meet an endpoint that may fail: a non-idempotent one only late."""
+    def _may_take_risk(self, context: SelectionContext, since: float, patience: float) -> bool:
+        """Returns whether the request may go to an endpoint that is likely to fail.
+
+        A non-idempotent request may do so only when over `patience` seconds have passed after `since`.
+        """
         return not context.request.is_non_idempotent or context.now - since > patience
 
     def _is_idle(self, context: SelectionContext, endpoint: EndpointState) -> bool:
-        """Returns whether the endpoint may be tried whatever is predicted.
+        """Returns whether the endpoint is idle and may be tried whatever its predicted time.
 
-        Guards against a lock-out by old response times: one attempt may ask again where none is in flight.
+        Without this old response times could exclude an endpoint forever: one attempt may probe it again when
+        none is in flight.
         """
         interval = max(self.IDLE_INTERVAL, self.sidecar_count * self.IDLE_INTERVAL_PER_SIDECAR)
         return (
--- a/rainspindle/balancer/slow_start.py
+++ b/rainspindle/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what may be sent to an endpoint that has just started, is enabled again, or was readmitted."""
+"""Slow start: limits attempts to an endpoint that has started, was enabled again, or was readmitted."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartGrant:
-    """Attempts that may be sent to one endpoint within `duration` seconds; unused ones lapse."""
+    """The attempts that may be sent to one endpoint within `duration` seconds; unused ones expire."""
 
     attempts: int
     duration: float
 
 
 class SlowStartBudget:
-    """How much a warming endpoint may get: a multiple of what a warm one answers to this sidecar.
+    """Limits a warming endpoint to a multiple of the rate at which a warm one answers this sidecar.
 
-    As warm endpoints answer no more than they can do, the sum over all sidecars keeps the bound.
+    Warm endpoints answer no more than their capacity, so the sum over all sidecars stays within the limit.
     """
 
-    SAFETY_MARGIN = 0.5  # a warming endpoint has no cached keys, and may be slower than most
-    MEAN_OVER_MEDIAN = 1.5  # the mean response time in parts of the median
-    MIN_TIMES = 4  # response times that prove a capacity
+    SAFETY_MARGIN = 0.5  # factor: a warming endpoint has empty caches, and may be slower than most
+    MEAN_OVER_MEDIAN = 1.5  # ratio of the mean response time to the median
+    MIN_TIMES = 4  # response times needed to prove a capacity
     MIN_ATTEMPTS_PER_PART = 2
-    MAX_PARTS = 6  # into which the window is divided, so that the budget is not spent at once
+    MAX_PARTS = 6  # parts into which the window is divided, so that the budget is not spent at once
 
     def __init__(
         self, overload_multiple: float, window: float, initial_capacity: float, warm_up_time: float
     ) -> None:
-        """Takes the bound from the settings.
+        """Takes the limit from the settings.
 
         Args:
-            overload_multiple: The endpoint fails beyond so many times its capacity,
-            window: kept up for so many seconds.
-            initial_capacity: The part of its full capacity that it has when it starts.
-            warm_up_time: Seconds until it has its full capacity.
+            overload_multiple: The multiple of its capacity beyond which an endpoint fails.
+            window: The seconds for which that load must last before the endpoint fails.
+            initial_capacity: The fraction of its full capacity that an endpoint has when it starts.
+            warm_up_time: The seconds until it has its full capacity.
         """
         self.overload_multiple = overload_multiple
         self.window = window
@@ -49,31 +49,36 @@
         self.warm_up_time = warm_up_time
 
     def capacity(self, age: float) -> float:
-        """Returns the least part of its full capacity that an endpoint has `age` seconds after its start."""
+        """Returns the minimum fraction of full capacity at `age` seconds after the endpoint's start."""
         if age >= self.warm_up_time:
             return 1.0
         return self.initial_capacity + (1 - self.initial_capacity) * max(age, 0.0) / self.warm_up_time
 
     def attempts_per_window(self, rate: float) -> float:
-        """Returns what this sidecar may send within a window, where `rate` is what it may count on."""
+        """Returns the attempts that this sidecar may send within a window.
+
+        Args:
+            rate: The responses per second that it may expect from the endpoint.
+        """
         return self.SAFETY_MARGIN * self.overload_multiple * self.window * rate
 
     def grant(
         self, age: float, warm_rate: float, times: Histogram, sidecar_count: int, fraction: float
     ) -> SlowStartGrant:
-        """Returns what this sidecar may send next.
+        """Returns the attempts that this sidecar may send next.
 
-        Of many sidecars each has a budget below one attempt: then `fraction` decides whether it gets one, and
-        what is not used lapses, or all would save up one and send them together.
+        With many sidecars the budget of each is below one attempt: then `fraction` decides whether it gets
+        one. Unused attempts expire, else all sidecars would accumulate one and send them together.
 
-        Guards against an idle endpoint: the budget is spread over the window, and where the endpoint's own
-        `times` prove more than the least capacity, it gets that. May hurt where they are short by luck.
+        So that the endpoint does not idle, the budget is spread over the window, and an endpoint whose own
+        `times` prove more than the minimum capacity gets attempts for that. Too generous if those times are
+        short by chance.
 
         Args:
-            age: Seconds since the endpoint's start.
-            warm_rate: Responses per second that this sidecar gets from a warm endpoint.
+            age: The seconds since the endpoint's start.
+            warm_rate: The responses per second that this sidecar gets from a warm endpoint.
             times: The endpoint's own response times.
-            sidecar_count: All sidecars, among which a proven capacity is divided.
+            sidecar_count: The number of sidecars, among which a proven capacity is divided.
             fraction: A random fraction.
         """
         proven = 0.0
@@ -86,18 +91,18 @@
 
 
 class SlowStart:
-    """Applies the budget to endpoints, and ramps up the keys that they take.
+    """Applies the budget to endpoints, and ramps up the keys that they get.
 
     Attributes:
-        budget: The bound.
-        warm_rate: Responses per second that this sidecar gets from a warm endpoint.
-        enabled_at: When an operator enabled an endpoint again; it counts as started then.
+        budget: The limit from the settings.
+        warm_rate: The responses per second that this sidecar gets from a warm endpoint.
+        enabled_at: The times at which operators enabled endpoints again, by name; they count as starts.
     """
 
     RECOVERY_RAMP = 5.0  # seconds over which an endpoint's keys return after its readmission
-    RATE_RISE = 0.2  # the part by which the warm rate rises at a sweep
-    RATE_FALL = 0.02  # and falls
-    LEAST_FLEET_RATE = 0.25  # requests per second that all sidecars count on before any rate is known
+    RATE_RISE = 0.2  # part of a rise that the warm rate follows at a sweep
+    RATE_FALL = 0.02  # part of a fall that it follows
+    LEAST_FLEET_RATE = 0.25  # requests per second assumed for all sidecars together while no rate is known
 
     def __init__(self, budget: SlowStartBudget, sidecar_count: int, random: RandomSequence) -> None:
         self.budget = budget
@@ -113,15 +118,15 @@
         return age if age < self.budget.warm_up_time else None
 
     def capacity(self, endpoint: EndpointState, now: float) -> float:
-        """Returns the least part of its full capacity that the endpoint has by now."""
+        """Returns the minimum fraction of full capacity that the endpoint has at `now`."""
         age = self.age(endpoint, now)
         return 1.0 if age is None else self.budget.capacity(age)
 
     def takes_key(self, endpoint: EndpointState, key: str, now: float) -> bool:
-        """Returns whether a warming or readmitted endpoint takes the key yet; all sidecars agree.
+        """Returns whether a warming or readmitted endpoint gets the key yet, consistently at all sidecars.
 
-        More keys are taken where this sidecar is granted less than one attempt, or few grants would meet one
-        of their keys.
+        It gets more keys where this sidecar is granted less than one attempt per window, else few grants
+        would coincide with a request for one of its keys.
         """
         granted = self.budget.attempts_per_window(self.warm_rate)
         share = min(
@@ -131,7 +136,7 @@
         return share >= 1.0 or zlib.crc32(f"{endpoint.id}|{key}".encode()) / 2**32 < share
 
     def has_budget(self, endpoint: EndpointState, now: float) -> bool:
-        """Returns whether the endpoint is warm or has attempts left; begins its next part if that is due."""
+        """Returns whether the endpoint is warm or has attempts left; grants its next part if that is due."""
         age = self.age(endpoint, now)
         if age is None:
             return True
@@ -153,18 +158,22 @@
             endpoint.slow_start_remaining -= 1
 
     def record_enabled(self, endpoint_id: str, now: float) -> None:
-        """Counts the endpoint as started now, and forgets those that have warmed up since."""
+        """Counts the endpoint as started at `now`, and removes endpoints that have warmed up since."""
         self.enabled_at = {
-            other: at for other, at in self.enabled_at.items() if now - at < self.budget.warm_up_time
+            other: enabled_at
+            for other, enabled_at in self.enabled_at.items()
+            if now - enabled_at < self.budget.warm_up_time
         }
         self.enabled_at[endpoint_id] = now
 
     def learn_warm_rate(self, ready: Sequence[EndpointState], now: float, elapsed: float) -> None:
         """Adapts the warm rate to the responses of the last `elapsed` seconds.
 
-        Guards against a fleet that starts cold or is replaced: what warm endpoints did is forgotten slowly.
+        The rate falls only slowly, so that it is still known when all endpoints start cold or are replaced.
         """
-        warm = [e for e in ready if self.age(e, now) is None and not e.breaker]
+        warm = [
+            candidate for candidate in ready if self.age(candidate, now) is None and not candidate.breaker
+        ]
         if not warm:
             return
         answered = sum(endpoint.responses_since_sweep for endpoint in warm) / elapsed / len(warm)
--- a/rainspindle/balancer/sweep.py
+++ b/rainspindle/balancer/sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps: what is forgotten of endpoints as time passes."""
+"""Sweeps: ages the learned state of endpoints."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepPhase:
-    """What a sweep forgets, beside what each sweep does.
+    """The steps that only some sweeps do.
 
     Attributes:
-        halve_times: Whether response times are halved, where there are many.
-        rotate_counts: Whether failure counts are rotated, where there are many.
-        thorough: Whether this is done where there are few, too.
+        halve_times: Whether response times are halved, for endpoints with many of them.
+        rotate_counts: Whether failure counts are rotated, for endpoints with many outcomes.
+        thorough: Whether these steps include endpoints with few.
     """
 
     HALVE_TIMES_EVERY = 2  # sweeps
-    ROTATE_COUNTS_EVERY = 5
-    THOROUGH_EVERY = 10
+    ROTATE_COUNTS_EVERY = 5  # sweeps
+    THOROUGH_EVERY = 10  # sweeps
 
     halve_times: bool
     rotate_counts: bool
@@ -39,7 +39,7 @@
 def sweep_endpoints(registry: EndpointRegistry, now: float, elapsed: float, phase: SweepPhase) -> None:
     """Ages the active endpoints, `elapsed` seconds after the last sweep.
 
-    One with no history left is no longer active: most endpoints, where traffic is thin.
+    An endpoint without any history left is no longer active, as most are where there is little traffic.
     """
     for endpoint in list(registry.active):
         _sweep_endpoint(endpoint, now, elapsed, phase)
--- a/rainspindle/invariants.py
+++ b/rainspindle/invariants.py
@@ -5,7 +5,7 @@
 import logging
 from collections import Counter
 
-violations: Counter[str] = Counter()  # by the invariant's name
+violations: Counter[str] = Counter()  # by name of the invariant
 
 
 def check_invariant(holds: bool, name: str) -> None:
--- a/rainspindle/lazy_dataclasses.py
+++ b/rainspindle/lazy_dataclasses.py
@@ -1,12 +1,12 @@
-"""Dataclasses whose import costs little: a drop-in for the parts of `dataclasses` that the program uses.
+"""Dataclasses that are cheap to import: a replacement for the parts of `dataclasses` that the program uses.
 
-The standard library writes, compiles and runs the source of up to ten methods for each class at import time,
-which a process that serves would pay at every restart. Here `__init__` alone is compiled, when the first
-instance is made, and the other methods are shared by all classes. Type checkers treat the classes as
-dataclasses (PEP 681), and only they keep a frozen instance unchanged: nothing does at run time.
+The standard library generates, compiles and runs the source of up to ten methods for each class at import
+time, which would delay every restart of a serving process. Here only `__init__` is compiled, when the first
+instance is made, and all classes share the other methods. Type checkers treat the classes as dataclasses
+(PEP 681), and only they enforce `frozen`: nothing prevents assignments at run time.
 """
 
-# The fields of a dataclass may be of any type, so its shared methods take and return any.
+# The fields of a dataclass may have any type, so the shared methods take and return Any.
 # ruff: noqa: ANN401
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DefaultFactory:
-    """A default value that is made anew for each instance."""
+    """A default value that is created separately for each instance."""
 
     __slots__ = ("make",)
 
@@ -30,7 +30,7 @@
 
 
 def field(*, default_factory: Callable[[], Any]) -> Any:
-    """Declares a field whose default is made by `default_factory` for each instance."""
+    """Declares a field whose default `default_factory` creates for each instance."""
     return DefaultFactory(default_factory)
 
 
@@ -38,22 +38,22 @@
 def dataclass(
     *, frozen: bool = False, slots: bool = True, eq: bool = True, order: bool = False
 ) -> Callable[[type[T]], type[T]]:
-    """Does what `dataclasses.dataclass` does with these arguments; classes always have slots.
+    """Works as `dataclasses.dataclass` with these arguments; classes always have slots.
 
     >>> @dataclass(frozen=True)
-    ... class Place:
+    ... class Location:
     ...     zone: int
     ...     cell: int = 0
-    >>> Place(3)
-    Place(zone=3, cell=0)
-    >>> replace(Place(3), cell=1) == Place(3, 1)
+    >>> Location(3)
+    Location(zone=3, cell=0)
+    >>> replace(Location(3), cell=1) == Location(3, 1)
     True
     """
     return lambda cls: _build_class(cls, frozen, eq, order)
 
 
 def fields(cls: type) -> tuple[str, ...]:
-    """Returns the names of a class's fields, in their order."""
+    """Returns the names of a class's fields, in order of definition."""
     names: tuple[str, ...] = getattr(cls, "__match_args__", ())
     return names
 
@@ -66,29 +66,31 @@
 
 def _build_class(cls: type[T], frozen: bool, eq: bool, order: bool) -> type[T]:
     namespace = dict(cls.__dict__)
-    own = tuple(namespace.get("__annotations__", ()))
-    names = (*fields(cls), *own)
+    own_names = tuple(namespace.get("__annotations__", ()))
+    names = (*fields(cls), *own_names)
     defaults = dict(getattr(cls, "__defaults__", {}))
-    for name in own:
+    for name in own_names:
         if name in namespace:
             defaults[name] = namespace.pop(name)
     for unwanted in ("__dict__", "__weakref__"):
         namespace.pop(unwanted, None)
-    namespace |= {"__slots__": own, "__match_args__": names, "__defaults__": defaults}
+    namespace |= {"__slots__": own_names, "__match_args__": names, "__defaults__": defaults}
 
-    def lazy_init(self: Any, *values: Any, **named: Any) -> None:
+    def lazy_init(self: Any, *values: Any, **keywords: Any) -> None:
         init = _compile_init(names, defaults)
         built.__init__ = init
-        init(self, *values, **named)
+        init(self, *values, **keywords)
 
     namespace.setdefault("__init__", lazy_init)
     namespace.setdefault("__repr__", _repr)
     values_of = _value_getter(names)
     if eq:
-        namespace["__eq__"] = _comparing(operator.eq, values_of)
+        namespace["__eq__"] = _comparison_method(operator.eq, values_of)
         namespace["__hash__"] = (lambda self: hash(values_of(self))) if frozen else None
     if order:
-        namespace |= {f"__{one.__name__}__": _comparing(one, values_of) for one in ORDERINGS}
+        namespace |= {
+            f"__{ordering.__name__}__": _comparison_method(ordering, values_of) for ordering in ORDERINGS
+        }
     metaclass: Any = type(cls)
     built = metaclass(cls.__name__, cls.__bases__, namespace)
     result: type[T] = built
@@ -101,7 +103,7 @@
     return lambda instance: tuple(getattr(instance, name) for name in names)
 
 
-def _comparing(compare: Comparison, values_of: Callable[[Any], tuple[Any, ...]]) -> Comparison:
+def _comparison_method(compare: Comparison, values_of: Callable[[Any], tuple[Any, ...]]) -> Comparison:
     def method(self: Any, other: Any) -> Any:
         if other.__class__ is not self.__class__:
             return NotImplemented
@@ -111,7 +113,7 @@
 
 
 def _compile_init(names: tuple[str, ...], defaults: dict[str, Any]) -> Callable[..., None]:
-    """Compiles `__init__` for these fields, as it would be written by hand."""
+    """Compiles the `__init__` of a class with these fields."""
     namespace: dict[str, Any] = {"_missing": object()}
     parameters = ["self"]
     lines = []
--- a/rainspindle/routing/facade.py
+++ b/rainspindle/routing/facade.py
@@ -1,7 +1,6 @@
-"""The decision module in blocking style: pick, report, tick.
+"""A facade of the balancer in blocking style: each call returns the actions that the balancer took in it.
 
-Each call gives back what the module did within it. The network code acts on these answers and sees nothing
-else of the module.
+The network code carries out these actions and uses nothing else of the balancer.
 """
 
 from __future__ import annotations
@@ -33,19 +32,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SendThere:
+    """Sends an attempt to an endpoint.
+
+    Attributes:
+        endpoint: The endpoint's name.
+        number: The attempt's number within the request, from 0.
+        patience: The attempt's timeout in seconds.
+    """
+
     endpoint: str
-    number: int  # forwards of one exchange count 0, 1, 2 ...
+    number: int
     patience: float
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
+    """Answers that the request had no effect and may be retried after `hold_off` seconds."""
+
     hold_off: float
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    pass
+    """Answers that the request failed and may have been executed."""
 
 
 Step = SendThere | Reject | Terminate
@@ -53,122 +62,183 @@
 
 @dataclass(slots=True)
 class Did:
-    """All that the module did within one call."""
+    """The actions that the balancer took in one call.
+
+    Attributes:
+        steps: Attempts to send and final responses, each with its request id.
+        called_off: The attempts to cancel, by request id and attempt number.
+        told: The messages to send to the other sidecars.
+        watch: Whether to start watching the endpoint list.
+        wake_at: The time at which `tick` must be called next.
+    """
 
-    steps: list[tuple[int, Step]] = field(default_factory=list)  # by exchange
-    called_off: list[tuple[int, int]] = field(default_factory=list)  # exchange and number of the forward
-    told: list[str] = field(default_factory=list)  # messages to the other sidecars
-    watch: bool = False  # the list is to be watched from now on
-    wake_at: float = math.inf  # when `tick` wants to be called next
+    steps: list[tuple[int, Step]] = field(default_factory=list)
+    called_off: list[tuple[int, int]] = field(default_factory=list)
+    told: list[str] = field(default_factory=list)
+    watch: bool = False
+    wake_at: float = math.inf
 
 
 class Decisions(Protocol):
-    """What decides: the balancer, or in the lab a baseline in its place."""
+    """The methods of what decides: the balancer, or a baseline that the lab uses in its place."""
 
     @property
-    def attempts(self) -> Sized: ...
+    def attempts(self) -> Sized:
+        """The attempts in flight."""
 
-    def on_list_changed(self, now: float, update: EndpointListUpdate) -> None: ...
+    def on_list_changed(self, now: float, update: EndpointListUpdate) -> None:
+        """Applies an update of the endpoint list."""
 
-    def on_list_failed(self) -> None: ...
+    def on_list_failed(self) -> None:
+        """Handles a failed request for the endpoint list."""
 
-    def on_request_arrived(self, now: float, incoming: IncomingRequest) -> None: ...
+    def on_request_arrived(self, now: float, incoming: IncomingRequest) -> None:
+        """Accepts a request."""
 
-    def on_body_consumed(self, request_id: int) -> None: ...
+    def on_body_consumed(self, request_id: int) -> None:
+        """Records that a part of the body is no longer kept, so that no further attempt is possible."""
 
-    def on_body_sent(self, now: float, request_id: int, number: int, deadline: float) -> float: ...
+    def on_body_sent(self, now: float, request_id: int, number: int, deadline: float) -> float:
+        """Records that the endpoint has the whole body; returns the attempt's timeout in seconds."""
 
-    def on_response_started(self, now: float, request_id: int, number: int) -> None: ...
+    def on_response_started(self, now: float, request_id: int, number: int) -> None:
+        """Records that a response has begun to be forwarded to the client."""
 
-    def on_attempt_ended(self, now: float, end: AttemptEnd) -> None: ...
+    def on_attempt_ended(self, now: float, end: AttemptEnd) -> None:
+        """Records how an attempt ended."""
 
-    def on_client_disconnected(self, request_id: int) -> None: ...
+    def on_client_disconnected(self, request_id: int) -> None:
+        """Drops a request whose client has disconnected."""
 
-    def on_timer(self, now: float, timer: Timer) -> None: ...
+    def on_timer(self, now: float, timer: Timer) -> None:
+        """Handles a timer that has fired."""
 
 
 class Facade:
-    """The module's host."""
+    """The balancer's host: collects the actions of the balancer until the current call returns them.
+
+    Attributes:
+        now: The time of the current call.
+        wakes: The pending timers as a heap; the serial number keeps the order of equal times.
+        wakes_set: The number of timers set so far.
+        sent: The attempts sent so far, by request id, for requests without a final response.
+        did: The actions taken since the last call returned.
+        balancer: The balancer, or a baseline in its place.
+    """
 
     def __init__(self, now: float, make: Callable[[BalancerHost], Decisions]) -> None:
+        """Creates the balancer by calling `make` with this facade as its host."""
         self.now = now
         self.wakes: list[tuple[float, int, Timer]] = []
         self.wakes_set = 0
-        self.sent: dict[int, int] = {}  # forwards by exchange, for those without a final answer
+        self.sent: dict[int, int] = {}
         self.did = Did()
         self.balancer = make(self)
 
     def pick(
         self,
         now: float,
-        exchange: int,
-        type_index: int,
+        request_id: int,
+        class_index: int,
         key: str | None,
-        expires_at: float,
-        repeat: bool,
-        coming: bool = False,
+        deadline: float,
+        is_client_retry: bool,
+        body_incomplete: bool = False,
         tenant: int | None = None,
     ) -> Did:
-        """`coming`: its body is not whole yet, and each forward is told by `written` when it is."""
-        self.now, self.sent[exchange] = now, 0
-        incoming = IncomingRequest(exchange, type_index, key, expires_at, repeat, coming, tenant)
+        """Accepts a request.
+
+        Args:
+            now: The current time.
+            request_id: The request's id, unique among the requests in flight.
+            class_index: The index of its traffic class in the settings.
+            key: The key that failures are counted by; None for a request without one.
+            deadline: The time at which the client gives up.
+            is_client_retry: Whether the client has sent it before.
+            body_incomplete: Whether its body is still being received; `written` must then be called for each
+                attempt that has the whole body.
+            tenant: The index of its tenant in the settings, or None if unknown.
+        """
+        self.now, self.sent[request_id] = now, 0
+        incoming = IncomingRequest(
+            request_id, class_index, key, deadline, is_client_retry, body_incomplete, tenant
+        )
         self.balancer.on_request_arrived(now, incoming)
         return self.taken()
 
-    def spent(self, now: float, exchange: int) -> None:
-        """A part of its body has gone to an endpoint and is kept nowhere: it cannot go again."""
-        self.balancer.on_body_consumed(exchange)
+    def spent(self, now: float, request_id: int) -> None:
+        """Records that a part of the body is no longer kept, so that no further attempt is possible."""
+        self.balancer.on_body_consumed(request_id)
 
-    def written(self, now: float, exchange: int, number: int, expires_at: float) -> tuple[float, Did]:
-        """A body that came meanwhile is whole at the endpoint: its times begin; how long to wait."""
+    def written(self, now: float, request_id: int, number: int, deadline: float) -> tuple[float, Did]:
+        """Records that the endpoint has the whole body; returns the attempt's timeout counted from now."""
         self.now = now
-        return self.balancer.on_body_sent(now, exchange, number, expires_at), self.taken()
+        return self.balancer.on_body_sent(now, request_id, number, deadline), self.taken()
 
-    def answer_by(self, exchange: int, deadline: float) -> None:
-        """Its client is answered by then, however long it would wait."""
+    def answer_by(self, request_id: int, deadline: float) -> None:
+        """Makes the request's deadline `deadline` if that is earlier."""
         if isinstance(self.balancer, Balancer):
-            self.balancer.shorten_deadline(exchange, deadline)
+            self.balancer.shorten_deadline(request_id, deadline)
 
-    def started(self, now: float, exchange: int, number: int) -> Did:
-        """The client has a part of a forward's answer: what follows is no wait at the endpoint."""
+    def started(self, now: float, request_id: int, number: int) -> Did:
+        """Records that a response has begun to be forwarded; later delays are not the endpoint's."""
         self.now = now
-        self.balancer.on_response_started(now, exchange, number)
+        self.balancer.on_response_started(now, request_id, number)
         return self.taken()
 
     def report(
         self,
         now: float,
-        exchange: int,
+        request_id: int,
         number: int,
         outcome: AttemptOutcome,
         over: bool = False,
         lag: float = 0.0,
     ) -> Did:
-        """How a forward ended, `lag` ago; `over` where the client has its answer or has left."""
+        """Records how an attempt ended.
+
+        Args:
+            now: The current time.
+            request_id: The id of the request.
+            number: The attempt's number within the request, from 0.
+            outcome: How the attempt ended.
+            over: Whether the client has its response or has disconnected.
+            lag: The seconds for which the response was unread because the sidecar was short of CPU.
+        """
         self.now = now
         if outcome is AttemptOutcome.SERVED or over:
-            self.sent.pop(exchange, None)
-        self.balancer.on_attempt_ended(now, AttemptEnd(exchange, number, outcome, over, lag))
+            self.sent.pop(request_id, None)
+        self.balancer.on_attempt_ended(now, AttemptEnd(request_id, number, outcome, over, lag))
         return self.taken()
 
-    def left(self, now: float, exchange: int) -> Did:
+    def left(self, now: float, request_id: int) -> Did:
+        """Drops a request whose client has disconnected."""
         self.now = now
-        self.sent.pop(exchange, None)
-        self.balancer.on_client_disconnected(exchange)
+        self.sent.pop(request_id, None)
+        self.balancer.on_client_disconnected(request_id)
         return self.taken()
 
     def list_changed(self, now: float, lines: Collection[ListedEndpoint], whole: bool, stale: bool) -> Did:
+        """Applies an update of the endpoint list.
+
+        Args:
+            now: The current time.
+            lines: The listed endpoints, or those that changed.
+            whole: Whether endpoints without an entry are gone.
+            stale: Whether this is an old copy, which does not show that the list service is available.
+        """
         self.now = now
         self.balancer.on_list_changed(now, EndpointListUpdate(tuple(lines), whole, cached=stale))
         return self.taken()
 
     def list_failed(self, now: float) -> Did:
+        """Handles a failed request for the endpoint list."""
         self.now = now
         self.balancer.on_list_failed()
         return self.taken()
 
     def leave_out(self, now: float, endpoint: str, out: bool) -> Did:
-        """An order of the staff: the endpoint gets nothing from now on, or may again."""
+        """Applies an operator's command: disables the endpoint if `out`, else enables it again."""
         self.now = now
         if isinstance(self.balancer, Balancer):
             if out:
@@ -178,80 +248,99 @@
         return self.taken()
 
     def give(self, now: float) -> dict[str, Any]:
-        """What the module has learnt, in plain values."""
+        """Returns what the balancer has learned, as plain values; empty for a baseline."""
         return learnt.give(self.balancer, now) if isinstance(self.balancer, Balancer) else {}
 
     def take(self, now: float, given: dict[str, Any]) -> Did:
-        """Goes on from what another process gave. Raises ValueError, and then nothing has changed."""
+        """Restores learned state that another process returned from `give`.
+
+        Raises:
+            ValueError: The state is invalid; nothing has changed.
+        """
         self.now = now
         try:
             if isinstance(self.balancer, Balancer):
                 learnt.take(self.balancer, now, given)
-        except (KeyError, TypeError, AttributeError) as fault:
-            raise ValueError(f"{type(fault).__name__} {fault}") from None
+        except (KeyError, TypeError, AttributeError) as error:
+            raise ValueError(f"{type(error).__name__} {error}") from None
         return self.taken()
 
     def heard(self, now: float, who: str, message: str) -> Did:
-        """Another sidecar's message. Raises ValueError where it is none."""
+        """Applies a message of the sidecar `who`.
+
+        Raises:
+            ValueError: It is not a valid message of this release.
+        """
         self.now = now
         if isinstance(self.balancer, Balancer):
             peers.receive(self.balancer.peer_load, now, who, message)
         return self.taken()
 
     def peer_gone(self, now: float, who: str) -> None:
-        """Guards against word of a sidecar that is known to be dead, for as long as it would last."""
+        """Drops the reports of a dead sidecar, which would otherwise count until they expire."""
         if isinstance(self.balancer, Balancer):
             self.balancer.peer_load.on_peer_gone(now, who)
 
     def tick(self, now: float) -> Did:
-        """Lets the module do what it set itself to do by now."""
+        """Fires the timers that are due."""
         self.now = now
         while self.wakes and self.wakes[0][0] <= now:
             self.balancer.on_timer(now, heapq.heappop(self.wakes)[2])
         return self.taken()
 
     def in_flight(self) -> int:
-        """Forwards that the module believes to be out."""
+        """Returns the number of attempts that the balancer counts as in flight."""
         return len(self.balancer.attempts)
 
     def taken(self) -> Did:
+        """Returns the actions taken since the last call, and starts a new collection."""
         did, self.did = self.did, Did()
         did.wake_at = self.wakes[0][0] if self.wakes else math.inf
         return did
 
-    # The balancer's host.
+    # The interface BalancerHost.
 
     def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
+        """Adds an attempt to the actions."""
         check_invariant(request_id in self.sent, "a forward only for an exchange without a final answer")
         number = self.sent.get(request_id, 0)
         self.sent[request_id] = number + 1
         self.did.steps.append((request_id, SendThere(endpoint_id, number, timeout)))
 
     def reject(self, request_id: int, retry_after: float) -> None:
+        """Adds a rejection to the actions."""
         self.final(request_id, Reject(retry_after))
 
     def fail(self, request_id: int) -> None:
+        """Adds a failure response to the actions."""
         self.final(request_id, Terminate())
 
-    def final(self, exchange: int, step: Step) -> None:
-        check_invariant(self.sent.pop(exchange, None) is not None, "one final answer for each exchange")
-        self.did.steps.append((exchange, step))
+    def final(self, request_id: int, step: Step) -> None:
+        """Adds a final response to the actions; the request gets no further attempts."""
+        check_invariant(self.sent.pop(request_id, None) is not None, "one final answer for each exchange")
+        self.did.steps.append((request_id, step))
 
     def cancel_attempt(self, request_id: int, number: int) -> None:
+        """Adds a cancellation to the actions."""
         self.did.called_off.append((request_id, number))
 
     def schedule_timer(self, delay: float, timer: Timer) -> None:
+        """Schedules a timer, which `tick` fires."""
         self.wakes_set += 1
         heapq.heappush(self.wakes, (self.now + delay, self.wakes_set, timer))
 
     def watch_endpoint_list(self) -> None:
+        """Adds the start of the list watch to the actions."""
         self.did.watch = True
 
     def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
+        """Adds a load message to the actions."""
         self.did.told.append(peers.encode_load(started, ended, complete))
 
     def publish_learned_state(self, state: LearnedState) -> None:
+        """Adds a message with the learned state to the actions."""
         self.did.told.append(peers.encode_learned_state(state))
 
     def log(self, line: str) -> None:
+        """Logs a line of the balancer."""
         log.info(line)
--- a/rainspindle/simhost/__init__.py
+++ b/rainspindle/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decision module and the simulator's wire on standard input and output."""
+"""The adapter between the balancer and the simulator's protocol on standard input and output."""
--- a/rainspindle/simhost/__main__.py
+++ b/rainspindle/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m rainspindle.simhost: serve the simulator's wire until standard input ends."""
+"""Serves the simulator's protocol until standard input ends: python -m rainspindle.simhost."""
 
 import sys
 
--- a/rainspindle/simhost/adapter.py
+++ b/rainspindle/simhost/adapter.py
@@ -1,4 +1,7 @@
-"""Decode a batch, call the instance's method for each message, encode what it did. No decisions here."""
+"""Decodes batches of messages, calls a balancer for each message, and encodes its actions.
+
+The adapter makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +29,8 @@
 
 Message = dict[str, Any]
 
-STATES = {0: EndpointStatus.GONE, 1: EndpointStatus.DRAINING, 2: EndpointStatus.READY}
-CACHED, FAILED, FULL = 0, 1, 2
+ENDPOINT_STATUSES = {0: EndpointStatus.GONE, 1: EndpointStatus.DRAINING, 2: EndpointStatus.READY}
+CACHED, FAILED, FULL = 0, 1, 2  # modes of the message RosterChange
 OUTCOMES = {
     "S": AttemptOutcome.SERVED,
     "E": AttemptOutcome.ERROR,
@@ -40,149 +43,179 @@
 }
 
 
-class Fault(Trouble):
-    """Input that the wire does not allow, named in one line."""
+class InputError(Trouble):
+    """Raised for input that violates the simulator's protocol."""
 
-    remedy = "send one batch a line, as the simulator does"
+    remedy = "send one batch per line, as the simulator does"
 
 
 class SimulatorHost:
-    """The host of one instance: each act becomes an action in the reply under way."""
+    """The host of one sidecar's balancer: adds each action to the current reply."""
 
     def __init__(self, instance: str, outbox: list[Message]) -> None:
         self.instance = instance
         self.outbox = outbox
 
-    def act(self, name: str, **fields: object) -> None:
+    def emit(self, name: str, **fields: object) -> None:
+        """Adds an action of this sidecar to the reply."""
         self.outbox.append({"event_type": name, "sidecar-id": self.instance, **fields})
 
     def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
-        self.act("Try", corr=request_id, endpoint=endpoint_id, patience=max(timeout, 0.001) * 1000)
+        """Replies `Try`; the timeout is sent as at least 1 ms."""
+        self.emit("Try", corr=request_id, endpoint=endpoint_id, patience=max(timeout, 0.001) * 1000)
 
     def reject(self, request_id: int, retry_after: float) -> None:
-        self.act("Bounce", corr=request_id, **{"hold-off": retry_after * 1000})
+        """Replies `Bounce`."""
+        self.emit("Bounce", corr=request_id, **{"hold-off": retry_after * 1000})
 
     def fail(self, request_id: int) -> None:
-        self.act("FinishError", corr=request_id)
+        """Replies `FinishError`."""
+        self.emit("FinishError", corr=request_id)
 
     def cancel_attempt(self, request_id: int, number: int) -> None:
-        self.act("Retract", corr=request_id, **{"try": number})
+        """Replies `Retract`."""
+        self.emit("Retract", corr=request_id, **{"try": number})
 
     def schedule_timer(self, delay: float, timer: Timer) -> None:
-        self.act("NotifyMe", wait=delay * 1000, ctx=timer.value)
+        """Replies `NotifyMe`, with the timer as its opaque context."""
+        self.emit("NotifyMe", wait=delay * 1000, ctx=timer.value)
 
     def watch_endpoint_list(self) -> None:
-        self.act("Tail", on=True)
+        """Replies `Tail`."""
+        self.emit("Tail", on=True)
 
     def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
-        self.act("Share", target="all", payload=encode_load(started, ended, complete))
+        """Replies `Share` with a load message for all sidecars."""
+        self.emit("Share", target="all", payload=encode_load(started, ended, complete))
 
     def publish_learned_state(self, state: LearnedState) -> None:
-        self.act("Share", target="all", payload=encode_learned_state(state))
+        """Replies `Share` with the learned state for all sidecars."""
+        self.emit("Share", target="all", payload=encode_learned_state(state))
 
     def log(self, line: str) -> None:
-        self.act("Log", **{"reason-text": line})
+        """Replies `Log`."""
+        self.emit("Log", **{"reason-text": line})
 
 
 class Adapter:
+    """Runs the balancers of all sidecars that the simulator starts.
+
+    Attributes:
+        instances: The balancer of each running sidecar, by the sidecar's id.
+        pages: The endpoint lists that the simulator has sent, by page number; pages are reused.
+        outbox: The actions of the current reply.
+    """
+
     def __init__(self) -> None:
         self.instances: dict[str, Balancer] = {}
         self.pages: dict[int, list[ListedEndpoint]] = {}
         self.outbox: list[Message] = []
 
     def batch(self, line: bytes) -> bytes:
+        """Processes one line of input, a batch of messages, and returns the reply as one line of JSON.
+
+        Raises:
+            InputError: The batch or one of its messages is invalid.
+        """
         try:
             batch = orjson.loads(line)
-        except orjson.JSONDecodeError as e:
-            raise Fault(f"a batch that is not JSON ({e}): {line[:80]!r}") from None
+        except orjson.JSONDecodeError as error:
+            raise InputError(f"batch is not JSON ({error}): {line[:80]!r}") from None
         if (
             not isinstance(batch, dict)
             or not isinstance(batch.get("now"), int | float)
             or not isinstance(batch.get("msgs"), list)
         ):
-            raise Fault(f"a batch without 'now' and 'msgs': {line[:80]!r}")
+            raise InputError(f"batch without 'now' and 'msgs': {line[:80]!r}")
         now = batch["now"] / 1000
         self.outbox.clear()
         for message in batch["msgs"]:
             try:
-                self.message(now, message)
-            except (KeyError, TypeError, AttributeError, IndexError, ValueError) as e:
-                raise Fault(f"{type(e).__name__} {e} in message {str(message)[:200]}") from e
+                self._process(now, message)
+            except (KeyError, TypeError, AttributeError, IndexError, ValueError) as error:
+                raise InputError(f"{type(error).__name__} {error} in message {str(message)[:200]}") from error
         return orjson.dumps({"outbox": self.outbox})
 
-    def message(self, now: float, m: Message) -> None:
-        name = m["event_type"]
+    def _process(self, now: float, message: Message) -> None:
+        name = message["event_type"]
         if name == "Roster":
-            self.pages[m["page"]] = [listed(entry) for entry in m["lines"]]
+            self.pages[message["page"]] = [decode_endpoint(entry) for entry in message["lines"]]
             return
-        id = m["sidecar-id"]
+        sidecar_id = message["sidecar-id"]
         if name == "Hello":
-            self.instances[id] = make_balancer(SimulatorHost(id, self.outbox), m["salt"], now, m["settings"])
+            self.instances[sidecar_id] = make_balancer(
+                SimulatorHost(sidecar_id, self.outbox), message["salt"], now, message["settings"]
+            )
             return
-        instance = self.instances.get(id)
+        instance = self.instances.get(sidecar_id)
         if instance is None:
-            raise Fault(f"{name} for {id}, which was never started")
+            raise InputError(f"{name} for {sidecar_id}, which was never started")
         match name:
             case "Incoming":
-                instance.on_request_arrived(now, incoming_request(m))
+                instance.on_request_arrived(now, incoming_request(message))
             case "Verdict":
-                end = AttemptEnd(m["corr"], m["try"], OUTCOMES[m["how"]], bool(m.get("over")))
+                end = AttemptEnd(
+                    message["corr"], message["try"], OUTCOMES[message["how"]], bool(message.get("over"))
+                )
                 instance.on_attempt_ended(now, end)
             case "DeadlineHit":
-                instance.on_timer(now, Timer(m["ctx"]))
+                instance.on_timer(now, Timer(message["ctx"]))
             case "ClientLeft":
-                instance.on_client_disconnected(m["corr"])
-            case "RosterChange" if m["mode"] == FAILED:
+                instance.on_client_disconnected(message["corr"])
+            case "RosterChange" if message["mode"] == FAILED:
                 instance.on_list_failed()
             case "RosterChange":
-                lines, mode = self.pages[m["page"]], m["mode"]
+                lines, mode = self.pages[message["page"]], message["mode"]
                 update = EndpointListUpdate(lines, mode in (CACHED, FULL), cached=mode == CACHED)
                 instance.on_list_changed(now, update)
             case "Flowing":
-                instance.on_response_started(now, m["corr"], m["try"])
+                instance.on_response_started(now, message["corr"], message["try"])
             case "CrashNow":
-                del self.instances[id]
+                del self.instances[sidecar_id]
             case "Memo":
-                with contextlib.suppress(ValueError):  # not from a sidecar of this release
-                    receive(instance.peer_load, now, str(m["who"]), m["payload"])
+                with contextlib.suppress(ValueError):  # sent by a sidecar of another release, or lost in part
+                    receive(instance.peer_load, now, str(message["who"]), message["payload"])
             case "ProbeResult":
-                pass  # none are sent: the trials are real requests
+                pass  # the balancer sends no probes; its trials are real requests
             case _:
-                raise Fault(f"an unknown message name {name!r}")
+                raise InputError(f"unknown message name {name!r}")
 
 
-def incoming_request(m: Message) -> IncomingRequest:
+def incoming_request(message: Message) -> IncomingRequest:
+    """Decodes the message `Incoming`."""
     return IncomingRequest(
-        m["corr"],
-        m["lane"],
-        m.get("route-key"),
-        m["not-after"] / 1000,
-        is_client_retry=bool(m.get("repeat")),
-        tenant=m.get("billing"),
+        message["corr"],
+        message["lane"],
+        message.get("route-key"),
+        message["not-after"] / 1000,
+        is_client_retry=bool(message.get("repeat")),
+        tenant=message.get("billing"),
     )
 
 
-def listed(entry: Message) -> ListedEndpoint:
-    started = entry.get("start-time")
-    share = entry.get("share")
+def decode_endpoint(entry: Message) -> ListedEndpoint:
+    """Decodes one entry of an endpoint list; times are in milliseconds."""
+    started_at = entry.get("start-time")
+    weight = entry.get("share")
     return ListedEndpoint(
         entry["endpoint"],
         entry.get("block") or 0,
         entry.get("locality") or 0,
-        1.0 if share is None else share,
-        STATES[entry["mode"]],
-        started / 1000 if started else None,
+        1.0 if weight is None else weight,
+        ENDPOINT_STATUSES[entry["mode"]],
+        started_at / 1000 if started_at else None,
         entry.get("model") or 0,
     )
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
+    """Answers each line of `source` with a line on `sink`; returns the exit status, 2 after invalid input."""
     adapter = Adapter()
     for line in source:
         try:
             reply = adapter.batch(line)
-        except Fault as fault:
-            print(f"rainspindle: {fault.line()}", file=sys.stderr)
+        except InputError as error:
+            print(f"rainspindle: {error.line()}", file=sys.stderr)
             return 2
         sink.write(reply + b"\n")
         sink.flush()
