--- a/rainspindle/decisions/members/__init__.py
+++ b/rainspindle/decisions/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: the members of a fleet of sidecars."""
+"""Group membership: which sidecars of a fleet are alive, by SWIM with the Lifeguard extensions."""
--- a/rainspindle/decisions/members/context.py
+++ b/rainspindle/decisions/members/context.py
@@ -1,4 +1,4 @@
-"""What the parts of membership share: each has one owner, and is changed by its own methods alone."""
+"""State shared by the components of membership. Each object is changed only through its own methods."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 def no_successor() -> bool:
-    """Returns that no process takes over from this one."""
+    """Returns False: the default for a program that never hands over to a successor process."""
     return False
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
-    """What one member is configured with.
+    """Configuration of one member.
 
     Attributes:
-        fleet: Members of another fleet are strangers.
-        seeds: Addresses of some members.
-        seed: Of all chance.
-        tuning: The figures.
-        has_successor: Tells whether a process that takes over from this one runs beside it.
+        fleet: Name of the fleet; messages of other fleets are dropped.
+        seeds: Addresses of some members, contacted in order to join.
+        seed: Seed of the pseudo-random generator.
+        tuning: Protocol parameters.
+        has_successor: Returns whether a process that takes over from this one runs alongside it.
     """
 
     fleet: str
@@ -44,19 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipContext:
-    """What the parts of membership go by.
+    """Objects that the components of membership share.
 
     Attributes:
-        own: This process's own place.
-        table: The records of all members.
-        suspects: Who is suspected.
-        health: How far this member doubts itself.
-        limits: What may be sent.
+        own: State of this process's own member.
+        table: Records of all members.
+        suspects: Members under suspicion.
+        health: Local health of this member.
+        limits: Rate limits for datagrams and log lines.
         stats: Counters since the start.
-        sampler: Draws members.
-        random: The source of all chance.
-        tuning: The figures.
-        host: What is acted through.
+        sampler: Draws random members.
+        random: Pseudo-random generator of this member.
+        tuning: Protocol parameters.
+        host: Sends datagrams, logs and reports changes.
     """
 
     own: OwnMember
--- a/rainspindle/decisions/members/failure_detector.py
+++ b/rainspindle/decisions/members/failure_detector.py
@@ -1,4 +1,4 @@
-"""Probing members: by a ping, then through others, with a suspicion where nothing is answered.
+"""Failure detection: probes members by a ping, then through others, and suspects them without an answer.
 
 Source: Das, Gupta, Motivala, "SWIM" (DSN 2002), section 3; Dadgar, Phillips, Currey, "Lifeguard" (2018).
 """
@@ -19,14 +19,14 @@
 from .messenger import Content, Messenger
 from .suspects import MASS_FAILURE
 
-PINGS = 3  # to the probed member itself before others are asked
-MAX_INDIRECT_PINGS = 256  # under way for others
-INDIRECT_PING_LASTS = 2.0  # seconds
-NACK_SHARE = 0.7  # of the indirect timeout, after which a helper says that it heard nothing
-SILENT_WITHIN = 1.0  # seconds in which so many probes without answer tell of many dead at once
-FURTHER_PROBES = 2  # members that each probe without answer has probed then,
-MAX_PROBES = 16  # with so many under way at most
-NOT_HEARD_FOR = 2.0  # seconds in which one was heard that needs no such probe
+DIRECT_PINGS = 3  # pings sent to the probed member itself before others are asked
+MAX_INDIRECT_PINGS = 256  # pings under way on behalf of other members
+INDIRECT_PING_LIFETIME = 2.0  # seconds for which an answer to an indirect ping is still passed on
+NACK_SHARE = 0.7  # share of the indirect time-out after which a helper reports that it got no answer
+UNANSWERED_WINDOW = 1.0  # MASS_FAILURE unanswered probes within this many seconds suggest a mass failure
+RING_PROBES = 2  # members in the ring that each unanswered probe causes to be probed during a mass failure
+MAX_CONCURRENT_PROBES = 16  # probes under way beyond which none of these is added
+RECENT_CONTACT_TIME = 2.0  # a member heard directly within this many seconds needs no such probe
 
 
 @dataclass(slots=True)
@@ -34,14 +34,14 @@
     """A probe under way.
 
     Attributes:
-        target: The probed member's name,
-        incarnation: and its incarnation.
-        factor: By which the probe's time limits grow.
-        due_at: When its next step is due.
+        target: Name of the probed member.
+        incarnation: Incarnation of the probed member.
+        factor: Factor on the probe's time-outs, from the local health at its start.
+        due_at: Time of its next step.
         alone: Whether no helpers are asked.
-        step: How many steps it has taken without an answer.
-        helpers: Members that were asked to ping.
-        nacks: Of them, those that said that they heard nothing.
+        step: Number of steps taken without an answer.
+        helpers: Number of members that were asked to ping the target.
+        nacks: Number of helpers that reported that they got no answer.
     """
 
     target: str
@@ -56,27 +56,27 @@
 
 @dataclass(slots=True)
 class IndirectPing:
-    """A ping sent for another member.
+    """A ping sent on behalf of another member.
 
     Attributes:
-        requester: Its packed address.
-        echo: The number of its request.
-        nack_at: When it is told that nothing was heard.
-        until: When the ping is forgotten.
+        requester: Packed address of the member that requested it.
+        echo: Number of the request, which the answer repeats.
+        nack_at: Time at which the requester is told that there was no answer; infinite once it was told.
+        expires_at: Time at which the ping is discarded.
     """
 
     requester: bytes
     echo: int
     nack_at: float
-    until: float
+    expires_at: float
 
 
 class FailureDetector:
-    """Probes members in turn, and answers for others.
+    """Probes members in turn, and pings members on behalf of others.
 
     Attributes:
-        next_probe_at: When the next member's turn is.
-        last_heard_at: When any member was heard last.
+        next_probe_at: Time of the next regular probe.
+        last_heard_at: Time of the last message from any member.
     """
 
     def __init__(
@@ -94,21 +94,21 @@
         self._tuning = context.tuning
         self._random = context.random
         self._sampler = context.sampler
-        self._probes: dict[int, Probe] = {}  # by the numbers of their datagrams
-        self._indirect_pings: dict[int, IndirectPing] = {}  # by the number of the ping
-        self._round: list[str] = []  # whose turn is still to come
-        self._is_ring_turn = False  # whether the last probe was for the next in the ring
-        self._unanswered: deque[float] = deque([-math.inf] * MASS_FAILURE, MASS_FAILURE)
+        self._probes: dict[int, Probe] = {}  # by datagram number; one probe may have several
+        self._indirect_pings: dict[int, IndirectPing] = {}  # by datagram number of the ping
+        self._round: list[str] = []  # members still to be probed in this round
+        self._is_ring_turn = False  # whether the last regular probe went to the successor in the ring
+        self._unanswered: deque[float] = deque([-math.inf] * MASS_FAILURE, MASS_FAILURE)  # times
 
     # Messages.
 
     def is_probing(self, number: int, name: str) -> bool:
-        """Returns whether the datagram of this number was part of a probe of the member."""
+        """Returns whether the datagram of this number belongs to a probe of the member."""
         probe = self._probes.get(number)
         return probe is not None and probe.target == name
 
     def on_ack(self, now: float, message: wire.Message) -> None:
-        """Takes in an answer to a ping."""
+        """Handles the answer to a ping of this member, or to one sent on behalf of another."""
         probe = self._probes.get(message.echo)
         if probe is not None:
             self._on_answered(now, probe)
@@ -121,13 +121,13 @@
             self._messenger.send_content(now, ping.requester, content)
 
     def on_nack(self, message: wire.Message) -> None:
-        """Takes in that a helper has heard nothing."""
+        """Handles a helper's report that it got no answer from the target."""
         probe = self._probes.get(message.echo)
         if probe is not None:
             probe.nacks += 1
 
     def on_ping_request(self, now: float, message: wire.Message, requester: MemberRecord) -> None:
-        """Pings a member for another."""
+        """Pings a member on behalf of the requester."""
         if not message.target_address or not message.target:
             return
         if len(self._indirect_pings) >= MAX_INDIRECT_PINGS or not self._limits.answers.take(now):
@@ -142,52 +142,52 @@
             requester.packed_address,
             message.number,
             now + self._tuning.indirect_timeout * NACK_SHARE,
-            now + INDIRECT_PING_LASTS,
+            now + INDIRECT_PING_LIFETIME,
         )
         self._messenger.post(message.target_address, data)
 
     # Time.
 
     def check(self, now: float) -> None:
-        """Takes the steps that are due of probes and indirect pings."""
+        """Advances the probes and indirect pings that are due."""
         for probe in {id(probe): probe for probe in self._probes.values()}.values():
             if now >= probe.due_at:
-                self._take_step(now, probe)
+                self._advance(now, probe)
         for number, ping in list(self._indirect_pings.items()):
             if now >= ping.nack_at:
                 ping.nack_at = math.inf
                 if self._limits.answers.take(now):
                     content = Content(MessageKind.NACK, ping.echo, piggyback=False)
                     self._messenger.send_content(now, ping.requester, content)
-            if now >= ping.until:
+            if now >= ping.expires_at:
                 del self._indirect_pings[number]
 
     def check_turn(self, now: float) -> None:
-        """Probes the next member, if it is time."""
+        """Probes the next member if the probe period has passed."""
         if now >= self.next_probe_at:
             period = self._tuning.probe_period * self._health.factor
             self.next_probe_at = max(self.next_probe_at + period, now)
             self._probe_next(now)
 
     def next_due_at(self) -> float:
-        """Returns when `check` is due."""
+        """Returns the time at which `check` is due; infinite if nothing is under way."""
         probes = (probe.due_at for probe in self._probes.values())
         pings = (ping.nack_at for ping in self._indirect_pings.values())
         return min(min(probes, default=math.inf), min(pings, default=math.inf))
 
     def reset(self) -> None:
-        """Forgets all that is under way: the process was stopped."""
+        """Discards all probes and pings under way, as the process was suspended during their time-outs."""
         self._probes.clear()
         self._indirect_pings.clear()
 
     # Probes.
 
     def add_to_round(self, name: str) -> None:
-        """Gives a new member its turn in the current round."""
+        """Inserts a new member at a random position of the current round."""
         self._round.insert(self._random.randrange(len(self._round) + 1), name)
 
     def probe(self, now: float, record: MemberRecord, alone: bool = False) -> None:
-        """Pings a member; `alone`: no helpers are asked, since others have tried already."""
+        """Starts a probe of a member; if `alone` is set, no helpers are asked, as others probe it already."""
         self._limits.own.take(now)
         ping = Content(
             MessageKind.PING,
@@ -197,15 +197,15 @@
         )
         data = self._messenger.compose(now, ping)
         factor = self._health.factor
-        due_at = now + self._tuning.direct_timeout * factor / PINGS
+        due_at = now + self._tuning.direct_timeout * factor / DIRECT_PINGS
         self._probes[self._messenger.number] = Probe(record.name, record.incarnation, factor, due_at, alone)
         self._messenger.post(record.packed_address, data)
 
     def _probe_next(self, now: float) -> None:
-        """Probes the next in the ring, or of the round, by turns.
+        """Probes the successor in the ring and the next member of the random round alternately.
 
-        So each member is probed once in two periods by one whose turn it is, however the chance of the others
-        falls.
+        The ring guarantees that each member is probed at least once in two periods, whatever the random order
+        of the rounds is.
         """
         self._is_ring_turn = not self._is_ring_turn and self._tuning.lifeguard
         record = self._table.next_in_ring() if self._is_ring_turn else None
@@ -221,40 +221,44 @@
                 self.probe(now, record)
                 return
 
-    def _take_step(self, now: float, probe: Probe) -> None:
-        """Goes on with a probe that was not answered yet.
+    def _advance(self, now: float, probe: Probe) -> None:
+        """Takes the next step of a probe without an answer.
 
-        Guards against loss: first the member itself is pinged again, which costs less than helpers do.
+        To allow for lost datagrams, the member itself is pinged again first, which costs less than helpers.
         """
         probe.step += 1
-        if probe.step > PINGS + 1:
+        if probe.step > DIRECT_PINGS + 1:
             self._on_failed(now, probe)
             return
-        direct = probe.step < PINGS
-        length = self._tuning.direct_timeout / PINGS if direct else self._tuning.indirect_timeout / 2
-        if probe.step == PINGS:
+        is_direct = probe.step < DIRECT_PINGS
+        duration = (
+            self._tuning.direct_timeout / DIRECT_PINGS if is_direct else self._tuning.indirect_timeout / 2
+        )
+        if probe.step == DIRECT_PINGS:
             self._unanswered.append(now)
-            self._probe_further(now)
-        asks = probe.step == PINGS or (probe.step == PINGS + 1 and self._tuning.lifeguard)
-        if asks and not probe.alone:
+            self._probe_ring(now)
+        requests_help = probe.step == DIRECT_PINGS or (
+            probe.step == DIRECT_PINGS + 1 and self._tuning.lifeguard
+        )
+        if requests_help and not probe.alone:
             self._request_pings(now, probe)
-        if not probe.alone or probe.step != PINGS:  # many of these go out: four pings do
+        if not probe.alone or probe.step != DIRECT_PINGS:  # four pings suffice where many probes are sent
             self._ping_again(now, probe)
-        probe.due_at = now + length * probe.factor
+        probe.due_at = now + duration * probe.factor
 
-    def _probe_further(self, now: float) -> None:
-        """Probes the next few in the ring, where probes go unanswered or many are suspected.
+    def _probe_ring(self, now: float) -> None:
+        """Probes the next few members in the ring if probes stay unanswered or many members are suspected.
 
-        Guards against many that die at once, of whom a probe each second meets one after the other. May hurt
-        where most datagrams are lost: some more pings go out, as many as a budget allows.
+        When many members die at once, regular probes would find them one after the other. Drawback: when most
+        datagrams are lost, this sends more pings, up to a rate limit.
         """
         if not self._tuning.lifeguard or now - self.last_heard_at > 2 * self._tuning.probe_period:
-            return  # it is this member that hears nobody
-        if not self._suspects.is_mass_failure() and now - self._unanswered[0] > SILENT_WITHIN:
-            return  # by chance
+            return  # this member receives nothing from anybody, so the fault is probably its own
+        if not self._suspects.is_mass_failure() and now - self._unanswered[0] > UNANSWERED_WINDOW:
+            return  # too few probes are unanswered to suggest a mass failure
         probed = {probe.target for probe in self._probes.values()}
-        count = min(FURTHER_PROBES, MAX_PROBES - len(probed))
-        for record in self._table.nearest_in_ring(probed, now - NOT_HEARD_FOR, count):
+        count = min(RING_PROBES, MAX_CONCURRENT_PROBES - len(probed))
+        for record in self._table.nearest_in_ring(probed, now - RECENT_CONTACT_TIME, count):
             if self._limits.ring_probes.take(now):
                 self.probe(now, record, alone=True)
 
@@ -263,8 +267,8 @@
         record = self._target(probe)
         if record is None:
             return
-        count = self._tuning.helpers
-        helpers = [one for one in self._sampler.alive(count + 1) if one is not record]
+        count = self._tuning.ping_helpers
+        helpers = [helper for helper in self._sampler.alive(count + 1) if helper is not record]
         for helper in helpers[:count]:
             self._limits.own.take(now)
             request = Content(
@@ -275,7 +279,7 @@
             )
             data = self._messenger.compose(now, request)
             self._messenger.post(helper.packed_address, data)
-            # The answer names the number of the message that asked; each is known as this probe's.
+            # An answer echoes the number of the request, so each request is registered with the probe.
             self._probes[self._messenger.number] = probe
             probe.helpers += 1
 
@@ -295,37 +299,37 @@
         self._messenger.post(record.packed_address, data)
 
     def _on_answered(self, now: float, probe: Probe) -> None:
-        self._forget(probe)
+        self._discard(probe)
         self._health.improve()
         record = self._target(probe)
         if record is None:
             return
         record.heard_at = now
         if record.suspicion is not None and self._tuning.lifeguard:
-            # It lives, by whatever path; that it has refuted the suspicion may still be on its way.
-            record.suspicion.own = False
+            # An answer by any path proves that the member is alive; its refutation may still be under way.
+            record.suspicion.is_verified = False
             record.suspicion.since = now
-            record.suspicion.last_pings = 0
+            record.suspicion.final_pings = 0
 
     def _on_failed(self, now: float, probe: Probe) -> None:
-        """Suspects the target: there was no answer, neither directly nor through others."""
-        self._forget(probe)
+        """Suspects the target after a probe without an answer, unless it was heard meanwhile."""
+        self._discard(probe)
         if probe.helpers and not probe.nacks and now - self.last_heard_at > self._tuning.probe_period:
-            self._health.worsen()  # neither those who were asked could be heard, nor anybody else
+            self._health.worsen()  # neither the helpers nor any other member could be heard
         record = self._target(probe)
         if record is None or not record.is_living or self._health.is_suspended(now):
             return
         if record.heard_directly_at > now - self._tuning.indirect_timeout:
             return
-        accusation = Accusation(self._own.record.name, own=True)
+        accusation = Accusation(self._own.record.name, is_own=True)
         self._states.suspect(now, record, record.refutation, accusation)
-        self._probe_further(now)
+        self._probe_ring(now)
 
     def _target(self, probe: Probe) -> MemberRecord | None:
-        """Returns the target's record, if it is still the incarnation that was probed."""
+        """Returns the target's record, or None unless it is still the incarnation that was probed."""
         record = self._table.records.get(probe.target)
         return record if record is not None and record.incarnation == probe.incarnation else None
 
-    def _forget(self, probe: Probe) -> None:
-        for number in [number for number, one in self._probes.items() if one is probe]:
+    def _discard(self, probe: Probe) -> None:
+        for number in [number for number, other in self._probes.items() if other is probe]:
             del self._probes[number]
--- a/rainspindle/decisions/members/local_health.py
+++ b/rainspindle/decisions/members/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health: how far a member doubts itself.
+"""Lifeguard's local health: a score of how unreliable this member's own observations are.
 
 Source: Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection"
 (2018).
@@ -10,37 +10,37 @@
 
 
 class LocalHealth:
-    """Lengthens a member's time limits, and suspends its judgement after a stop.
+    """Lengthens this member's time-outs, and suspends its suspicions after the process was suspended.
 
-    Guards against a slow or cut off member that takes the others for dead. May hurt where most are dead at
-    once: it is then slower to say so.
+    Prevents a slow or disconnected member from declaring healthy members dead. Drawback: if most members
+    really die at once, this member takes longer to declare them dead.
 
     Attributes:
-        suspended_until: Until when nobody is suspected.
+        suspended_until: Time until which this member suspects nobody.
     """
 
-    def __init__(self, max_doubt: int) -> None:
+    def __init__(self, max_score: int) -> None:
         self.suspended_until = -math.inf
-        self._max_doubt = max_doubt
-        self._doubt = 0
+        self._max_score = max_score
+        self._score = 0
 
     @property
     def factor(self) -> float:
-        """By which its time limits grow."""
-        return 1.0 + self._doubt
+        """Factor by which this member's time-outs are multiplied; 1.0 if it is healthy."""
+        return 1.0 + self._score
 
     def worsen(self, by: int = 1) -> None:
-        """Records a sign that this member is at fault."""
-        self._doubt = min(self._doubt + by, self._max_doubt)
+        """Records evidence that this member itself is at fault."""
+        self._score = min(self._score + by, self._max_score)
 
     def improve(self) -> None:
-        """Records a sign that it is not."""
-        self._doubt = max(self._doubt - 1, 0)
+        """Records evidence that this member is healthy."""
+        self._score = max(self._score - 1, 0)
 
     def suspend_until(self, until: float) -> None:
-        """Has nobody suspected until then."""
+        """Suspends suspicions until the given time."""
         self.suspended_until = until
 
     def is_suspended(self, now: float) -> bool:
-        """Returns whether nobody is to be suspected."""
+        """Returns whether suspicions are suspended, so that no member may be suspected."""
         return now < self.suspended_until
--- a/rainspindle/decisions/members/member.py
+++ b/rainspindle/decisions/members/member.py
@@ -1,4 +1,4 @@
-"""Who is there: a member as others see it, and what membership acts through."""
+"""Public view of a member, and the interfaces between membership, its host and its users."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MemberStatus(Enum):
-    """What a member is believed to be."""
+    """Status of a member as this process believes it to be; the values appear in the console's JSON."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -20,17 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as this one believes it to be.
+    """One member as this process believes it to be.
 
     Attributes:
-        name: Unique in its fleet.
-        address: Where it hears the others.
-        incarnation: Grows from start to start of one name.
-        refutation: Grows within an incarnation, by the member alone, to refute a suspicion.
-        status: What it is believed to be.
-        heard_at: Seconds on this process's clock: when anything of this incarnation was last heard, from
-            anybody.
-        heard_directly_at: When a message of it came here itself; -inf if never.
+        name: Name, unique in the fleet.
+        address: Address at which the member receives datagrams.
+        incarnation: Number of the member's start; increases with each start under the same name.
+        refutation: Number that the member alone increases within an incarnation to refute a suspicion.
+        status: Believed status.
+        heard_at: Time, on this process's clock, of the latest evidence of this incarnation from any source.
+        heard_directly_at: Time at which this process last received a message from the member itself; -inf if
+            never.
     """
 
     name: str
@@ -43,31 +43,31 @@
 
 
 class MembershipHost(Protocol):
-    """Everything that membership can do."""
+    """Side effects of membership, provided by the program."""
 
     def send(self, to: Address, datagram: bytes) -> None:
-        """Sends 1,200 bytes at most, which may be lost, late or duplicated."""
+        """Sends a datagram of at most 1,200 bytes; it may be lost, delayed or duplicated."""
 
     def on_member_changed(self, before: Member | None, after: Member) -> None:
-        """Takes in that a member's status, incarnation or address is another now."""
+        """Handles a changed status, incarnation or address; `before` is None for a new member."""
 
     def log(self, event: str, **fields: object) -> None:
-        """Writes one event to the log."""
+        """Logs one event with its fields."""
 
 
 class MembershipView(Protocol):
-    """What the users of membership may ask: wallets, canaries and the console alike."""
+    """Read-only queries for the users of membership, such as wallets, canaries and the console."""
 
     @property
     def own_name(self) -> str:
-        """This member's name."""
+        """Name of the member that this process runs."""
 
     @property
     def own_incarnation(self) -> int:
-        """Of this process."""
+        """Incarnation of this process."""
 
     def members(self) -> list[Member]:
-        """Returns all members by name, this one among them."""
+        """Returns all known members sorted by name, including this one."""
 
     def member(self, name: str) -> Member | None:
-        """Returns one member, if it is known."""
+        """Returns the member of that name, or None if it is not known."""
--- a/rainspindle/decisions/members/member_states.py
+++ b/rainspindle/decisions/members/member_states.py
@@ -1,7 +1,7 @@
-"""What is believed of each member, and how updates from others change it.
+"""The believed status of each member, and how updates from others change it.
 
 Source: Das, Gupta, Motivala, "SWIM" (DSN 2002), section 4.2; Dadgar, Phillips, Currey, "Lifeguard" (2018).
-What is departed from, and why, stands in docs/design/members.md.
+docs/design/members.md lists the deviations from these papers and the reasons.
 """
 
 from __future__ import annotations
@@ -16,18 +16,20 @@
 from ...transport.address import address_text
 from ..shared.broadcast_queue import transmissions
 from .context import MembershipContext
-from .dissemination import SOON, Dissemination
+from .dissemination import BATCH_DELAY, Dissemination
 from .member import Member, MemberStatus
 from .member_table import MemberRecord
 from .messenger import Content, Messenger
 from .suspicion import Suspicion
 
-HEARSAY_TIME = 0.3  # seconds in which others' word of a death may be confirmed, before the suspect is probed
-FRESH_TIME = 1.0  # seconds for which a member's own message speaks against word of its death
-SECOND_OPINIONS = 2.0  # members in the mean that probe one of whose suspicion they hear from others
-UNKNOWN = "?"  # who suspects a member, where nobody is named
-ANSWER_RESERVE = 20.0  # answers that are left for others when a suspicion is confirmed
-LIVING = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
+# Seconds to wait for a confirmation of a reported death before this member probes the suspect itself.
+DEATH_REPORT_DELAY = 0.3
+# Seconds for which a message received from a member itself contradicts reports of its death.
+DIRECT_CONTACT_TIME = 1.0
+VERIFYING_MEMBERS = 2.0  # average number of members that probe a suspect after a second-hand report
+UNKNOWN = "?"  # accuser of a suspect if the update names none
+ANSWER_RESERVE = 20.0  # tokens of the answer limit left for others when accusers are notified
+LIVING_STATUSES = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 EVENTS = {
     MemberStatus.ALIVE: "member recovered",
     MemberStatus.DEAD: "member dead",
@@ -37,36 +39,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Accusation:
-    """Who suspects a member.
+    """Report that a member is suspected.
 
     Attributes:
-        by: The accuser's name.
-        own: Whether a probe of this member has failed.
-        first_hand: Whether it is heard from who has that opinion itself.
+        accuser: Name of the member that suspects it.
+        is_own: Whether the report is a failed probe of this process itself.
+        is_first_hand: Whether the report was received from the accuser itself.
     """
 
-    by: str
-    own: bool = False
-    first_hand: bool = False
+    accuser: str
+    is_own: bool = False
+    is_first_hand: bool = False
 
 
 class Prober(Protocol):
-    """What the states need of the failure detector."""
+    """Interface of the failure detector that `MemberStates` uses."""
 
     def add_to_round(self, name: str) -> None:
-        """Has the member probed in its turn."""
+        """Adds a new member to the current round of probes."""
 
     def probe(self, now: float, record: MemberRecord, alone: bool = False) -> None:
-        """Probes the member now."""
+        """Probes the member now; if `alone` is set, no other members are asked for help."""
 
 
 class MemberStates:
     """Applies updates to the records of members.
 
     Attributes:
-        changes: Changes of a status, an incarnation or an address so far.
+        changes: Number of changes of a status, an incarnation or an address so far.
         prober: The failure detector.
-        on_own_update: Called with what others say of this member, and who says it.
+        on_own_update: Called with the time, an update about this member and the name of who sent it.
     """
 
     prober: Prober
@@ -87,14 +89,19 @@
         self._host = context.host
         self._random = context.random
         self._stats = context.stats
-        self._unlogged = 0  # changes that were not logged one by one
+        self._unlogged = 0  # changes omitted from the log because of the rate limit
 
     # Updates from others.
 
-    def on_update(self, now: float, update: wire.MemberUpdate, teller: str, whole: bool = False) -> None:
-        """Takes in what `teller` says of one member; in an exchange of the `whole` state it may be old."""
+    def on_update(
+        self, now: float, update: wire.MemberUpdate, reporter: str, is_full_state: bool = False
+    ) -> None:
+        """Applies an update about one member that the member `reporter` sent.
+
+        `is_full_state` marks an update from a full-state exchange, which may be out of date.
+        """
         if update.name == self._own.record.name:
-            self.on_own_update(now, update, teller)
+            self.on_own_update(now, update, reporter)
             return
         record = self._table.records.get(update.name)
         if record is None:
@@ -105,21 +112,21 @@
         elif update.incarnation > record.incarnation:
             self._restart(now, record, update)
         elif record.status != Status.LEFT:
-            self._apply(now, record, update, teller, whole)
+            self._apply(now, record, update, reporter, is_full_state)
 
     def on_alive(self, now: float, message: wire.Message) -> None:
-        """Takes in that a member has sent a message itself."""
+        """Applies the member's own state as given by a message that it sent itself."""
         update = wire.MemberUpdate(
             message.sender, message.address, message.incarnation, message.refutation, Status.ALIVE
         )
         self.on_update(now, update, message.sender)
 
-    # Changes.
+    # Status changes.
 
     def declare(
         self, now: float, record: MemberRecord, status: Status, refutation: int, age: float = 0.0
     ) -> None:
-        """Sets a member's status, which it has had for `age` seconds."""
+        """Sets a status other than suspect, held for `age` seconds already, and ends any suspicion."""
         before = record.member()
         record.status = status
         record.refutation = refutation
@@ -129,8 +136,8 @@
         self._on_changed(now, record, before)
 
     def suspect(self, now: float, record: MemberRecord, refutation: int, accusation: Accusation) -> None:
-        """Records that a member is suspected, at this refutation of it."""
-        own = accusation.own
+        """Records that a member is suspected at this refutation number."""
+        is_own = accusation.is_own
         suspicion = record.suspicion
         if suspicion is not None and refutation == record.refutation:
             self._confirm(now, record, suspicion, accusation)
@@ -142,19 +149,19 @@
         record.refutation = refutation
         record.status = Status.SUSPECT
         record.status_since = now
-        is_own = own or not self._tuning.lifeguard
-        record.suspicion = Suspicion(now, {accusation.by}, is_own, follows=not own)
+        is_verified = is_own or not self._tuning.lifeguard
+        record.suspicion = Suspicion(now, {accusation.accuser}, is_verified, is_secondary=not is_own)
         self._suspects.add(now, record)
         self._on_changed(now, record, before)
-        if not own:
-            self._give_second_opinion(now, record, accusation.first_hand)
+        if not is_own:
+            self._verify_suspicion(now, record, accusation.is_first_hand)
 
     def _apply(
-        self, now: float, record: MemberRecord, update: wire.MemberUpdate, teller: str, whole: bool
+        self, now: float, record: MemberRecord, update: wire.MemberUpdate, reporter: str, is_full_state: bool
     ) -> None:
-        """Applies an update of the same incarnation."""
-        same = update.refutation == record.refutation
-        if update.status == record.status and same and record.is_living:
+        """Applies an update of the incarnation that is known already."""
+        is_same_refutation = update.refutation == record.refutation
+        if update.status == record.status and is_same_refutation and record.is_living:
             self._messenger.updates.record_heard(update.name, transmissions(len(self._table.records)))
         if update.status == Status.LEFT:
             refutation = max(update.refutation, record.refutation)
@@ -162,41 +169,42 @@
         elif update.refutation < record.refutation:
             return
         elif update.status == Status.ALIVE:
-            if not same:
+            if not is_same_refutation:
                 record.packed_address = update.address
                 record.heard_at = now
                 self.declare(now, record, Status.ALIVE, update.refutation)
         elif update.status == Status.SUSPECT:
-            if record.status != Status.DEAD or not same:
-                by = update.suspected_by
-                accusation = Accusation(by or teller, first_hand=by in ("", teller))
+            if record.status != Status.DEAD or not is_same_refutation:
+                accuser = update.suspected_by
+                accusation = Accusation(accuser or reporter, is_first_hand=accuser in ("", reporter))
                 self.suspect(now, record, update.refutation, accusation)
-        elif record.status != Status.DEAD or not same:
-            self._on_declared_dead(now, record, update, teller, whole)
+        elif record.status != Status.DEAD or not is_same_refutation:
+            self._on_declared_dead(now, record, update, reporter, is_full_state)
 
     def _on_declared_dead(
-        self, now: float, record: MemberRecord, update: wire.MemberUpdate, teller: str, whole: bool
+        self, now: float, record: MemberRecord, update: wire.MemberUpdate, reporter: str, is_full_state: bool
     ) -> None:
-        """Takes in that another has declared a member dead.
+        """Applies another member's declaration that a member is dead.
 
-        Guards against word of a death that is old, or that own ears speak against. May hurt where the member
-        is dead: so it is probed, unless the news comes otherwise too, and the declaration counts as the
-        opinion of several.
+        A declaration that may be out of date, or that contradicts a message just received from the member
+        itself, only makes the member a suspect. Drawback: a member that really is dead is recognised later.
+        Therefore it is probed soon unless a reliable report arrives first, and the declaration shortens the
+        suspicion as much as several independent accusers do.
         """
-        is_fresh = record.heard_directly_at > now - FRESH_TIME
-        doubtful = whole or is_fresh or self._health.is_suspended(now)
-        if not (self._tuning.lifeguard and record.is_living and doubtful):
+        in_contact = record.heard_directly_at > now - DIRECT_CONTACT_TIME
+        is_doubtful = is_full_state or in_contact or self._health.is_suspended(now)
+        if not (self._tuning.lifeguard and record.is_living and is_doubtful):
             self.declare(now, record, Status.DEAD, update.refutation, float(update.age))
             return
-        self.suspect(now, record, update.refutation, Accusation(teller))
+        self.suspect(now, record, update.refutation, Accusation(reporter))
         suspicion = record.suspicion
-        if suspicion is not None and not suspicion.declared:
-            suspicion.declared = True
-            later = max(now, self._health.suspended_until) + HEARSAY_TIME
-            suspicion.probe_at = now if is_fresh else later
+        if suspicion is not None and not suspicion.is_declared:
+            suspicion.is_declared = True
+            delayed_until = max(now, self._health.suspended_until) + DEATH_REPORT_DELAY
+            suspicion.probe_at = now if in_contact else delayed_until
 
     def _add(self, now: float, update: wire.MemberUpdate) -> None:
-        """Adds a member that was not known."""
+        """Adds a member that was not known, or counts it as rejected where the table is full."""
         since = now - float(update.age)
         record = MemberRecord(
             update.name,
@@ -213,7 +221,7 @@
         if record.is_living:
             self.prober.add_to_round(record.name)
             self._messenger.updates.add(record.name)
-            self._dissemination.schedule(now + SOON)
+            self._dissemination.schedule(now + BATCH_DELAY)
             self._log(now, "member joined", record)
         self.changes += 1
         self._host.on_member_changed(None, record.member())
@@ -221,7 +229,7 @@
             self.suspect(now, record, update.refutation, Accusation(update.suspected_by or UNKNOWN))
 
     def _restart(self, now: float, record: MemberRecord, update: wire.MemberUpdate) -> None:
-        """Takes in a later start of the same name."""
+        """Replaces the state of a member by that of a later start under the same name."""
         before = record.member()
         record.incarnation = update.incarnation
         record.packed_address = update.address
@@ -241,17 +249,20 @@
     def _confirm(
         self, now: float, record: MemberRecord, suspicion: Suspicion, accusation: Accusation
     ) -> None:
-        """Takes in one more opinion on a suspect."""
-        others = sorted(suspicion.by)
-        if len(others) <= self._tuning.opinions:
-            suspicion.by.add(accusation.by)
-        if accusation.own and not suspicion.own:
-            suspicion.own = True
-            self._tell_suspecting(now, record, others)
+        """Adds one more accuser to an existing suspicion."""
+        accusers = sorted(suspicion.accusers)
+        if len(accusers) <= self._tuning.confirmations:
+            suspicion.accusers.add(accusation.accuser)
+        if accusation.is_own and not suspicion.is_verified:
+            suspicion.is_verified = True
+            self._notify_accusers(now, record, accusers)
             self._messenger.updates.add(record.name, 1)
 
-    def _tell_suspecting(self, now: float, record: MemberRecord, names: Iterable[str]) -> None:
-        """Tells those who suspect a member that a probe has failed here too: the others need not know."""
+    def _notify_accusers(self, now: float, record: MemberRecord, names: Iterable[str]) -> None:
+        """Sends the suspicion to the other accusers, as a probe of this member has failed too.
+
+        Only accusers need it: each independent accuser shortens their time-out.
+        """
         if not self._tuning.lifeguard:
             return
         for name in names:
@@ -263,24 +274,25 @@
                 content = Content(MessageKind.UPDATE, member_updates=[update])
                 self._messenger.send_content(now, other.packed_address, content)
 
-    def _give_second_opinion(self, now: float, record: MemberRecord, first_hand: bool) -> None:
-        """Probes a suspect of others, so that the truth is known soon either way.
+    def _verify_suspicion(self, now: float, record: MemberRecord, is_first_hand: bool) -> None:
+        """Probes a member that others suspect, so that the suspicion is soon confirmed or refuted.
 
-        Those do whom the first to suspect it tells, and a few more.
+        Every member does so that receives the report from the accuser itself; of the others, a few do,
+        chosen at random.
         """
         if not self._tuning.lifeguard or self._own.is_leaving or self._health.is_suspended(now):
             return
-        if not first_hand and self._random.random() * len(self._table.living()) >= SECOND_OPINIONS:
+        if not is_first_hand and self._random.random() * len(self._table.living()) >= VERIFYING_MEMBERS:
             return
-        if self._limits.second_opinions.take(now):
+        if self._limits.verifications.take(now):
             self.prober.probe(now, record, alone=True)
 
     def _on_changed(self, now: float, record: MemberRecord, before: Member) -> None:
         self._table.update(record)
         after = record.member()
-        rides_along = self._rides_along(record, before, after)
-        self._messenger.updates.add(record.name, 1 if rides_along else 0)
-        self._dissemination.schedule(now + SOON)
+        piggyback_only = self._is_piggyback_only(record, before, after)
+        self._messenger.updates.add(record.name, 1 if piggyback_only else 0)
+        self._dissemination.schedule(now + BATCH_DELAY)
         if (before.status, before.incarnation, before.address) == (
             after.status,
             after.incarnation,
@@ -291,17 +303,17 @@
         self.changes += 1
         self._host.on_member_changed(before, after)
 
-    def _rides_along(self, record: MemberRecord, before: Member, after: Member) -> bool:
-        """Returns whether the update only goes along with other datagrams.
+    def _is_piggyback_only(self, record: MemberRecord, before: Member, after: Member) -> bool:
+        """Returns whether the update is only sent along with other datagrams.
 
-        Guards against a flood for each suspicion that comes to nothing: what others suspect, and that it is
-        refuted. May hurt where few messages go out: it is told a little later.
+        This holds for suspicions of others and for refutations, and avoids a burst of datagrams for each
+        suspicion that is refuted. Drawback: where few messages are sent, the update spreads a little later.
         """
         if not self._tuning.lifeguard or before.incarnation != after.incarnation:
             return False
-        if not record.is_living or before.status not in LIVING:
+        if not record.is_living or before.status not in LIVING_STATUSES:
             return False
-        return record.suspicion is None or not record.suspicion.own
+        return record.suspicion is None or not record.suspicion.is_verified
 
     def _log_change(self, now: float, record: MemberRecord, before: Member, after: Member) -> None:
         if before.incarnation != after.incarnation and after.status is MemberStatus.ALIVE:
@@ -310,12 +322,12 @@
             self._log(now, EVENTS[after.status], record)
 
     def _log(self, now: float, event: str, record: MemberRecord) -> None:
-        """Guards against a log that a great change fills."""
+        """Logs a change, within a rate limit, so that a change of many members does not flood the log."""
         if not self._limits.log_lines.take(now):
             self._unlogged += 1
             return
         if self._unlogged:
-            self._host.log("members: more changes", count=self._unlogged)
+            self._host.log("members: log lines suppressed", count=self._unlogged)
             self._unlogged = 0
         address = address_text(record.address)
         self._host.log(event, name=record.name, at=address, life=record.incarnation)
--- a/rainspindle/decisions/members/member_table.py
+++ b/rainspindle/decisions/members/member_table.py
@@ -1,4 +1,4 @@
-"""All members that one member knows of, and how they compare with what another knows."""
+"""The records of all known members, with digests to compare them with another member's records."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .member import Member, MemberStatus
 from .suspicion import Suspicion
 
-REPLAY_WINDOW = 512  # datagrams of one sender that may come after a later one
+REPLAY_WINDOW = 512  # numbers below the highest one received that are still accepted from a sender
 STATUSES = {
     Status.ALIVE: MemberStatus.ALIVE,
     Status.SUSPECT: MemberStatus.SUSPECT,
@@ -26,22 +26,22 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One member as it is believed to be.
+    """Everything that this process stores about one member.
 
     Attributes:
-        name: Unique in the fleet.
-        packed_address: As on the wire.
-        incarnation: Of its process.
-        refutation: Its own, within the incarnation.
-        status: What it is believed to be.
-        status_since: When that became so, as far as is known.
-        heard_at: When anything of this incarnation was last heard.
-        heard_directly_at: When a message of it came here itself.
-        highest_number: Of a datagram of this incarnation.
-        received_numbers: Bits of those that came below it.
-        informed_at: When it was last told what is believed of it.
-        suspicion: While it is suspected.
-        digest: Of what others compare.
+        name: Name, unique in the fleet.
+        packed_address: Address in its encoded form.
+        incarnation: Number of the member's start.
+        refutation: Number that the member increases within an incarnation to refute a suspicion.
+        status: Believed status.
+        status_since: Time since when the member has had this status, as far as is known.
+        heard_at: Time of the latest evidence of this incarnation from any source.
+        heard_directly_at: Time of the last message from the member itself; -inf if never.
+        highest_number: Highest number of a datagram received from this incarnation.
+        received_numbers: Bit mask of the received datagrams; bit n stands for `highest_number` - n.
+        informed_at: Time at which the member was last sent its own believed state.
+        suspicion: The suspicion while the member is suspected, else None.
+        digest: Hash of the fields that anti-entropy compares.
     """
 
     name: str
@@ -60,16 +60,16 @@
 
     @property
     def address(self) -> Address:
-        """Where it hears the others."""
+        """Address at which the member receives datagrams."""
         return wire.unpack_address(self.packed_address)
 
     @property
     def is_living(self) -> bool:
-        """Whether it is alive or suspected."""
+        """Whether the member is alive or suspected."""
         return self.status <= Status.SUSPECT
 
     def member(self) -> Member:
-        """Returns it as others see it."""
+        """Returns the public view of the record."""
         return Member(
             self.name,
             self.address,
@@ -81,28 +81,28 @@
         )
 
     def accept_number(self, number: int) -> bool:
-        """Returns whether a datagram's number is new, and remembers it.
+        """Returns whether a datagram's number is new, and records it.
 
-        Guards against a datagram that comes twice, or is sent again by somebody later.
+        Detects datagrams that were duplicated by the network or replayed by a third party.
         """
-        behind = self.highest_number - number
-        if behind < 0:
+        distance = self.highest_number - number
+        if distance < 0:
             window = (1 << REPLAY_WINDOW) - 1
-            shifted = self.received_numbers << -behind if -behind < REPLAY_WINDOW else 0
+            shifted = self.received_numbers << -distance if -distance < REPLAY_WINDOW else 0
             self.received_numbers = (shifted | 1) & window
             self.highest_number = number
             return True
-        if behind >= REPLAY_WINDOW or self.received_numbers >> behind & 1:
+        if distance >= REPLAY_WINDOW or self.received_numbers >> distance & 1:
             return False
-        self.received_numbers |= 1 << behind
+        self.received_numbers |= 1 << distance
         return True
 
 
 class MemberTable:
-    """The records of all members, with digests by partition and a ring of those alive.
+    """The records of all members, with digests by partition and a ring of the members alive.
 
     Attributes:
-        records: By name, the own one among them.
+        records: Records by name, including this process's own.
     """
 
     def __init__(self, own_name: str, max_members: int) -> None:
@@ -111,13 +111,14 @@
         self._max_members = max_members
         self._partitions: list[dict[str, None]] = [{} for _ in range(wire.TABLE_PARTITIONS)]
         self._digests = [0] * wire.TABLE_PARTITIONS
-        self._gone: dict[str, None] = {}  # the dead and those who left, the first to go first
-        self._living: list[MemberRecord] | None = None  # made anew after changes
+        self._gone: dict[str, None] = {}  # members that are dead or left, in the order of their departure
+        # Caches; None after a change.
+        self._living: list[MemberRecord] | None = None
         self._alive: list[MemberRecord] | None = None
-        self._next: MemberRecord | None = None  # the next alive in the ring, where that is known
+        self._next: MemberRecord | None = None  # successor of this member in the ring
 
     def living(self) -> list[MemberRecord]:
-        """Returns the others that are alive or suspected."""
+        """Returns the other members that are alive or suspected."""
         if self._living is None:
             self._living = [
                 record
@@ -127,32 +128,38 @@
         return self._living
 
     def alive(self) -> list[MemberRecord]:
-        """Returns the others that nobody is known to suspect."""
+        """Returns the other members that are alive and not suspected."""
         if self._alive is None:
             self._alive = [record for record in self.living() if record.status == Status.ALIVE]
         return self._alive
 
     def dead(self) -> list[MemberRecord]:
-        """Returns those believed dead."""
+        """Returns the members believed dead, without those that left."""
         gone = (self.records[name] for name in self._gone)
         return [record for record in gone if record.status == Status.DEAD]
 
     def gone(self) -> list[str]:
-        """Returns the names of the dead and of those who left, the first to go first."""
+        """Returns the names of members that are dead or left, in the order of their departure."""
         return list(self._gone)
 
     def ring_distance(self, record: MemberRecord) -> int:
-        """Returns how far it stands behind the own name in the ring, which is the same at each member."""
+        """Returns the distance from this member's position in the ring to that of the record.
+
+        Positions are hashes of names, so all members agree on the order.
+        """
         return zlib.crc32(record.name.encode()) - zlib.crc32(self._own_name.encode()) & 0xFFFFFFFF
 
     def next_in_ring(self) -> MemberRecord | None:
-        """Returns who comes after the own name in the ring of those alive."""
+        """Returns the successor of this member in the ring of members alive, or None if it is alone."""
         if self._next is None:
             self._next = min(self.alive(), key=self.ring_distance, default=None)
         return self._next
 
     def nearest_in_ring(self, excluded: set[str], not_heard_since: float, count: int) -> list[MemberRecord]:
-        """Returns the first so many after the own name, without some and those heard lately."""
+        """Returns the `count` nearest successors in the ring.
+
+        Members named in `excluded`, and those heard directly since `not_heard_since`, are left out.
+        """
         candidates = (
             record
             for record in self.alive()
@@ -161,7 +168,10 @@
         return heapq.nsmallest(max(count, 0), candidates, key=self.ring_distance)
 
     def add(self, record: MemberRecord) -> bool:
-        """Adds a member; returns False where there is no room, as those who live do not give way."""
+        """Adds a member and returns True, or returns False if the table is full.
+
+        A living member replaces the one that has been dead or gone longest; living members are never evicted.
+        """
         if len(self.records) >= self._max_members:
             if not self._gone or not record.is_living:
                 return False
@@ -172,7 +182,11 @@
         return True
 
     def remove(self, name: str) -> None:
-        """Forgets a member."""
+        """Removes a member.
+
+        Raises:
+            KeyError: No member has this name.
+        """
         record = self.records.pop(name)
         partition = partition_of(name)
         del self._partitions[partition][name]
@@ -184,9 +198,9 @@
             self._next = None
 
     def update(self, record: MemberRecord) -> None:
-        """Takes in any change of a record.
+        """Brings digests, caches and the ring up to date after a change of a record.
 
-        Refutations of the living are left out of the digests: they pass by updates alone.
+        The digests leave out the refutations of living members, which spread only by updates.
         """
         digest = _digest(record)
         self._digests[partition_of(record.name)] ^= digest ^ record.digest
@@ -200,17 +214,17 @@
         self._update_ring(record)
 
     def digests(self) -> bytes:
-        """Returns the digests of all partitions."""
-        return b"".join(one.to_bytes(wire.DIGEST_BYTES, "big") for one in self._digests)
+        """Returns the concatenated digests of all partitions."""
+        return b"".join(digest.to_bytes(wire.DIGEST_BYTES, "big") for digest in self._digests)
 
     def differing_partitions(self, digests: bytes) -> list[int]:
-        """Returns the partitions that another has otherwise."""
+        """Returns the numbers of the partitions whose digests differ from another member's `digests`."""
         own = self.digests()
         theirs = digests.ljust(len(own), b"\0")
-        return sorted({n // wire.DIGEST_BYTES for n in range(len(own)) if own[n] != theirs[n]})
+        return sorted({i // wire.DIGEST_BYTES for i in range(len(own)) if own[i] != theirs[i]})
 
     def in_partitions(self, partitions: Sequence[int]) -> Iterator[MemberRecord]:
-        """Yields the records of some partitions."""
+        """Yields the records in the given partitions."""
         for partition in partitions:
             for name in self._partitions[partition]:
                 yield self.records[name]
@@ -226,7 +240,7 @@
 
 
 def partition_of(name: str) -> int:
-    """Returns which partition a member is in; the same in each release."""
+    """Returns the partition of a member; every release must compute the same one."""
     return zlib.crc32(name.encode()) % wire.TABLE_PARTITIONS
 
 
--- a/rainspindle/decisions/members/membership.py
+++ b/rainspindle/decisions/members/membership.py
@@ -1,7 +1,8 @@
-"""Membership: who is there, by SWIM's probes and gossip with Lifeguard's amendments.
+"""Membership: determines which members are alive, by SWIM's probes and gossip with Lifeguard's extensions.
 
-Free of I/O, clock and own chance: `on_datagram` and `on_timer` are called with the time, all else goes
-through the host. What is departed from, and why, stands in docs/design/members.md.
+The module does no I/O, reads no clock and takes its random seed from the configuration. The program calls
+`on_datagram` and `on_timer` with the current time; all effects go through the host. docs/design/members.md
+lists the deviations from the papers and the reasons.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from ..shared.registers import RegisterStore
 from .anti_entropy import AntiEntropy
 from .context import MembershipConfig, MembershipContext
-from .dissemination import FANOUT, SOON, Dissemination
+from .dissemination import BATCH_DELAY, FANOUT, Dissemination
 from .failure_detector import FailureDetector
 from .handshake import Handshakes
 from .local_health import LocalHealth
@@ -32,17 +33,17 @@
 from .suspects import Suspects
 from .suspicion_monitor import SuspicionMonitor
 
-MAX_TIMER = 0.25  # seconds between two calls of the timer at most, so that a stop of the process is seen
-MIN_TIMER = 0.005
-CLEAN_PERIOD = 10.0  # seconds
-DOUBT_AFTER_STOP = 2.0  # seconds after a stop in which nobody is suspected
-DOUBT_OF_STOP = 2  # by which this member's self-doubt grows
-INFORM_INTERVAL = 0.2  # seconds between two words to a member of what is believed of it
-MAX_LEAVE_FANOUT = 10  # members that are told at once of one that leaves
-MAX_LOAD_REPORT_FANOUT = 64  # members that hear one load report
-SMALL_FLEET = 4  # members, in which a new one is always asked for what it knows,
-NEW_EXCHANGE_SHARE = 0.1  # and the part of new ones that are asked in larger fleets
-LOG_EVERY = 1000  # of messages that cannot be read, the first of its kind and each so-manieth are logged
+MAX_TIMER = 0.25  # maximum seconds between two timer calls, so that a suspended process is detected
+MIN_TIMER = 0.005  # minimum seconds between two timer calls
+CLEANUP_PERIOD = 10.0  # seconds
+SUSPENDED_AFTER_STOP = 2.0  # seconds after the process was suspended in which it suspects nobody
+STOP_PENALTY = 2  # increase of the local health score after the process was suspended
+INFORM_INTERVAL = 0.2  # minimum seconds between two messages that tell a member its own believed state
+MAX_LEAVE_FANOUT = 10  # members that are notified directly when this one leaves
+MAX_LOAD_REPORT_FANOUT = 64  # members that are sent one load report
+SMALL_FLEET = 4  # other members up to which state is exchanged with every new member
+NEW_MEMBER_EXCHANGE_SHARE = 0.1  # share of new members with which state is exchanged in larger fleets
+LOG_EVERY = 1000  # of unreadable messages, the first of each kind and every LOG_EVERY-th after it are logged
 
 LoadReportReceiver = Callable[[float, str, str], None]
 
@@ -52,18 +53,19 @@
 
 
 class Membership:
-    """The members that one process knows of.
+    """The membership protocol of one process.
 
     Attributes:
-        context: What the parts share.
+        context: Objects shared by the components.
         messenger: Composes and sends datagrams.
-        dissemination: Decides when updates go out.
+        dissemination: Decides when updates are sent.
         detector: Probes members.
-        names: Decides who has the own name.
-        states: What is believed of each member.
-        handshakes: With members that are not known yet.
-        anti_entropy: Exchanges whole states.
-        on_load_report: Called with the load reports of other sidecars: the time, the sender, the report.
+        names: Resolves conflicts about this member's name.
+        states: Applies updates to member records.
+        handshakes: Verifies the addresses of unknown senders.
+        anti_entropy: Exchanges full states with other members.
+        on_load_report: Called for each load report of another sidecar with the time, the sender and the
+            report.
     """
 
     def __init__(
@@ -74,8 +76,8 @@
         now: float,
         registers: RegisterStore | None = None,
     ) -> None:
-        """Begins with no other member known; `registers` are gossiped beside members."""
-        chance = random.Random(config.seed)
+        """Starts with no other member known; `registers`, if given, are gossiped along with members."""
+        random_source = random.Random(config.seed)
         tuning = config.tuning
         table = MemberTable(own_record.name, tuning.max_members)
         table.add(own_record)
@@ -83,24 +85,26 @@
             OwnMember(own_record),
             table,
             Suspects(table),
-            LocalHealth(tuning.max_self_doubt if tuning.lifeguard else 0),
+            LocalHealth(tuning.max_health_score if tuning.lifeguard else 0),
             RateLimits(tuning, now),
             MembershipStats(),
-            PeerSampler(table, chance),
-            chance,
+            PeerSampler(table, random_source),
+            random_source,
             tuning,
             host,
         )
         self.on_load_report: LoadReportReceiver = _drop_load_report
         self._fleet = config.fleet
         self._called_at = now
-        self._clean_at = now + CLEAN_PERIOD
-        gossip = None if registers is None else RegisterGossip(registers, chance)
-        self._make_parts(config, gossip, now)
+        self._cleanup_at = now + CLEANUP_PERIOD
+        gossip = None if registers is None else RegisterGossip(registers, random_source)
+        self._make_components(config, gossip, now)
         if registers is not None:
             registers.on_write = lambda: self.dissemination.on_register_written(self._called_at)
 
-    def _make_parts(self, config: MembershipConfig, registers: RegisterGossip | None, now: float) -> None:
+    def _make_components(
+        self, config: MembershipConfig, registers: RegisterGossip | None, now: float
+    ) -> None:
         context = self.context
         self.messenger = Messenger(context, config.fleet, registers)
         self.dissemination = Dissemination(context, self.messenger)
@@ -117,12 +121,12 @@
 
     @property
     def own(self) -> OwnMember:
-        """This process's own place."""
+        """State of the member that this process runs."""
         return self.context.own
 
     @property
     def table(self) -> MemberTable:
-        """The records of all members."""
+        """Records of all members."""
         return self.context.table
 
     @property
@@ -130,47 +134,50 @@
         """Counters since the start."""
         return self.context.stats
 
-    # What may be asked.
+    # Queries.
 
     @property
     def own_name(self) -> str:
-        """This member's name."""
+        """Name of the member that this process runs."""
         return self.own.record.name
 
     @property
     def own_incarnation(self) -> int:
-        """Of this process."""
+        """Incarnation of this process."""
         return self.own.record.incarnation
 
     @property
     def gossip_due_at(self) -> float:
-        """When the next gossip is due, which may be earlier than the timer."""
+        """Time of the next gossip round, which may be earlier than the timer call."""
         return self.dissemination.due_at
 
     def members(self) -> list[Member]:
-        """Returns all members by name, this one among them."""
+        """Returns all known members sorted by name, including this one."""
         own = self.own.record
         own.heard_at = max(own.heard_at, self._called_at)
         own.heard_directly_at = own.heard_at
         return [record.member() for _, record in sorted(self.table.records.items())]
 
     def member(self, name: str) -> Member | None:
-        """Returns one member, if it is known."""
+        """Returns the member of that name, or None if it is not known."""
         record = self.table.records.get(name)
         return None if record is None else record.member()
 
     def metrics(self) -> dict[str, object]:
-        """Returns figures for the log."""
+        """Returns the number of living members and the counters that are not 0, for the log."""
         return {"members": len(self.table.living()) + 1, **self.stats.nonzero()}
 
-    # What happens.
+    # Inputs.
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Goes by other seeds from now on."""
+        """Replaces the seeds."""
         self.anti_entropy.seeds = list(seeds)
 
     def publish_load_report(self, now: float, report: str) -> None:
-        """Sends a load report of 256 bytes at most to those alive; it may be lost."""
+        """Sends a load report to the living members, or a random sample of them; it may be lost.
+
+        A report is truncated to 256 characters.
+        """
         if self.names.is_silenced:
             return
         living = self.table.living()
@@ -186,10 +193,10 @@
                 self.messenger.post(record.packed_address, data)
 
     def leave(self, now: float) -> None:
-        """Tells others that this member shuts down, which is no failure."""
+        """Announces that this member shuts down, so that others do not treat it as failed."""
         if self.own.is_leaving:
             return
-        self.names.hand_over_if_succeeded()  # the name goes on
+        self.names.hand_over_to_any_successor()  # a successor continues under the name, so it has not left
         self.own.is_leaving = True
         self.own.record.status = Status.LEFT
         self.table.update(self.own.record)
@@ -199,10 +206,10 @@
         for record in self.context.sampler.living(MAX_LEAVE_FANOUT):
             if self.context.limits.own.take(now):
                 self.messenger.send(now, record, MessageKind.UPDATE)
-        self.dissemination.due_at = now + SOON
+        self.dissemination.due_at = now + BATCH_DELAY
 
     def on_datagram(self, now: float, data: bytes) -> None:
-        """Takes in a datagram."""
+        """Handles one received datagram."""
         self._check_stopped(now)
         self.stats.received += 1
         self.stats.received_bytes += len(data)
@@ -219,10 +226,10 @@
             self._on_message(now, message, sender)
             registers = self.messenger.registers
             if registers is not None and registers.store.unsent:
-                self.dissemination.schedule(now + SOON)
+                self.dissemination.schedule(now + BATCH_DELAY)
 
     def on_timer(self, now: float) -> float:
-        """Does what is due; returns when it wants to be called again."""
+        """Does all work that is due; returns the time of the next call."""
         self._check_stopped(now)
         self.names.check(now)
         if self.names.is_silenced:
@@ -236,8 +243,8 @@
             self.anti_entropy.check(now)
         if now >= self.dissemination.due_at:
             self.dissemination.gossip(now)
-        if now >= self._clean_at:
-            self._clean(now)
+        if now >= self._cleanup_at:
+            self._clean_up(now)
         return max(self._next_due_at(now), now + MIN_TIMER)
 
     def _next_due_at(self, now: float) -> float:
@@ -262,12 +269,12 @@
         return None
 
     def _log_unreadable(self, event: str, count: int, fault: wire.UnreadableMessageError) -> None:
-        """Guards against a log that a flood fills."""
+        """Logs an unreadable message, but only every LOG_EVERY-th, so that a flood does not fill the log."""
         if count % LOG_EVERY == 1:
             self.context.host.log(event, why=str(fault), count=count)
 
     def _sender(self, now: float, message: wire.Message) -> MemberRecord | None:
-        """Returns the record of who sent the message, where it may be believed."""
+        """Returns the sender's record, or None if the message must not be processed further."""
         record = self.table.records.get(message.sender)
         if record is None or message.incarnation > record.incarnation:
             return self._new_sender(now, message)
@@ -285,7 +292,10 @@
         return record
 
     def _new_sender(self, now: float, message: wire.Message) -> MemberRecord | None:
-        """Returns the record of a new member, or of a new incarnation, if the message proves its address."""
+        """Returns the record of a new member or incarnation if the message proves its address.
+
+        Otherwise returns None and starts a handshake.
+        """
         if message.kind == MessageKind.ACK and self.handshakes.is_proven(message):
             self.states.on_alive(now, message)
             record = self.table.records.get(message.sender)
@@ -294,38 +304,44 @@
             record.highest_number = message.number
             record.received_numbers = 1
             record.heard_directly_at = now
-            if len(self.table.living()) <= SMALL_FLEET or self.context.random.random() < NEW_EXCHANGE_SHARE:
-                self.anti_entropy.exchange(now, record.packed_address)
+            if (
+                len(self.table.living()) <= SMALL_FLEET
+                or self.context.random.random() < NEW_MEMBER_EXCHANGE_SHARE
+            ):
+                self.anti_entropy.request_state(now, record.packed_address)
             return record
-        if self._asks_for_answer(message) and self.context.limits.greetings.take(now):
+        if self._is_ping_for_this_member(message) and self.context.limits.greetings.take(now):
             content = Content(MessageKind.ACK, message.number, piggyback=False)
             self.messenger.send_content(now, message.address, content)
         self.handshakes.begin(now, message)
         return None
 
     def _on_older_incarnation(self, now: float, message: wire.Message, record: MemberRecord) -> None:
-        """Tells a process of a higher incarnation, so that it takes one above: its clock was set back."""
+        """Notifies a process of the higher incarnation known under its name, so that it takes one above it.
+
+        This happens when the clock of the process's machine was set back.
+        """
         self.stats.older_life += 1
         if now - record.informed_at <= INFORM_INTERVAL or not self.context.limits.greetings.take(now):
             return
         record.informed_at = now
-        asks = self._asks_for_answer(message)
+        is_ping = self._is_ping_for_this_member(message)
         content = Content(
-            MessageKind.ACK if asks else MessageKind.UPDATE,
-            message.number if asks else 0,
+            MessageKind.ACK if is_ping else MessageKind.UPDATE,
+            message.number if is_ping else 0,
             member_updates=[self.messenger.encode_update(now, record)],
             piggyback=False,
         )
         self.messenger.send_content(now, message.address, content)
 
-    def _asks_for_answer(self, message: wire.Message) -> bool:
+    def _is_ping_for_this_member(self, message: wire.Message) -> bool:
         return message.kind == MessageKind.PING and message.target == self.own_name
 
     def _on_message(self, now: float, message: wire.Message, sender: MemberRecord) -> None:
-        whole = message.kind in (MessageKind.STATE, MessageKind.STATE_ANSWER)
+        is_full_state = message.kind in (MessageKind.STATE, MessageKind.STATE_ANSWER)
         changes_before = self.states.changes
         for update in message.member_updates:
-            self.states.on_update(now, update, sender.name, whole)
+            self.states.on_update(now, update, sender.name, is_full_state)
         registers = self.messenger.registers
         if registers is not None:
             for register_update in message.register_updates:
@@ -333,14 +349,14 @@
             if message.register_digests:
                 self.anti_entropy.on_digests(now, sender, message.register_digests)
             self.anti_entropy.on_requests(now, sender, message.register_requests)
-        answered = self._on_kind(now, message, sender, self.states.changes - changes_before)
-        if answered or sender.status == Status.ALIVE or now - sender.informed_at <= INFORM_INTERVAL:
+        is_answered = self._on_kind(now, message, sender, self.states.changes - changes_before)
+        if is_answered or sender.status == Status.ALIVE or now - sender.informed_at <= INFORM_INTERVAL:
             return
         if self.context.limits.answers.take(now):
-            self.messenger.send(now, sender, MessageKind.UPDATE)  # what is believed of it goes along
+            self.messenger.send(now, sender, MessageKind.UPDATE)  # includes the sender's own believed state
 
     def _on_kind(self, now: float, message: wire.Message, sender: MemberRecord, changes: int) -> bool:
-        """Does what the kind of the message asks for; returns whether a ping was answered."""
+        """Handles the message according to its kind; returns whether a ping was answered."""
         kind = message.kind
         if kind == MessageKind.PING:
             if message.target == self.own_name and self.context.limits.answers.take(now):
@@ -361,21 +377,22 @@
         return False
 
     def _check_stopped(self, now: float) -> None:
-        """Looks whether the process was stopped.
+        """Detects that the process was suspended, by the time since the last call.
 
-        Guards against one that takes the others' silence for death: it doubts itself. May hurt where a member
-        dies meanwhile: its death is told later.
+        A process that was suspended must not take the silence of the others for their death, so it lowers its
+        local health and suspects nobody for a while. Drawback: the death of a member in that time is reported
+        later.
         """
         gap = now - self._called_at
         self._called_at = now
         if gap <= self.context.tuning.stopped_after or not self.context.tuning.lifeguard:
             return
         self.stats.stops += 1
-        self.context.host.log("members: was stopped", seconds=round(gap, 2))
+        self.context.host.log("members: process was suspended", seconds=round(gap, 2))
         self.detector.reset()
         self.handshakes.reset()
-        self.context.health.worsen(DOUBT_OF_STOP)
-        self.context.health.suspend_until(now + DOUBT_AFTER_STOP)
+        self.context.health.worsen(STOP_PENALTY)
+        self.context.health.suspend_until(now + SUSPENDED_AFTER_STOP)
         self._monitor.restart(now)
         if self.names.is_silenced:
             return
@@ -383,17 +400,17 @@
             self.own.record.refutation += 1
             self.names.announce(now)
         for record in self.context.sampler.living(FANOUT):
-            self.anti_entropy.exchange(now, record.packed_address)
+            self.anti_entropy.request_state(now, record.packed_address)
 
-    def _clean(self, now: float) -> None:
-        """Forgets the dead and what was not answered."""
-        self._clean_at = now + CLEAN_PERIOD
+    def _clean_up(self, now: float) -> None:
+        """Removes members that have been dead or gone for long, expired handshakes and stale registers."""
+        self._cleanup_at = now + CLEANUP_PERIOD
         for name in self.table.gone():
             record = self.table.records[name]
             if now - record.status_since > self.context.tuning.keep_dead and name != self.own_name:
                 self.table.remove(name)
                 self.messenger.updates.drop(name)
-        self.handshakes.forget_old(now)
+        self.handshakes.discard_expired(now)
         if self.messenger.registers is not None:
             self.messenger.registers.forget_owners(now, self._is_living)
 
--- a/rainspindle/decisions/members/messenger.py
+++ b/rainspindle/decisions/members/messenger.py
@@ -1,4 +1,4 @@
-"""Composing and sending datagrams; what room is left in them is filled with updates."""
+"""Composes and sends datagrams, and fills the remaining space in them with updates."""
 
 from __future__ import annotations
 
@@ -15,27 +15,29 @@
 from .context import MembershipContext
 from .member_table import MemberRecord
 
-MAX_UPDATES = 40  # of members in the rest of a datagram
-UPDATE_OVERHEAD = 25  # bytes of an update beside its names and its address
-FIRST_NUMBERS = 2**32  # the first number is drawn below, so that no answer to an earlier incarnation fits
+MAX_UPDATES = 40  # member updates piggybacked on one datagram
+UPDATE_OVERHEAD = 25  # bytes of an update in addition to its names and its address
+# Upper limit of the first datagram number, which is random so that answers to an earlier incarnation of this
+# member do not match a number of this one.
+FIRST_NUMBERS = 2**32
 
 
 @dataclass(frozen=True, slots=True)
 class Content:
-    """What a datagram says, beside its header.
+    """Content of a datagram without its header; list items are encoded already.
 
     Attributes:
-        kind: What it is for.
-        echo: Of an answer: the number of what it answers.
-        target: Whom a ping is for.
-        target_address: Where a ping is to be sent on.
-        member_updates: News of members, encoded.
-        register_updates: News of registers.
-        register_digests: Of the registers of some owners.
-        register_requests: For registers.
-        table_digests: Of all members known here.
-        load_report: A message of the balancer.
-        piggyback: Whether the rest of the datagram is filled with updates.
+        kind: Purpose of the message.
+        echo: In an answer, the number of the datagram that it answers.
+        target: Name of the member that a ping is meant for.
+        target_address: In a ping request, the address to ping.
+        member_updates: Updates of members.
+        register_updates: Updates of registers.
+        register_digests: Digests of the registers of some owners.
+        register_requests: Requests for registers.
+        table_digests: Digests of all members known to the sender.
+        load_report: Load report of the balancer.
+        piggyback: Whether the remaining space of the datagram is filled with pending updates.
     """
 
     kind: MessageKind
@@ -52,13 +54,13 @@
 
 
 class Messenger:
-    """Sends datagrams, and owns the updates that travel with them.
+    """Sends datagrams, and owns the pending updates that are piggybacked on them.
 
     Attributes:
-        number: Of the last datagram; grows with each.
-        updates: Names of members whose updates are to be broadcast.
-        registers: The gossip of registers, where there are any.
-        piggybacked_at: When updates went along with a datagram last.
+        number: Number of the last datagram; increases with each.
+        updates: Names of members whose updates are still to be broadcast.
+        registers: Gossip of registers, or None if this member has none.
+        piggybacked_at: Time at which pending updates were last piggybacked on a datagram.
     """
 
     def __init__(self, context: MembershipContext, fleet: str, registers: RegisterGossip | None) -> None:
@@ -76,11 +78,11 @@
 
     @property
     def has_updates(self) -> bool:
-        """Whether updates of members or registers wait to be sent."""
+        """Whether updates of members or registers are pending."""
         return bool(self.updates) or (self.registers is not None and bool(self.registers.queue))
 
     def send(self, now: float, to: MemberRecord, kind: MessageKind, echo: int = 0) -> None:
-        """Sends a message to a known member, with what is believed of it."""
+        """Sends a message to a known member, with its own believed state unless it is alive."""
         content = Content(kind, echo, member_updates=self.update_for(now, to))
         self.post(to.packed_address, self.compose(now, content))
 
@@ -89,7 +91,7 @@
         self.post(packed_address, self.compose(now, content))
 
     def compose(self, now: float, content: Content) -> bytes:
-        """Encodes one datagram, with the next number."""
+        """Encodes one datagram under the next number, and piggybacks pending updates if requested."""
         own = self._own.record
         self.number += 1
         message = wire.OutgoingMessage(
@@ -115,29 +117,32 @@
         if content.piggyback and self.has_updates:
             self._fill(now, message)
         data = wire.encode(message)
-        if len(data) > wire.MAX_DATAGRAM:  # cannot be; the others would drop it
+        if len(data) > wire.MAX_DATAGRAM:  # should not happen; the receiver drops such a datagram
             self._stats.too_long += 1
         return data
 
     def post(self, packed_address: bytes, data: bytes) -> None:
-        """Sends a datagram."""
+        """Sends an encoded datagram and counts it."""
         self._stats.sent += 1
         self._stats.sent_bytes += len(data)
         self._host.send(wire.unpack_address(packed_address), data)
 
     def update_for(self, now: float, record: MemberRecord) -> list[msgspec.Raw]:
-        """Returns what a member is told of itself (Lifeguard's buddy system), if it is not held for alive."""
+        """Returns the update that tells a member its own believed state, or nothing if it is alive.
+
+        This is Lifeguard's buddy system: a suspected member learns of it at once and can refute it.
+        """
         if record.status == Status.ALIVE or not self._tuning.lifeguard:
             return []
         record.informed_at = now
         return [self.encode_update(now, record)]
 
     def encode_update(self, now: float, record: MemberRecord) -> msgspec.Raw:
-        """Encodes what is believed of a member."""
+        """Encodes the believed state of a member."""
         suspected_by = ""
         age = 0
         if record.suspicion is not None:
-            suspected_by = self._suspected_by(record.suspicion.own, record.suspicion.by)
+            suspected_by = self._choose_accuser(record.suspicion.is_verified, record.suspicion.accusers)
         elif not record.is_living:
             age = max(int(now - record.status_since), 0)
         return wire.raw(
@@ -152,19 +157,19 @@
             )
         )
 
-    def _suspected_by(self, own: bool, by: set[str]) -> str:
+    def _choose_accuser(self, is_verified: bool, accusers: set[str]) -> str:
         own_name = self._own.record.name
-        if own and own_name in by:
+        if is_verified and own_name in accusers:
             return own_name
-        return self._random.choice(sorted(by))
+        return self._random.choice(sorted(accusers))
 
     def _fill(self, now: float, message: wire.OutgoingMessage) -> None:
         self.piggybacked_at = now
         members = len(self._table.records)
         room = wire.MAX_DATAGRAM - wire.LIST_OVERHEAD - len(wire.encode(message))
-        shares = self.registers is not None and bool(self.registers.queue)
-        for_members = room * 3 // 4 if shares else room
-        for name in self.updates.pick(for_members, MAX_UPDATES, self._update_size):
+        has_registers = self.registers is not None and bool(self.registers.queue)
+        members_room = room * 3 // 4 if has_registers else room
+        for name in self.updates.pick(members_room, MAX_UPDATES, self._update_size):
             update = self.encode_update(now, self._table.records[name])
             if len(update) <= room:
                 message.member_updates.append(update)
--- a/rainspindle/decisions/members/name_conflict.py
+++ b/rainspindle/decisions/members/name_conflict.py
@@ -1,4 +1,4 @@
-"""The own name: a successor's, an earlier start's, or that of another process."""
+"""Conflicts about this member's name: with a successor process, an earlier start or an unrelated process."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from .messenger import Content, Messenger
 
 CHECK_PERIOD = 0.5  # seconds
-PING_PERIOD = 2.0  # seconds between pings to another process of the name
-GONE_AFTER = 6.0  # seconds without an answer of it, after which it is gone
-RETRY_PERIOD = 0.4  # seconds between the first pings to it,
-MAX_TRIES = 4  # of which so many go unanswered before the name is taken
-OTHER_SEEN_FOR = 3 * PING_PERIOD  # seconds for which its word that it is there counts
-INCARNATION_STEP = 1024  # a higher incarnation is drawn within so many
+PING_PERIOD = 2.0  # seconds between pings to another process of the same name while this one is silenced
+EXPIRE_AFTER = 6.0  # seconds without an answer after which the other process counts as gone
+RETRY_PERIOD = 0.4  # seconds between the first pings to the other process
+MAX_PINGS = 4  # unanswered pings after which this process takes the name
+CONFLICT_REPORT_LIFETIME = 3 * PING_PERIOD  # seconds for which a silenced process's report remains valid
+INCARNATION_STEP = 1024  # a higher incarnation is chosen at random within this many above the known one
 
 
 @dataclass(slots=True)
 class NameConflict:
-    """Another process that is known under the own name.
+    """Another process that is known under this member's name.
 
     Attributes:
-        incarnation: Its own.
-        packed_address: Where it is.
-        ping_number: Of the ping that asks whether it is there.
-        pinged_at: When it was asked.
-        heard_at: When it answered last.
-        tries: Pings sent.
+        incarnation: Incarnation of the other process.
+        packed_address: Address of the other process.
+        ping_number: Datagram number of the last ping to it.
+        pinged_at: Time of the last ping to it.
+        heard_at: Time of its last answer; -inf if it never answered.
+        pings_sent: Number of pings sent while it is undecided which process keeps the name.
     """
 
     incarnation: int
@@ -40,17 +40,17 @@
     ping_number: int
     pinged_at: float
     heard_at: float = -math.inf
-    tries: int = 1
+    pings_sent: int = 1
 
 
 class NameConflictResolver:
-    """Decides which of several processes of one name speaks.
+    """Decides which of several processes with the same name takes part in the fleet.
 
     Attributes:
-        is_silenced: Whether another process has the name, and this one keeps quiet.
-        is_handed_over: Whether that is its successor.
-        other_address: Of a second process of this name, where there is one.
-        has_successor: Tells whether a process that takes over from this one runs beside it.
+        is_silenced: Whether another process has the name, so that this one sends nothing under it.
+        is_handed_over: Whether the process that has the name is this one's successor.
+        other_address: Address of another process with this name; empty if there is none.
+        has_successor: Returns whether a process that takes over from this one runs alongside it.
     """
 
     def __init__(
@@ -76,15 +76,15 @@
         self.has_successor = has_successor
         self._conflict: NameConflict | None = None
         self._next_check_at = now
-        self._other_seen_until = -math.inf
+        self._conflict_reported_until = -math.inf
 
     # Messages.
 
     def on_message(self, now: float, message: wire.Message) -> None:
-        """Takes in a message that names this member as its sender."""
+        """Handles a message that names this member as its sender."""
         own = self._own.record
         if message.incarnation == own.incarnation or self.is_handed_over:
-            return  # an echo of one's own
+            return  # a message of this process itself, or its successor's
         conflict = self._conflict
         if message.kind == MessageKind.PING and message.target == own.name:
             if self._limits.answers.take(now):
@@ -97,12 +97,12 @@
             and message.echo == own.incarnation
             and message.incarnation < own.incarnation
         ):
-            self._on_silenced_other(now, message)
+            self._on_conflict_report(now, message)
         elif message.incarnation > own.incarnation:
             self._on_higher_incarnation(now, message.incarnation, message.address)
 
-    def on_own_update(self, now: float, update: wire.MemberUpdate, teller: str) -> None:
-        """Takes in what another says of this member, and refutes it where it is wrong."""
+    def on_own_update(self, now: float, update: wire.MemberUpdate, reporter: str) -> None:
+        """Handles an update about this member that `reporter` sent, and refutes it where it is wrong."""
         own = self._own.record
         if update.incarnation > own.incarnation:
             self._on_higher_incarnation(now, update.incarnation, update.address)
@@ -110,18 +110,18 @@
             if update.status == Status.LEFT:
                 self._take_incarnation(now, own.incarnation)
             elif update.status != Status.ALIVE and update.refutation >= own.refutation:
-                self._refute(now, update, teller)
+                self._refute(now, update, reporter)
 
     # Time.
 
     def check(self, now: float) -> None:
-        """Looks at who has the name, if it is time."""
+        """Re-evaluates who has the name if the check period has passed."""
         if now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_PERIOD
-        if now >= self._other_seen_until and self.other_address and not self.is_silenced:
+        if now >= self._conflict_reported_until and self.other_address and not self.is_silenced:
             self.other_address = ""
-            self._host.log("members: the name is this process's alone again")
+            self._host.log("members: no other process has this name any longer")
         if self._own.is_leaving:
             return
         if self.has_successor() != self.is_handed_over:
@@ -129,13 +129,13 @@
         elif self._conflict is not None and not self.is_handed_over:
             self._check_conflict(now, self._conflict)
 
-    def hand_over_if_succeeded(self) -> None:
-        """Leaves the name to a successor, if there is one."""
+    def hand_over_to_any_successor(self) -> None:
+        """Leaves the name to the successor process if there is one."""
         if not self.is_silenced and self.has_successor():
             self._hand_over()
 
     def announce(self, now: float) -> None:
-        """Has the own record told to the others soon."""
+        """Broadcasts this member's own record as soon as possible."""
         self._table.update(self._own.record)
         self._messenger.updates.add(self._own.record.name)
         self._dissemination.schedule(now)
@@ -150,19 +150,19 @@
 
     def _check_conflict(self, now: float, conflict: NameConflict) -> None:
         if self.is_silenced:
-            if now - conflict.heard_at > GONE_AFTER:
+            if now - conflict.heard_at > EXPIRE_AFTER:
                 self._conflict = None
                 self.is_silenced = False
                 self.other_address = ""
-                self._host.log("members: the name is free again")
+                self._host.log("members: the other process with this name is gone, taking part again")
                 self._take_incarnation(now, conflict.incarnation)
             elif now - conflict.pinged_at > PING_PERIOD:
                 self._ping(now, conflict)
                 content = Content(MessageKind.NAME_CONFLICT, conflict.incarnation, piggyback=False)
                 self._messenger.send_content(now, conflict.packed_address, content)
         elif now - conflict.pinged_at > RETRY_PERIOD:
-            conflict.tries += 1
-            if conflict.tries > MAX_TRIES:
+            conflict.pings_sent += 1
+            if conflict.pings_sent > MAX_PINGS:
                 self._conflict = None
                 self._take_incarnation(now, conflict.incarnation)
             else:
@@ -176,22 +176,23 @@
         if message.incarnation > self._own.record.incarnation:
             self.is_silenced = True
             self.other_address = address_text(wire.unpack_address(message.address))
-            self._log_conflict("keeps quiet")
+            self._log_conflict("silenced")
             self._next_check_at = now
             conflict.pinged_at = -math.inf
 
-    def _on_silenced_other(self, now: float, message: wire.Message) -> None:
-        """Takes in that another process of the name is there, and keeps quiet."""
+    def _on_conflict_report(self, now: float, message: wire.Message) -> None:
+        """Handles the report of another process that it has the same name and is silenced."""
         address = address_text(wire.unpack_address(message.address))
         if address != self.other_address:
             self.other_address = address
-            self._log_conflict("goes on")
-        self._other_seen_until = now + OTHER_SEEN_FOR
+            self._log_conflict("keeps the name")
+        self._conflict_reported_until = now + CONFLICT_REPORT_LIFETIME
 
     def _on_higher_incarnation(self, now: float, incarnation: int, packed_address: bytes) -> None:
-        """Takes in that the own name is known with a higher incarnation.
+        """Handles the news that this member's name is known with a higher incarnation.
 
-        It may be a successor's, that of an earlier start by a clock that was ahead, or another process's.
+        That incarnation may belong to a successor, to an earlier start whose clock was ahead, or to another
+        process with the same name.
         """
         if self._own.is_leaving or self.is_silenced:
             return
@@ -214,10 +215,10 @@
     def _hand_over(self) -> None:
         self.is_handed_over = True
         self.is_silenced = True
-        self._host.log("members: the process beside this one has the name")
+        self._host.log("members: name handed over to the successor process")
 
     def _take_incarnation(self, now: float, above: int) -> None:
-        """Begins a higher incarnation of this process."""
+        """Moves this process and its registers to an incarnation higher than `above`."""
         own = self._own.record
         before = own.member()
         own.incarnation = above + 1 + self._random.randrange(INCARNATION_STEP)
@@ -228,12 +229,12 @@
         self.announce(now)
         self._host.on_member_changed(before, own.member())
 
-    def _refute(self, now: float, update: wire.MemberUpdate, teller: str) -> None:
+    def _refute(self, now: float, update: wire.MemberUpdate, reporter: str) -> None:
         self._own.record.refutation = update.refutation + 1
         self._stats.refuted += 1
         self._health.worsen()
         self.announce(now)
-        record = self._table.records.get(teller)
+        record = self._table.records.get(reporter)
         if record is not None and self._limits.answers.take(now):
             self._messenger.send(now, record, MessageKind.UPDATE)
 
--- a/rainspindle/decisions/members/own_member.py
+++ b/rainspindle/decisions/members/own_member.py
@@ -1,4 +1,4 @@
-"""This process's own place among the members."""
+"""State of the member that this process runs itself."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from ...transport.address import Address
 from .member_table import MemberRecord
 
-# Seconds from the first other member on, in which a higher incarnation of the own name is taken for an
-# earlier start of this sidecar, whose clock was ahead.
+# Seconds after the first other member is found in which a higher incarnation of the own name is attributed to
+# an earlier start of this sidecar whose clock was ahead.
 SETTLING_TIME = 3.0
-YOUNG_TIME = 5.0  # seconds after settling in which news is exchanged more often
+NEWLY_JOINED_TIME = 5.0  # seconds after settling in which state is exchanged more often
 
 
 def make_own_record(name: str, address: Address, incarnation: int, now: float) -> MemberRecord:
-    """Returns the record of a member that has just begun; others reach it at `address`.
+    """Returns the record of a member that has just started; others reach it at `address`.
 
     Raises:
-        OSError: The host of the address is not numeric.
+        OSError: The host of the address is not a numeric IP address.
     """
     return MemberRecord(name, wire.pack_address(address), incarnation, 0, Status.ALIVE, now, now, now)
 
 
 @dataclass(slots=True)
 class OwnMember:
-    """The own record, and the phases of its life.
+    """Record of the own member, and the phases from joining to leaving.
 
     Attributes:
-        record: As told to others.
-        is_leaving: Whether the process shuts down.
-        settled_at: When it has been among others for long enough; infinite before it has met one.
+        record: Record that is sent to others.
+        is_leaving: Whether the process is shutting down.
+        settled_at: Time at which the settling period ends; infinite until another member is known.
     """
 
     record: MemberRecord
@@ -40,14 +40,17 @@
     settled_at: float = math.inf
 
     def on_others_met(self, now: float) -> None:
-        """Records that another member is there."""
+        """Starts the settling period when the first other member is known."""
         if self.settled_at == math.inf:
             self.settled_at = now + SETTLING_TIME
 
     def is_settled(self, now: float) -> bool:
-        """Returns whether the own name is known to be its own."""
+        """Returns whether the settling period is over.
+
+        A higher incarnation of the own name is from then on a conflict with another process.
+        """
         return now >= self.settled_at
 
-    def is_young(self, now: float) -> bool:
-        """Returns whether it has come lately."""
-        return now < self.settled_at + YOUNG_TIME
+    def is_newly_joined(self, now: float) -> bool:
+        """Returns whether this member joined so recently that it exchanges state more often."""
+        return now < self.settled_at + NEWLY_JOINED_TIME
--- a/rainspindle/decisions/members/stats.py
+++ b/rainspindle/decisions/members/stats.py
@@ -7,25 +7,25 @@
 
 @dataclass(slots=True)
 class MembershipStats:
-    """What happened since the start; the names are those of the console and of the log's last line.
+    """Counters since the start; the field names appear in the console and in the final log line.
 
     Attributes:
         sent: Datagrams sent.
-        sent_bytes: Their bytes.
+        sent_bytes: Bytes sent.
         received: Datagrams received.
-        received_bytes: Their bytes.
-        unreadable: Datagrams that were no message.
-        other_release: Messages of a release that cannot be read.
+        received_bytes: Bytes received.
+        unreadable: Datagrams that could not be decoded.
+        other_release: Messages of a release that this one cannot read.
         other_fleet: Messages of another fleet.
-        older_life: Messages of an earlier incarnation.
-        replayed: Messages that came twice.
-        strangers: Messages of members not known yet that were not greeted.
-        full: Members that there was no room for.
-        suspected: Suspicions.
+        older_life: Messages and updates of an earlier incarnation.
+        replayed: Messages received more than once, or too late to tell.
+        strangers: Messages of unknown members for which no handshake was started because of a limit.
+        full: Members rejected because the table was full.
+        suspected: Suspicions recorded.
         refuted: Suspicions of this member that it refuted.
-        buried: Members that this one declared dead by its own judgement.
-        stops: Times that the process was stopped.
-        too_long: Datagrams that were longer than allowed.
+        buried: Members that this one declared dead after its own suspicion time-out.
+        stops: Number of times the process was found to have been suspended.
+        too_long: Datagrams composed that exceeded the maximum size.
     """
 
     sent: int = 0
@@ -46,7 +46,7 @@
     too_long: int = 0
 
     def drops(self) -> dict[str, int]:
-        """Returns what was not taken in, by reason."""
+        """Returns the numbers of dropped messages, updates and members by reason."""
         return {
             "unreadable": self.unreadable,
             "other_release": self.other_release,
@@ -58,5 +58,5 @@
         }
 
     def nonzero(self) -> dict[str, int]:
-        """Returns the counters that are not 0."""
+        """Returns the counters that are not 0, by field name."""
         return {name: value for name, value in asdict(self).items() if value}
--- a/rainspindle/decisions/members/suspicion.py
+++ b/rainspindle/decisions/members/suspicion.py
@@ -1,4 +1,4 @@
-"""Lifeguard's suspicion: for how long a member is suspected before it is declared dead.
+"""Lifeguard's suspicion: how long a member is suspected before it is declared dead.
 
 Source: Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection"
 (2018).
@@ -11,55 +11,57 @@
 
 from .tuning import MembershipTuning
 
-LAST_PING_BEFORE = 0.6  # seconds before a declaration of death in which the other is pinged once more
-HEARSAY_FACTOR = 2.5  # by which a suspicion without a failed probe of one's own lasts longer,
-HEARSAY_DELAY = 1.0  # and by so many seconds
+FINAL_PING_LEAD = 0.6  # seconds before a member is declared dead at which it is pinged a final time
+# A suspicion lasts longer, by this factor and this many seconds, while no probe of this member has failed.
+UNVERIFIED_FACTOR = 2.5
+UNVERIFIED_DELAY = 1.0
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one member at one refutation.
+    """A suspicion of one member at one refutation number.
 
     Attributes:
-        since: When it began, or was last contradicted.
-        by: Who has it, of those heard of.
-        own: Whether a probe of this member has failed too: it decides, others wait for its word.
-        follows: Whether another had it before, whose declaration comes first.
-        last_pings: Last pings sent before the declaration.
-        declared: Whether others have declared the death.
-        probe_at: When the suspect is probed for that, where it has not been confirmed by then.
+        since: Time at which the suspicion began, or at which the member last answered.
+        accusers: Names of the members known to suspect it.
+        is_verified: Whether a probe by this member has failed too. If so, this member may declare the suspect
+            dead; otherwise it waits for the declaration of another.
+        is_secondary: Whether another member suspected it first, so that its declaration is due earlier.
+        final_pings: Number of final pings sent before the declaration.
+        is_declared: Whether another member has declared the suspect dead.
+        probe_at: Time at which this member probes the suspect because another declared it dead.
     """
 
     since: float
-    by: set[str] = field(default_factory=set)
-    own: bool = False
-    follows: bool = False
-    last_pings: int = 0
-    declared: bool = False
+    accusers: set[str] = field(default_factory=set)
+    is_verified: bool = False
+    is_secondary: bool = False
+    final_pings: int = 0
+    is_declared: bool = False
     probe_at: float = math.inf
 
     def timeout(self, tuning: MembershipTuning, health_factor: float, others: int) -> float:
-        """Returns for how many seconds it lasts: shorter with each member that has it independently.
+        """Returns how many seconds the suspicion lasts; each independent accuser shortens it.
 
         Args:
-            tuning: The figures.
-            health_factor: By which this member's own limits grow.
-            others: Members that could have an opinion.
+            tuning: Protocol parameters.
+            health_factor: Factor from this member's local health.
+            others: Number of members that could suspect it as well.
         """
         if not tuning.lifeguard:
             return tuning.plain_suspicion
-        length = self._length(tuning, others)
-        if self.own and self.follows:
-            length += LAST_PING_BEFORE  # so that not all who have it ping once more at the same time
-        if self.own:
-            return length * health_factor
-        return HEARSAY_FACTOR * length * health_factor + HEARSAY_DELAY
+        duration = self._duration(tuning, others)
+        if self.is_verified and self.is_secondary:
+            duration += FINAL_PING_LEAD  # keeps the accusers from sending their final pings all at once
+        if self.is_verified:
+            return duration * health_factor
+        return UNVERIFIED_FACTOR * duration * health_factor + UNVERIFIED_DELAY
 
-    def _length(self, tuning: MembershipTuning, others: int) -> float:
-        opinions = min(tuning.opinions, others)
-        if opinions <= 0:
-            return (tuning.min_suspicion + tuning.max_suspicion) / 2  # nobody else is there to ask
-        confirmed = min(math.log(max(len(self.by), 1)) / math.log(opinions + 1), 1.0)
-        if self.declared:
+    def _duration(self, tuning: MembershipTuning, others: int) -> float:
+        confirmations = min(tuning.confirmations, others)
+        if confirmations <= 0:
+            return (tuning.min_suspicion + tuning.max_suspicion) / 2  # no other member could confirm it
+        confirmed = min(math.log(max(len(self.accusers), 1)) / math.log(confirmations + 1), 1.0)
+        if self.is_declared:
             confirmed = 1.0
         return tuning.max_suspicion - (tuning.max_suspicion - tuning.min_suspicion) * confirmed
--- a/rainspindle/decisions/members/suspicion_monitor.py
+++ b/rainspindle/decisions/members/suspicion_monitor.py
@@ -1,4 +1,4 @@
-"""Declaring suspects dead once their suspicion has lasted."""
+"""Declares suspects dead when their suspicion times out."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from .failure_detector import FailureDetector
 from .member_states import MemberStates
 from .member_table import MemberRecord
-from .suspicion import LAST_PING_BEFORE, Suspicion
+from .suspicion import FINAL_PING_LEAD, Suspicion
 
 CHECK_PERIOD = 0.05  # seconds
-OWN_PROBE_TIME = 1.0  # seconds for an own probe of one that others suspect, before it is declared dead
-MAX_LAST_PINGS = 2
+OWN_PROBE_TIME = 1.0  # seconds by which an unverified suspicion is extended while the suspect is probed
+MAX_FINAL_PINGS = 2
 
 
 class SuspicionMonitor:
     """Watches the time-outs of suspicions.
 
     Attributes:
-        next_check_at: When the next look is due.
+        next_check_at: Time of the next check while any member is suspected.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         self._stats = context.stats
 
     def check(self, now: float) -> None:
-        """Looks at all suspects, if it is time."""
+        """Checks all suspects if the check period has passed and suspicions are not suspended."""
         if now < self.next_check_at:
             return
         self.next_check_at = now + CHECK_PERIOD
         if self._health.is_suspended(now):
             return
-        others = len(self._table.living()) - len(self._suspects.records)  # who can have an opinion
+        others = len(self._table.living()) - len(self._suspects.records)  # members able to confirm suspicions
         for record in list(self._suspects.records.values()):
             if record.suspicion is None or record.status != Status.SUSPECT:
                 self._suspects.discard(record.name)
@@ -54,7 +54,7 @@
                 self._check_suspect(now, record, record.suspicion, others)
 
     def restart(self, now: float) -> None:
-        """Has all suspicions begin anew: the process was stopped."""
+        """Restarts the time-outs of all suspicions after the process was suspended."""
         for record in self._suspects.records.values():
             if record.suspicion is not None:
                 record.suspicion.since = now
@@ -62,23 +62,23 @@
     def _check_suspect(self, now: float, record: MemberRecord, suspicion: Suspicion, others: int) -> None:
         if now >= suspicion.probe_at:
             suspicion.probe_at = math.inf
-            if not suspicion.own:
+            if not suspicion.is_verified:
                 self._detector.probe(now, record, alone=True)
         timeout = suspicion.timeout(self._tuning, self._health.factor, others)
-        left = suspicion.since + timeout - now
-        if left <= 0 and not suspicion.own and suspicion.last_pings < MAX_LAST_PINGS:
-            # Guards against a declaration on hearsay alone: a probe of one's own comes before.
-            suspicion.last_pings += 1
+        remaining = suspicion.since + timeout - now
+        if remaining <= 0 and not suspicion.is_verified and suspicion.final_pings < MAX_FINAL_PINGS:
+            # Probes the suspect first, so that it is not declared dead on the reports of others alone.
+            suspicion.final_pings += 1
             suspicion.since += OWN_PROBE_TIME
             self._detector.probe(now, record)
-        elif left <= 0:
+        elif remaining <= 0:
             self._stats.buried += 1
             self._states.declare(now, record, Status.DEAD, record.refutation)
-        elif self._is_last_ping_due(suspicion, left):
-            suspicion.last_pings += 1  # so that one lost refutation has nobody declared dead
+        elif self._is_final_ping_due(suspicion, remaining):
+            suspicion.final_pings += 1  # the loss of a single refutation must not lead to a declaration
             self._detector.probe(now, record, alone=self._suspects.is_mass_failure())
 
-    def _is_last_ping_due(self, suspicion: Suspicion, left: float) -> bool:
-        if not self._tuning.lifeguard or not suspicion.own:
+    def _is_final_ping_due(self, suspicion: Suspicion, remaining: float) -> bool:
+        if not self._tuning.lifeguard or not suspicion.is_verified:
             return False
-        return left < LAST_PING_BEFORE and not suspicion.last_pings
+        return remaining < FINAL_PING_LEAD and not suspicion.final_pings
--- a/rainspindle/decisions/members/tuning.py
+++ b/rainspindle/decisions/members/tuning.py
@@ -1,4 +1,4 @@
-"""The figures of membership."""
+"""Periods, time-outs, rates and limits of the membership protocol."""
 
 from __future__ import annotations
 
@@ -7,43 +7,47 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipTuning:
-    """The figures of one member: seconds, counts, and datagrams a second.
+    """Protocol parameters of one member: times in seconds, rates in datagrams per second.
 
     Attributes:
-        probe_period: Between own probes.
-        direct_timeout: That a probed member has to answer before others are asked.
-        indirect_timeout: That those others have.
-        helpers: Members asked at once.
-        min_suspicion: Until a suspect is declared dead, where `opinions` members suspect it independently.
-        max_suspicion: The same, where nobody else does.
-        opinions: Independent suspicions that shorten it to the least.
-        max_self_doubt: The most by which a member's own limits grow.
-        lifeguard: Whether Lifeguard's amendments hold; False is SWIM as first published, to compare with.
-        plain_suspicion: Until a suspect is declared dead, without Lifeguard.
-        stopped_after: Between two looks at the clock, over which the process was stopped.
-        own_rate: Datagrams of the member's own accord, `own_burst` at once.
-        own_burst: At once.
-        answer_rate: Datagrams in answer to members.
-        greeting_rate: The same to those not known yet.
-        urgent_rate: Datagrams that go out for updates of members alone, `urgent_burst` at once.
-        urgent_burst: At once.
-        extra_rate: For each: second opinions, probes further along the ring, updates of a mass failure.
-        extra_burst: At once.
-        load_report_rate: Datagrams with the balancer's load reports.
-        max_members: That are kept.
-        keep_dead: Seconds that the dead and those who left are kept.
-        state_period: Between exchanges of the whole state while they bring nothing new.
-        digest_period: Between digests of registers.
+        probe_period: Seconds between two probes that this member starts in turn.
+        direct_timeout: Seconds a probed member has to answer before others are asked to ping it.
+        indirect_timeout: Seconds allowed for the pings that others send on this member's behalf.
+        ping_helpers: Number of members asked to ping on this member's behalf at a time.
+        min_suspicion: Seconds until a suspect is declared dead when `confirmations` other members suspect it
+            independently.
+        max_suspicion: Seconds until a suspect is declared dead when no other member suspects it.
+        confirmations: Number of independent suspicions that reduce the time-out to `min_suspicion`.
+        max_health_score: Upper limit of the local health score, which lengthens this member's time-outs.
+        lifeguard: Whether the Lifeguard extensions are active; False gives SWIM as first published, for
+            comparison.
+        plain_suspicion: Seconds until a suspect is declared dead without Lifeguard.
+        stopped_after: Seconds between two readings of the clock above which the process counts as having
+            been suspended.
+        own_rate: Rate of datagrams that this member sends on its own initiative.
+        own_burst: Burst size for `own_rate`.
+        answer_rate: Rate of answers to known members; also their burst size.
+        greeting_rate: Rate of answers to senders that are not known yet; also their burst size.
+        urgent_rate: Rate of datagrams sent only to carry member updates.
+        urgent_burst: Burst size for `urgent_rate`.
+        extra_rate: Rate of each of these: probes that verify another member's suspicion, probes further along
+            the ring, and updates during a mass failure.
+        extra_burst: Burst size for `extra_rate`.
+        load_report_rate: Rate of datagrams that carry the balancer's load reports; also their burst size.
+        max_members: Maximum number of members in the table.
+        keep_dead: Seconds for which dead members and members that left stay in the table.
+        state_period: Seconds between full-state exchanges while they bring few changes.
+        digest_period: Seconds between two transmissions of register digests.
     """
 
     probe_period: float = 0.5
     direct_timeout: float = 0.2
     indirect_timeout: float = 0.35
-    helpers: int = 3
+    ping_helpers: int = 3
     min_suspicion: float = 1.8
     max_suspicion: float = 5.0
-    opinions: int = 3
-    max_self_doubt: int = 8
+    confirmations: int = 3
+    max_health_score: int = 8
     lifeguard: bool = True
     plain_suspicion: float = 2.4
     stopped_after: float = 0.75
--- a/rainspindle/program/fleet/members.py
+++ b/rainspindle/program/fleet/members.py
@@ -38,7 +38,7 @@
 ANY_ADDRESS = ("0.0.0.0", "::")  # hosts that stand for all addresses of the machine
 ANY_LISTEN = ("0.0.0.0", "[::]")  # the same with a port behind
 ERRORS = {"members: another process has this name", "members: incarnation not persisted"}
-QUIET = {"members: unreadable message", "members: more changes"}
+QUIET = {"members: unreadable message", "members: log lines suppressed"}
 
 
 class MembersConfig(msgspec.Struct, forbid_unknown_fields=True):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -514,10 +514,10 @@
 
 def test_suspicion_is_shorter_with_each_independent_opinion_and_longer_for_who_doubts_itself() -> None:
     tuning = MembershipTuning()
-    lengths = [Suspicion(0.0, set("abcd"[:n]), own=True).timeout(tuning, 1.0, 9) for n in range(1, 5)]
+    lengths = [Suspicion(0.0, set("abcd"[:n]), is_verified=True).timeout(tuning, 1.0, 9) for n in range(1, 5)]
     assert lengths == sorted(lengths, reverse=True)
     assert lengths[0] == tuning.max_suspicion and lengths[-1] == pytest.approx(tuning.min_suspicion)
-    assert Suspicion(0.0, {"a"}, own=True).timeout(tuning, 3.0, 9) == 3 * tuning.max_suspicion
+    assert Suspicion(0.0, {"a"}, is_verified=True).timeout(tuning, 3.0, 9) == 3 * tuning.max_suspicion
 
 
 # Random histories.
