--- a/rainspindle/decisions/members/failure_detector.py
+++ b/rainspindle/decisions/members/failure_detector.py
@@ -268,7 +268,7 @@
         if record is None:
             return
         count = self._tuning.ping_helpers
-        helpers = [helper for helper in self._sampler.alive(count + 1) if helper is not record]
+        helpers = [candidate for candidate in self._sampler.alive(count + 1) if candidate is not record]
         for helper in helpers[:count]:
             self._limits.own.take(now)
             request = Content(
--- a/rainspindle/decisions/shared/__init__.py
+++ b/rainspindle/decisions/shared/__init__.py
@@ -1,1 +1,1 @@
-"""Cells that each member writes alone: the one way in which sidecars share anything."""
+"""Single-writer registers and their gossip: the only way in which sidecars share state."""
--- a/rainspindle/decisions/shared/broadcast_queue.py
+++ b/rainspindle/decisions/shared/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Updates to be broadcast a bounded number of times each, those sent least often first."""
+"""Queue of updates that are each broadcast a bounded number of times, the least sent first."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-MIN_TRANSMISSIONS = 8  # fewer are lost on a bad line of a small fleet
-TRANSMISSIONS_PER_DECADE = 5.0  # for each tenfold of members
-MAX_MISSES = 4  # updates that do not fit, after which no more are looked at
+MIN_TRANSMISSIONS = 8  # with fewer, updates get lost in a small fleet with an unreliable network
+TRANSMISSIONS_PER_DECADE = 5.0  # transmissions added when the number of members grows tenfold
+MAX_MISSES = 4  # updates that do not fit into a datagram after which the search ends
 
 
 @functools.lru_cache(8192)
 def transmissions(members: int) -> int:
-    """Returns how often one member sends an update, in a fleet of so many."""
+    """Returns how many times each member sends an update in a fleet of `members` members."""
     return max(math.ceil(TRANSMISSIONS_PER_DECADE * math.log10(members + 2)), MIN_TRANSMISSIONS)
 
 
 class BroadcastQueue(Generic[Key]):
-    """The keys of updates, by how often each was sent.
+    """Keys of pending updates, ordered by how often each was sent.
 
-    Guards against updates that crowd out later ones. May hurt where over `max_keys` come at once: those sent
-    most often give way, and the exchange of whole states mends the rest.
+    New updates go first, so older ones cannot delay them. Drawback: if more than `max_keys` updates are
+    pending, those sent most often are dropped, and members that miss one only learn of it by anti-entropy.
 
     Attributes:
-        counts: How often each update was sent.
+        counts: Number of times each pending update was sent, by key.
     """
 
     def __init__(self, max_keys: int) -> None:
@@ -40,11 +40,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether an update was never sent."""
+        """Whether the queue holds an update that was never sent."""
         return bool(self._by_count[0])
 
     def add(self, key: Key, sent: int = 0) -> None:
-        """Queues an update, as if it had been `sent` so often."""
+        """Queues an update as one that was sent `sent` times already; replaces one with the same key."""
         self.drop(key)
         if len(self.counts) >= self._max_keys:
             most_sent = next(keys for keys in reversed(self._by_count) if keys)
@@ -52,22 +52,22 @@
         self._place(key, sent)
 
     def drop(self, key: Key) -> None:
-        """Takes an update off the queue."""
+        """Removes an update from the queue; does nothing if it is not queued."""
         count = self.counts.pop(key, None)
         if count is not None:
             del self._by_count[count][key]
 
     def record_heard(self, key: Key, limit: int) -> None:
-        """Records that others send the update too.
+        """Records that another member sent the same update, which counts as one transmission.
 
-        Guards against traffic for what all know. May hurt where the same few tell it to one another, so it is
-        sent a few times in any case.
+        This avoids traffic for updates that every member knows. As the same few members may be sending it to
+        one another, an update is sent MIN_TRANSMISSIONS times in any case.
         """
         if self.counts.get(key, 0) >= MIN_TRANSMISSIONS:
             self.record_sent(key, limit)
 
     def record_sent(self, key: Key, limit: int) -> None:
-        """Records that the update was sent once more; after `limit` times it is done."""
+        """Records a transmission of the update, and removes it after `limit` transmissions."""
         count = self.counts.get(key)
         if count is None:
             return
@@ -76,31 +76,31 @@
             self._place(key, count + 1)
 
     def pick(self, room: int, max_picked: int, size: Callable[[Key], int]) -> list[Key]:
-        """Returns updates that together fit in `room` bytes.
+        """Returns the keys of the least sent updates that together fit in `room` bytes.
 
         Args:
-            room: The bytes.
-            max_picked: How many at most.
-            size: Returns an update's bytes; 0 if there is nothing to send of it any more.
+            room: Available space in bytes.
+            max_picked: Maximum number of updates.
+            size: Returns the size of an update in bytes, or 0 if it is obsolete and can be dropped.
         """
         picked: list[Key] = []
-        void: list[Key] = []
+        obsolete: list[Key] = []
         misses = 0
         for keys in self._by_count:
             for key in keys:
-                needs = size(key)
-                if not needs:
-                    void.append(key)
-                elif needs <= room:
+                key_size = size(key)
+                if not key_size:
+                    obsolete.append(key)
+                elif key_size <= room:
                     picked.append(key)
-                    room -= needs
+                    room -= key_size
                 else:
                     misses += 1
                 if len(picked) >= max_picked or misses >= MAX_MISSES:
                     break
             if len(picked) >= max_picked or misses >= MAX_MISSES:
                 break
-        for key in void:
+        for key in obsolete:
             self.drop(key)
         return picked
 
--- a/rainspindle/decisions/shared/register_gossip.py
+++ b/rainspindle/decisions/shared/register_gossip.py
@@ -1,6 +1,7 @@
-"""How registers travel on the members' datagrams: changes at once, digests of all of an owner's now and then.
+"""Spreads registers on the datagrams of the membership protocol: changes by gossip, the rest by digests.
 
-Free of I/O, clock and own chance. What goes out when, and how much, is for the membership to say.
+The module does no I/O, reads no clock and is given its source of randomness. The membership decides when and
+how much is sent.
 """
 
 from __future__ import annotations
@@ -16,22 +17,27 @@
 from .broadcast_queue import BroadcastQueue, transmissions
 from .registers import Register, RegisterStore, SeenRegister, partition_of
 
-MAX_QUEUED = 4000  # registers that wait to be sent
-MAX_PAGES = 8  # datagrams of registers that answer one request
-MAX_PER_DATAGRAM = 60  # registers, or digests
-MAX_REQUESTS = 3  # in one datagram
-MAX_AGE = 2**31 - 1  # milliseconds that a message can tell
-MILLISECONDS = 1000
-DIGEST_BYTES = 8
-OVERHEAD = 32  # bytes of a register beside its names and its value
-PAGE_HEADER = 300  # bytes of a datagram that are kept for what goes around its registers
+MAX_QUEUED = 4000  # pending register updates
+MAX_PAGES = 8  # datagrams with registers sent in answer to one request
+MAX_PER_DATAGRAM = 60  # registers or digests
+MAX_REQUESTS = 3  # requests in one datagram
+MAX_AGE = 2**31 - 1  # maximum age in a message, in milliseconds
+MILLISECONDS_PER_SECOND = 1000
+DIGEST_BYTES = 8  # size of the digest of all registers of one owner
+UPDATE_OVERHEAD = 32  # bytes of an encoded register in addition to its names and its value
+PAGE_HEADER = 300  # bytes of a datagram reserved for everything but its registers
 
 Key = tuple[str, str]  # owner, name
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerStatus:
-    """What the membership knows of the owner of registers."""
+    """What the membership knows about an owner of registers.
+
+    Attributes:
+        incarnation: Incarnation of the owner.
+        heard_at: Time of the latest evidence of the owner from any source.
+    """
 
     incarnation: int
     heard_at: float
@@ -41,33 +47,35 @@
     """Sends and receives the registers of a store.
 
     Attributes:
-        store: The registers.
-        queue: Those that are to be sent on.
-        outdated: Updates that were too old to be taken.
-        keep: Seconds for which registers are kept after their owner was last known to be there.
+        store: The registers of this member and its copies of others'.
+        queue: Registers whose changes are pending, as pairs of owner and name.
+        outdated: Number of updates rejected because they were older than `retention`.
+        retention: Seconds for which registers are kept after the last evidence of their owner.
     """
 
-    def __init__(self, store: RegisterStore, random_source: random.Random, keep: float = 86_400.0) -> None:
+    def __init__(
+        self, store: RegisterStore, random_source: random.Random, retention: float = 86_400.0
+    ) -> None:
         self.store = store
         self.queue: BroadcastQueue[Key] = BroadcastQueue(MAX_QUEUED)
         self.outdated = 0
         self._random = random_source
-        self.keep = keep
+        self.retention = retention
         self._digest_round: list[str] = []  # owners whose digests are still to be sent in this round
 
     # Changes.
 
     def queue_changes(self) -> set[str]:
-        """Queues what has changed in the store; returns the members that are to be told first."""
-        first: set[str] = set()
+        """Queues the registers changed in the store; returns the members to send them to first."""
+        priority_members: set[str] = set()
         for key, toward in self.store.unsent.items():
             self.queue.add(key)
-            first.update(toward)
+            priority_members.update(toward)
         self.store.unsent.clear()
-        return first
+        return priority_members
 
     def take_updates(self, now: float, room: int, members: int) -> list[msgspec.Raw]:
-        """Returns registers that go out with a datagram; each counts as sent once."""
+        """Returns encoded pending registers that fit in `room` bytes, and counts each as sent once."""
         if not self.queue:
             return []
         keys = self.queue.pick(room, MAX_PER_DATAGRAM, self._size)
@@ -77,9 +85,9 @@
         return [self._encode(now, key) for key in keys]
 
     def on_update(self, now: float, update: wire.RegisterUpdate, members: int) -> None:
-        """Takes in a register that another member sent."""
-        age = update.age / MILLISECONDS
-        if age > self.keep:
+        """Merges a register that another member sent, unless it is too old."""
+        age = update.age / MILLISECONDS_PER_SECOND
+        if age > self.retention:
             self.outdated += 1
             return
         known = self.store.by_name.get(update.name, {}).get(update.owner)
@@ -88,23 +96,25 @@
         register = Register(update.owner, update.name, update.incarnation, update.sequence, update.value)
         self.store.merge(now, register, age)
 
-    # Digests of all registers of one owner.
+    # Digests; each covers all registers of one owner.
 
     def digests(
         self, now: float, room: int, status_of: Callable[[str], OwnerStatus | None]
     ) -> list[msgspec.Raw]:
-        """Returns digests of as many owners as fit, each in its turn, the own one first.
+        """Returns the digest of this member's registers and those of as many other owners as fit.
+
+        Successive calls go through all owners in a random order.
 
         Args:
-            now: The time.
-            room: Bytes.
-            status_of: Returns what is known of an owner, or None where it is not there.
+            now: The current time.
+            room: Available space in bytes.
+            status_of: Returns what is known about an owner, or None if it is not a known member.
         """
         own = self._own_digest()
         digests = [own]
         room -= len(own)
         if not self._digest_round:
-            self._digest_round = [one for one in self.store.by_owner if one != self.store.own_name]
+            self._digest_round = [name for name in self.store.by_owner if name != self.store.own_name]
             self._random.shuffle(self._digest_round)
         while self._digest_round and len(digests) < MAX_PER_DATAGRAM:
             owner = self._digest_round[-1]
@@ -118,54 +128,57 @@
         return digests
 
     def compare(self, now: float, digests: Sequence[wire.RegisterDigest]) -> list[wire.RegisterRequest]:
-        """Confirms what another has alike; returns requests for what it has otherwise."""
+        """Compares another member's digests with the registers here.
+
+        Registers with equal digests are confirmed; for differing ones, requests are returned.
+        """
         requests: list[wire.RegisterRequest] = []
-        for one in digests:
-            age = one.age / MILLISECONDS
-            if age > self.keep:
+        for digest in digests:
+            age = digest.age / MILLISECONDS_PER_SECOND
+            if age > self.retention:
                 continue
-            if int.from_bytes(one.digest, "big") == self.store.digest_of(one.owner):
-                if one.owner != self.store.own_name and one.owner in self.store.by_owner:
-                    self.store.confirm(now, one.owner, age)
+            if int.from_bytes(digest.digest, "big") == self.store.digest_of(digest.owner):
+                if digest.owner != self.store.own_name and digest.owner in self.store.by_owner:
+                    self.store.confirm(now, digest.owner, age)
             elif len(requests) < MAX_REQUESTS:
-                requests.append(wire.RegisterRequest(one.owner, self._partition_digests(one.owner)))
+                requests.append(wire.RegisterRequest(digest.owner, self._partition_digests(digest.owner)))
         return requests
 
     def answer(self, now: float, request: wire.RegisterRequest) -> list[list[msgspec.Raw]]:
-        """Returns what another lacks or has otherwise, by datagrams.
+        """Returns the registers that the requester lacks or has in another state, split by datagram.
 
-        Those written last come first, then others by chance, and no more than a few datagrams at once.
+        The registers written last come first, then others in random order, in at most MAX_PAGES datagrams.
         """
         pages: list[list[msgspec.Raw]] = [[]]
-        full = wire.MAX_DATAGRAM - PAGE_HEADER
-        room = full
+        page_size = wire.MAX_DATAGRAM - PAGE_HEADER
+        room = page_size
         for name in self._differing(request):
-            piece = self._encode(now, (request.owner, name))
-            if len(piece) > room or len(pages[-1]) >= MAX_PER_DATAGRAM:
+            update = self._encode(now, (request.owner, name))
+            if len(update) > room or len(pages[-1]) >= MAX_PER_DATAGRAM:
                 if len(pages) >= MAX_PAGES:
                     break
                 pages.append([])
-                room = full
-            pages[-1].append(piece)
-            room -= len(piece)
+                room = page_size
+            pages[-1].append(update)
+            room -= len(update)
         return [page for page in pages if page]
 
-    # What is forgotten.
+    # Expiry.
 
-    def forget_owners(self, now: float, is_there: Callable[[str], bool]) -> None:
-        """Forgets registers whose owner is gone for longer than they are kept."""
+    def forget_owners(self, now: float, is_living: Callable[[str], bool]) -> None:
+        """Discards the registers of owners that are gone and without evidence for the retention time."""
         for owner in list(self.store.by_owner):
-            if owner == self.store.own_name or is_there(owner):
+            if owner == self.store.own_name or is_living(owner):
                 continue
-            last = max(self.store.confirmed_at(owner), self._newest(owner))
-            if now - last > self.keep:
+            last_evidence_at = max(self.store.confirmed_at(owner), self._newest(owner))
+            if now - last_evidence_at > self.retention:
                 self.store.forget_owner(owner)
 
     def _size(self, key: Key) -> int:
         seen = self.store.by_name.get(key[1], {}).get(key[0])
         if seen is None:
             return 0
-        return len(seen.register.value) + len(key[0]) + len(key[1]) + OVERHEAD
+        return len(seen.register.value) + len(key[0]) + len(key[1]) + UPDATE_OVERHEAD
 
     def _encode(self, now: float, key: Key) -> msgspec.Raw:
         seen: SeenRegister = self.store.by_name[key[1]][key[0]]
@@ -191,10 +204,10 @@
 
     def _digest(self, now: float, owner: str, status: OwnerStatus | None) -> msgspec.Raw | None:
         confirmed_at = self.store.confirmed_at(owner)
-        if confirmed_at == -math.inf:  # never complete here: as old as the newest that was heard
+        if confirmed_at == -math.inf:  # the set was never confirmed: use the age of its newest register
             confirmed_at = self._newest(owner)
         age = now - confirmed_at
-        if age > self.keep:
+        if age > self.retention:
             return None
         digest = self.store.digest_of(owner).to_bytes(DIGEST_BYTES, "big")
         incarnation = status.incarnation if status else 0
@@ -205,16 +218,17 @@
         return max(heard, default=-math.inf)
 
     def _partition_digests(self, owner: str) -> bytes:
-        digests = [one & 0xFFFFFFFF for one in self.store.partition_digests(owner)]
+        digests = [digest & 0xFFFFFFFF for digest in self.store.partition_digests(owner)]
         if not any(digests):
             return b""
-        return b"".join(one.to_bytes(wire.DIGEST_BYTES, "big") for one in digests)
+        return b"".join(digest.to_bytes(wire.DIGEST_BYTES, "big") for digest in digests)
 
     def _differing(self, request: wire.RegisterRequest) -> Iterator[str]:
-        none = bytes(wire.REGISTER_PARTITIONS * wire.DIGEST_BYTES)
-        own = self._partition_digests(request.owner) or none
-        theirs = request.digests or none
-        differing = {n // wire.DIGEST_BYTES for n in range(len(own)) if own[n : n + 1] != theirs[n : n + 1]}
+        """Yields the names of the registers in differing partitions, the latest written ones first."""
+        empty = bytes(wire.REGISTER_PARTITIONS * wire.DIGEST_BYTES)
+        own = self._partition_digests(request.owner) or empty
+        theirs = request.digests or empty
+        differing = {i // wire.DIGEST_BYTES for i in range(len(own)) if own[i : i + 1] != theirs[i : i + 1]}
         registers = self.store.by_owner.get(request.owner, {})
         names = [name for name in reversed(registers) if partition_of(name) in differing]
         older = names[MAX_PER_DATAGRAM:]
@@ -224,4 +238,4 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    return min(max(int(seconds * MILLISECONDS), 0), MAX_AGE)
+    return min(max(int(seconds * MILLISECONDS_PER_SECOND), 0), MAX_AGE)
--- a/rainspindle/decisions/shared/registers.py
+++ b/rainspindle/decisions/shared/registers.py
@@ -1,7 +1,8 @@
-"""Single-writer registers, merged by the higher (incarnation, sequence). No I/O, no clock.
+"""Single-writer registers, merged by the higher (incarnation, sequence). The module does no I/O.
 
-A register is named by a subject and a thing, as `wallet/north`. Each member has one register of that name at
-most and writes it alone; all others have a copy. So merging never loses what a member wrote.
+A register name consists of a subject and an item, as in `wallet/north`. Each member owns at most one register
+of a given name, and only that member writes it; all others hold copies. Therefore merging never loses a
+write.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-MAX_VALUE = 900  # bytes, so that a register fits in one datagram with what goes around it
+MAX_VALUE = 900  # bytes; a register must fit in one datagram together with the headers
 MAX_NAME = 100  # characters
-MAX_SUBJECTS = 8  # of which registers are kept
+MAX_SUBJECTS = 8  # subjects of which registers of other members are kept
 MAX_SEQUENCE_DIGITS = 19
-SWEPT = "swept/"  # `swept/SUBJECT`: the sequence up to which its owner needs none of its registers any more
-PARTITIONS = 64  # in which the registers of one owner are compared with another member's
+SWEPT = "swept/"  # `swept/SUBJECT` holds the sequence up to which its owner has discarded its registers
+PARTITIONS = 64  # partitions in which the registers of one owner are compared between members
 
 Subscriber = Callable[[float, "Register"], None]
 Order = tuple[int, int]  # incarnation and sequence
@@ -28,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """What one member last wrote under one name. An empty value says that it deleted the register.
+    """The value that a member last wrote under a name; an empty value marks a deleted register.
 
     Attributes:
-        owner: The member that writes it.
-        name: `SUBJECT/THING`.
-        incarnation: The owner's, when it wrote.
-        sequence: Grows within an incarnation; the first is 1.
-        value: What was written.
+        owner: Name of the member that writes the register.
+        name: Name in the form `SUBJECT/ITEM`.
+        incarnation: Incarnation of the owner at the time of the write.
+        sequence: Number of the write; starts at 1 and increases within an incarnation.
+        value: The value written.
     """
 
     owner: str
@@ -46,22 +47,22 @@
 
     @property
     def order(self) -> Order:
-        """By which a later value replaces an earlier one."""
+        """Order of writes: a value with the higher order replaces the other."""
         return self.incarnation, self.sequence
 
     @property
     def digest(self) -> int:
-        """64 bits that tell this state of the register from any other of it."""
+        """64-bit hash of the name and the order, which identifies this state of the register."""
         state = f"{self.name}\0{self.incarnation}\0{self.sequence}".encode()
         return int.from_bytes(hashlib.blake2b(state, digest_size=8).digest(), "big")
 
 
 @dataclass(frozen=True, slots=True)
 class SeenRegister:
-    """A register, and when its owner is last known to have held it, on this process's clock.
+    """A register, and the time on this process's clock at which its owner last verifiably held it.
 
-    That is told by the owner, or by others who say how old their word is; so it ages while the owner cannot
-    be heard.
+    The time comes from the owner itself, or from members that pass on the register with its age. It therefore
+    stays put while the owner cannot be reached.
     """
 
     register: Register
@@ -69,12 +70,12 @@
 
 
 def subject_of(name: str) -> str:
-    """Returns what a register is about: the part of its name before the first `/`."""
+    """Returns the subject of a register: the part of its name before the first `/`."""
     return name.partition("/")[0]
 
 
 def partition_of(name: str) -> int:
-    """Returns which of an owner's partitions a register is in; the same in each release."""
+    """Returns the partition of a register; every release must compute the same one."""
     return zlib.crc32(name.encode()) % PARTITIONS
 
 
@@ -86,19 +87,20 @@
     """All registers that one member knows.
 
     Attributes:
-        own_name: The member.
-        incarnation: Its own.
-        by_name: Registers by name, then owner.
-        by_owner: Registers by owner, then name, the one written last at the end.
-        unsent: What changed and was not handed to gossip yet, with the members to be told first.
-        swept_up_to: By owner and subject: the order up to which registers are gone.
-        counts: Registers of others, by subject.
-        rejected: Updates beyond a limit.
-        on_write: Called after each own write, so that it goes out at once.
+        own_name: Name of the member.
+        incarnation: Incarnation of the member.
+        by_name: Registers by name, then by owner.
+        by_owner: Registers by owner, then by name, in the order in which they were written or received.
+        unsent: Changed registers that gossip has not taken over yet, as pairs of owner and name, with the
+            members to send them to first.
+        swept_up_to: Order up to which registers were swept, by owner and subject.
+        counts: Number of registers of other members by subject.
+        rejected: Number of updates rejected because of a limit.
+        on_write: Called after each write of an own register, so that it is sent without delay.
     """
 
     def __init__(self, own_name: str, incarnation: int, max_per_subject: int = 20_000) -> None:
-        """Begins empty; `max_per_subject` bounds the registers of others that are kept of each subject."""
+        """Creates an empty store that keeps at most `max_per_subject` registers of others per subject."""
         self.own_name = own_name
         self.incarnation = incarnation
         self.by_name: dict[str, dict[str, SeenRegister]] = {}
@@ -109,68 +111,71 @@
         self.rejected = 0
         self.on_write: Callable[[], None] = _ignore_write
         self._max_per_subject = max_per_subject
-        self._digests: dict[str, list[int]] = {}  # by owner and partition, by exclusive or
-        self._confirmed_at: dict[str, float] = {}  # by owner: when it had just these registers
+        self._digests: dict[str, list[int]] = {}  # XOR of register digests by owner and partition
+        self._confirmed_at: dict[str, float] = {}  # time at which the set of registers was exact, by owner
         self._subscribers: list[tuple[str, Subscriber]] = []
 
     # Reading.
 
     def read(self, owner: str, name: str) -> SeenRegister | None:
-        """Returns one register."""
+        """Returns one register, or None if it is not known."""
         seen = self.by_name.get(name, {}).get(owner)
         return None if seen is None else self.with_age(seen)
 
     def named(self, name: str) -> dict[str, SeenRegister]:
-        """Returns the registers of a name by owner, the own and the deleted ones (empty) among them."""
+        """Returns the registers of a name by owner, including this member's and deleted (empty) ones."""
         return {owner: self.with_age(seen) for owner, seen in self.by_name.get(name, {}).items()}
 
     def all(self) -> Iterator[SeenRegister]:
-        """Yields all registers."""
+        """Yields all registers, including this member's and deleted (empty) ones."""
         for owners in self.by_name.values():
             for seen in owners.values():
                 yield self.with_age(seen)
 
     def with_age(self, seen: SeenRegister) -> SeenRegister:
-        """Returns the register as last confirmed."""
+        """Returns the register with its time updated if its owner's registers were confirmed later."""
         confirmed_at = self.confirmed_at(seen.register.owner)
         return SeenRegister(seen.register, confirmed_at) if confirmed_at > seen.heard_at else seen
 
     def confirmed_at(self, owner: str) -> float:
-        """Returns when the owner is known to have had just these registers; -inf if never."""
+        """Returns when the owner was last known to have exactly these registers; -inf if never."""
         return self._confirmed_at.get(owner, -math.inf)
 
     @property
     def count(self) -> int:
-        """Registers of others."""
+        """Number of registers of other members."""
         return sum(self.counts.values())
 
     def digest_of(self, owner: str) -> int:
-        """Returns 64 bits that tell the owner's registers as known here from any others."""
+        """Returns a 64-bit digest of all registers of the owner as known here; 0 if there are none."""
         return functools.reduce(operator.xor, self._digests.get(owner, ()), 0)
 
     def partition_digests(self, owner: str) -> list[int]:
-        """Returns the same for each partition; empty if nothing is known of the owner."""
+        """Returns the 64-bit digest of each partition of an owner; empty if the owner is not known."""
         return self._digests.get(owner, [])
 
     def sweep_note(self, owner: str, subject: str) -> bytes:
-        """Returns the note of the owner's last sweep."""
+        """Returns the note of the owner's last sweep of a subject; empty if there is none."""
         seen = self.by_name.get(SWEPT + subject, {}).get(owner)
         return b"" if seen is None else seen.register.value.partition(b" ")[2]
 
     # Writing.
 
     def on_change(self, prefix: str, subscriber: Subscriber) -> None:
-        """Calls `subscriber` with each changed register of others whose name begins with `prefix`."""
+        """Calls `subscriber` with the time and each changed register of others whose name has the prefix."""
         self._subscribers.append((prefix, subscriber))
 
     def write(self, now: float, name: str, value: bytes, toward: Iterable[str] = ()) -> Register:
-        """Writes an own register. The members `toward` are told first, where they can be reached.
+        """Writes an own register and returns it; the members in `toward` are sent it first.
 
         Raises:
             ValueError: The name or the value is too long.
         """
         if len(value) > MAX_VALUE or len(name) > MAX_NAME:
-            raise ValueError(f"cell {name!r:.40}: {len(value)} bytes, {len(name)} characters of name")
+            raise ValueError(
+                f"register {name!r:.40} too large: value has {len(value)} bytes, name {len(name)} characters;"
+                f" expected at most {MAX_VALUE} and {MAX_NAME}"
+            )
         before = self.read(self.own_name, name)
         last = before.register.sequence if before else self._swept_sequence(subject_of(name))
         register = Register(self.own_name, name, self.incarnation, last + 1, value)
@@ -179,16 +184,17 @@
         return register
 
     def delete(self, now: float, name: str) -> None:
-        """Deletes an own register."""
+        """Deletes an own register by writing an empty value; does nothing if there is none."""
         if self.read(self.own_name, name) is not None:
             self.write(now, name, b"")
 
     def sweep(self, now: float, subject: str, gone: Iterable[str], note: bytes = b"") -> None:
-        """Has all members forget the own registers `gone` of a subject, and all of earlier incarnations.
+        """Makes all members discard the own registers `gone` of a subject, and those of earlier incarnations.
 
-        `note` is told in the same register: who has forgotten them knows it. Registers that stay are written
-        once more where their sequence is not above a forgotten one's. So one number tells all that are gone,
-        and a late update of one of them is known as such.
+        The sweep is announced by one register that holds the highest discarded sequence and the `note`, so
+        every member that has applied the sweep also knows the note. Registers that stay are rewritten if
+        their sequence is not above that number. One number thus identifies all discarded registers, and a
+        late update of one of them is recognised.
         """
         names = set(gone)
         own = [
@@ -204,7 +210,7 @@
         self.apply_sweep(now, self.write(now, SWEPT + subject, b"%d " % up_to + note))
 
     def apply_sweep(self, now: float, sweep: Register) -> None:
-        """Forgets what was swept; subscribers are told that it is empty."""
+        """Discards the registers that the owner swept; subscribers are notified with empty values."""
         subject = sweep.name.removeprefix(SWEPT)
         up_to = self.swept_up_to[sweep.owner, subject]
         for name, seen in list(self.by_owner[sweep.owner].items()):
@@ -213,7 +219,7 @@
                 self._notify(now, replace(seen.register, value=b""))
 
     def restart(self, now: float, incarnation: int) -> None:
-        """Moves all that was written in this incarnation to a higher one, which the member has taken."""
+        """Moves the own registers of this incarnation to a higher one that the member has taken."""
         before = self.incarnation
         self.incarnation = incarnation
         for seen in list(self.by_owner.get(self.own_name, {}).values()):
@@ -224,10 +230,12 @@
     # Merging.
 
     def merge(self, now: float, register: Register, age: float = 0.0) -> bool:
-        """Takes in what another member says, `age` seconds after the owner is known to have held it.
+        """Merges a register received from another member, which the owner held `age` seconds ago.
+
+        Own registers of this incarnation are never accepted from others.
 
         Returns:
-            Whether it was news. Own registers of this incarnation are believed from nobody.
+            Whether the register changed.
         """
         if len(register.value) > MAX_VALUE or len(register.name) > MAX_NAME:
             self.rejected += 1
@@ -247,11 +255,11 @@
         return True
 
     def confirm(self, now: float, owner: str, age: float = 0.0) -> None:
-        """Records that the owner had just these registers `age` seconds ago."""
+        """Records that the owner had exactly the registers known here `age` seconds ago."""
         self._confirmed_at[owner] = max(now - age, self.confirmed_at(owner))
 
     def forget(self, owner: str, name: str) -> None:
-        """Forgets one register."""
+        """Discards one register; does nothing if it is not known."""
         owners = self.by_name.get(name, {})
         seen = owners.pop(owner, None)
         if seen is not None:
@@ -266,7 +274,7 @@
             self.by_name.pop(name, None)
 
     def forget_owner(self, owner: str) -> None:
-        """Forgets all registers of a member."""
+        """Discards all registers of a member."""
         for name in list(self.by_owner.get(owner, {})):
             self.forget(owner, name)
         self.by_owner.pop(owner, None)
@@ -274,7 +282,7 @@
         self._confirmed_at.pop(owner, None)
 
     def _swept_sequence(self, subject: str) -> int:
-        """Returns the highest sequence of the own registers that were swept in this incarnation."""
+        """Returns the highest swept sequence of the own registers in this incarnation; 0 if none."""
         incarnation, sequence = self.swept_up_to.get((self.own_name, subject), (0, 0))
         return sequence if incarnation == self.incarnation else 0
 
@@ -285,9 +293,10 @@
             self.by_owner[register.owner][register.name] = seen
 
     def _has_room(self, register: Register) -> bool:
-        """Returns whether a register that is not known is taken: not one that was swept, or over a limit.
+        """Returns whether an unknown register is accepted; it is not if it was swept or exceeds a limit.
 
-        Guards against registers of one subject that take the room of another's: of wallets, an abort's.
+        The limits are per subject, so that the registers of one subject, such as those of wallets, cannot
+        take the space of another's, such as the abort of a canary.
         """
         subject = subject_of(register.name)
         if register.order <= self.swept_up_to.get((register.owner, subject), (0, 0)):
@@ -307,8 +316,8 @@
 
     def _put(self, heard_at: float, register: Register, toward: tuple[str, ...] = ()) -> None:
         known = self.by_name.get(register.name, {}).get(register.owner)
-        is_new_of_others = known is None and register.owner != self.own_name
-        self.counts[subject_of(register.name)] += is_new_of_others
+        is_new_from_other = known is None and register.owner != self.own_name
+        self.counts[subject_of(register.name)] += is_new_from_other
         if known is not None:
             self._flip_digest(known.register)
         self._flip_digest(register)
@@ -318,9 +327,9 @@
     def _place(self, seen: SeenRegister) -> None:
         register = seen.register
         self.by_name.setdefault(register.name, {})[register.owner] = seen
-        of_owner = self.by_owner.setdefault(register.owner, {})
-        of_owner.pop(register.name, None)
-        of_owner[register.name] = seen
+        owned = self.by_owner.setdefault(register.owner, {})
+        owned.pop(register.name, None)
+        owned[register.name] = seen
         if register.name.startswith(SWEPT):
             text = register.value.partition(b" ")[0]
             sequence = int(text) if text.isdigit() and len(text) <= MAX_SEQUENCE_DIGITS else 0
@@ -328,6 +337,6 @@
             self.swept_up_to[register.owner, subject] = register.incarnation, sequence
 
     def _flip_digest(self, register: Register) -> None:
-        """Adds the register to its owner's digests, or takes it away."""
+        """Adds the register to its owner's digests, or removes it if it was added before."""
         digests = self._digests.setdefault(register.owner, [0] * PARTITIONS)
         digests[partition_of(register.name)] ^= register.digest
--- a/rainspindle/program/fleet/members.py
+++ b/rainspindle/program/fleet/members.py
@@ -1,4 +1,4 @@
-"""Membership on sockets: where this process listens, its incarnation, its log and its console call."""
+"""Runs membership on a UDP socket, and provides its configuration, incarnation file, log and console data."""
 
 from __future__ import annotations
 
@@ -29,28 +29,30 @@
 
 log = logging.getLogger("rainspindle.members")
 
-LIFE_KIND = 3  # of the stored file with the incarnation
-LIFE_VERSION = 1
-MOST_LIFE = 64  # bytes
+LIFE_KIND = 3  # kind number of the stored file with the incarnation
+LIFE_VERSION = 1  # version of its format
+MOST_LIFE = 64  # maximum size of its content in bytes
 MAX_SEEDS = 64
-RANDOM_BITS = 12  # of an incarnation below its milliseconds, so that no two processes have one
+RANDOM_BITS = (
+    12  # random low bits of an incarnation below its milliseconds, so that processes get distinct ones
+)
 NANOSECONDS_PER_MILLISECOND = 1_000_000
-ANY_ADDRESS = ("0.0.0.0", "::")  # hosts that stand for all addresses of the machine
-ANY_LISTEN = ("0.0.0.0", "[::]")  # the same with a port behind
-ERRORS = {"members: another process has this name", "members: incarnation not persisted"}
-QUIET = {"members: unreadable message", "members: log lines suppressed"}
+WILDCARD_HOSTS = ("0.0.0.0", "::")  # hosts that stand for all addresses of the machine
+WILDCARD_LISTEN_HOSTS = ("0.0.0.0", "[::]")  # the same as written in `listen`, before the port
+ERROR_EVENTS = {"members: another process has this name", "members: incarnation not persisted"}
+DEBUG_EVENTS = {"members: unreadable message", "members: log lines suppressed"}
 
 
 class MembersConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """`[members]` of the fleet file.
+    """The `[members]` section of the fleet file.
 
     Attributes:
-        fleet: Members of another fleet are strangers.
-        listen: Numeric address and port for datagrams.
-        name: The member's name; the sidecar's if empty.
-        advertise: Where the others reach it; `listen` if empty.
-        seeds: Addresses of some others.
-        folder: Of this member alone, which outlasts it; empty where there is none.
+        fleet: Name of the fleet; messages of other fleets are dropped.
+        listen: Numeric address and port on which datagrams are received.
+        name: Name of the member; empty for the sidecar's name.
+        advertise: Address at which the others reach this member; empty for `listen`.
+        seeds: Addresses of some other members, contacted in order to join.
+        folder: Folder of this member alone that survives restarts; empty if there is none.
     """
 
     fleet: str
@@ -62,13 +64,13 @@
 
 
 class AddressInUseError(Trouble):
-    """The members' address cannot be listened on."""
+    """The address in `members.listen` cannot be bound."""
 
-    remedy = "give `members.listen` a free address of this machine, or end what listens there"
+    remedy = "set `members.listen` to a free address of this machine, or stop the process that listens there"
 
 
 def unfit(table: MembersConfig, config: Config) -> Iterator[str]:
-    """Yields each fault between values that are well formed, with its path."""
+    """Yields a message for each invalid value of the section, beginning with its path."""
     if not 1 <= len(table.fleet) <= MAX_NAME:
         yield f"members.fleet: is {table.fleet!r:.40}; expected a name of 1 to {MAX_NAME} characters"
     name = table.name or config.name
@@ -78,7 +80,7 @@
         yield f"members.seeds: {len(table.seeds)} addresses; expected {MAX_SEEDS} at most"
     yield from _unfit_addresses(table)
     if table.folder and not Path(table.folder).is_dir():
-        yield f"members.folder: {table.folder!r:.60} is no folder; make it, or leave the key out"
+        yield f"members.folder: {table.folder!r:.60} is not a folder; create it, or remove the setting"
 
 
 def _unfit_addresses(table: MembersConfig) -> Iterator[str]:
@@ -86,18 +88,18 @@
     for path, text in _addresses(table):
         try:
             host, port = parse_address(text)
-        except ValueError as fault:
-            yield f"{path}: {fault}"
+        except ValueError as error:
+            yield f"{path}: {error}"
             continue
         families.add(":" in host)
         if not port:
             yield f"{path}: is {text!r}; expected a port from 1 on"
-        if path != "members.listen" and host in ANY_ADDRESS:
+        if path != "members.listen" and host in WILDCARD_HOSTS:
             yield f"{path}: is {text!r}; expected an address that others can reach"
-    if not table.advertise and table.listen.rpartition(":")[0] in ANY_LISTEN:
-        yield "members.advertise: missing; needed where `members.listen` is for all addresses of the machine"
+    if not table.advertise and table.listen.rpartition(":")[0] in WILDCARD_LISTEN_HOSTS:
+        yield "members.advertise: missing; required if `members.listen` covers all addresses of the machine"
     if len(families) > 1:
-        yield "members.seeds: IPv4 and IPv6 together; all addresses of a fleet are of one kind"
+        yield "members.seeds: mixes IPv4 and IPv6; all addresses of a fleet must be of the same family"
 
 
 def _addresses(table: MembersConfig) -> Iterator[tuple[str, str]]:
@@ -114,15 +116,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipOptions:
-    """What the program knows beside the fleet file.
+    """Settings of the program that do not come from the fleet file.
 
     Attributes:
-        on_changed: Called with each change of a member: the time, it before, and after.
-        has_successor: Tells whether a later process of this sidecar runs beside this one.
-        shares_address: Whether it may, so that both listen at one address.
-        incarnation_above: One that was kept elsewhere, which the own must exceed.
-        tuning: The figures.
-        seed: Of all chance; drawn if None.
+        on_changed: Called for each change of a member with the time, the member before (None if it is new)
+            and the member after.
+        has_successor: Returns whether a later process of this sidecar runs alongside this one.
+        shares_address: Whether a successor may run alongside, so that both listen on one address.
+        incarnation_above: Incarnation stored elsewhere, which this process's must exceed.
+        tuning: Protocol parameters.
+        seed: Seed of the pseudo-random generator; random if None.
     """
 
     on_changed: Callable[[float, Member | None, Member], None] = _ignore_change
@@ -134,17 +137,17 @@
 
 
 class IncarnationFile:
-    """Keeps the incarnation in the member's folder, so that each start has a higher one."""
+    """Stores the incarnation in the member's folder, so that each start gets a higher one."""
 
     def __init__(self, folder: str, on_fault: Callable[[str], None]) -> None:
-        """Keeps nothing where `folder` is empty; `on_fault` is called with the reason of a fault."""
+        """Stores nothing if `folder` is empty; `on_fault` is called with the reason of a failure."""
         self._on_fault = on_fault
         self._file: StoredFile | None = None
         if folder:
             self._file = StoredFile(str(Path(folder) / "members.life"), LIFE_KIND, LIFE_VERSION, MOST_LIFE)
 
     def next(self, above: int) -> int:
-        """Returns an incarnation after every earlier one, by the clock and the file."""
+        """Returns an incarnation from the clock that exceeds `above` and the stored one, and stores it."""
         milliseconds = time.time_ns() // NANOSECONDS_PER_MILLISECOND
         incarnation = max(milliseconds << RANDOM_BITS | secrets.randbits(RANDOM_BITS), above + 1)
         if self._file is None:
@@ -153,37 +156,39 @@
             incarnation = max(incarnation, int(self._file.read()) + 1)
         except Missing:
             pass
-        except (Unfit, ValueError) as fault:
-            self._on_fault(str(fault))
-        self.keep(incarnation)
+        except (Unfit, ValueError) as error:
+            self._on_fault(str(error))
+        self.store(incarnation)
         return incarnation
 
-    def keep(self, incarnation: int) -> None:
-        """Writes the incarnation."""
+    def store(self, incarnation: int) -> None:
+        """Writes the incarnation to the file, if there is a folder."""
         if self._file is None:
             return
         try:
             self._file.write(b"%d" % incarnation, "new")
-        except OSError as fault:
-            self._on_fault(fault.strerror or str(fault))
+        except OSError as error:
+            self._on_fault(error.strerror or str(error))
 
 
 class MembershipComponent:
-    """One member while its process lasts: the host of `Membership`, and what the program asks of it.
+    """Runs `Membership` as its host, and is the interface of the program to it.
 
     Attributes:
+        table: The `[members]` section of the fleet file.
+        own_name: Name of this member.
         wire: The socket; None while a successor has the address.
         cells: The registers that members share.
-        members: The membership.
+        members: The membership protocol.
     """
 
     def __init__(
         self, loop: Loop, table: MembersConfig, config: Config, options: MembershipOptions | None = None
     ) -> None:
-        """Begins to listen.
+        """Starts to listen and joins the fleet.
 
         Raises:
-            AddressInUseError: The address cannot be had.
+            AddressInUseError: The address cannot be bound.
         """
         options = options or MembershipOptions()
         self.table = table
@@ -208,59 +213,65 @@
         self.members.dissemination.wake = self._ticker.wake
         self._log_start(bound.address, advertise)
 
-    # The host of the membership.
+    # Host of the membership.
 
     def send(self, to: Address, datagram: bytes) -> None:
-        """Sends a datagram, unless a successor has the address."""
+        """Sends a datagram; drops it while a successor has the address."""
         if self.wire is not None:
             self.wire.send(to, datagram)
 
     def on_member_changed(self, before: Member | None, after: Member) -> None:
-        """Keeps an own incarnation that was raised, and passes the change on."""
+        """Stores this process's incarnation if it was raised, and passes the change on."""
         if after.name == self.own_name and before is not None and before.incarnation != after.incarnation:
-            self._incarnations.keep(after.incarnation)
+            self._incarnations.store(after.incarnation)
         self._options.on_changed(self._loop.now(), before, after)
 
     def log(self, event: str, **fields: object) -> None:
-        """Logs an event, at the level that it deserves."""
-        level = logging.ERROR if event in ERRORS else logging.DEBUG if event in QUIET else logging.INFO
+        """Logs an event: as an error, at debug level or at info level, depending on the event."""
+        level = (
+            logging.ERROR
+            if event in ERROR_EVENTS
+            else logging.DEBUG
+            if event in DEBUG_EVENTS
+            else logging.INFO
+        )
         log.log(level, event, extra={"fields": fields})
 
-    # What the program asks.
+    # Interface of the program.
 
     def view(self) -> MembershipView:
-        """Returns what the users of the membership may ask."""
+        """Returns the read-only view for the users of the membership."""
         return self.members
 
     def publish_load_report(self, text: str) -> None:
-        """Sends a load report of 256 bytes at most; what comes goes to `members.on_load_report`."""
+        """Sends a load report of at most 256 characters; received ones go to `members.on_load_report`."""
         self.members.publish_load_report(self._loop.now(), text)
 
     def reload(self, table: MembersConfig) -> list[str]:
-        """Takes over new seeds; returns the keys that need a restart."""
-        later = [
+        """Applies new seeds; returns the paths of the changed settings that need a restart."""
+        needs_restart = [
             f"members.{key}"
             for key in ("name", "fleet", "listen", "advertise", "folder")
             if getattr(table, key) != getattr(self.table, key)
         ]
         self.table = table
         self.members.set_seeds(_seeds(table))
-        return later
+        return needs_restart
 
     def leave(self) -> None:
-        """Tells the others that this process shuts down, which is no failure."""
+        """Announces that this process shuts down, so that others do not treat it as failed."""
         self.members.leave(self._loop.now())
         self._ticker.wake()
 
     def close(self) -> None:
-        """Stops listening."""
+        """Stops listening and the timer."""
         self._closed = True
         if self.wire is not None:
             self.wire.close()
             self.wire = None
 
     def to_json(self) -> Mapping[str, Any]:
-        """Returns the body of `GET /-/members`."""
+        """Returns the response body of `GET /-/members`."""
         return {
             "self": self.own_name,
             "members": [self._member_to_json(member) for member in self.members.members()],
@@ -270,13 +281,13 @@
         }
 
     def metrics(self) -> Mapping[str, object]:
-        """Returns figures for the log's last line."""
+        """Returns the metrics for the final log line."""
         return {
             f"members_{name}" if name != "members" else name: value
             for name, value in self.members.metrics().items()
         }
 
-    # On the loop.
+    # Event loop.
 
     def _bind(self) -> Wire:
         try:
@@ -288,9 +299,11 @@
                 self._after_datagrams,
                 self._options.shares_address,
             )
-        except OSError as fault:
-            reason = fault.strerror or fault
-            raise AddressInUseError(f"members.listen: {address_text(self._listen)}: {reason}") from None
+        except OSError as error:
+            reason = error.strerror or error
+            raise AddressInUseError(
+                f"members.listen: cannot bind {address_text(self._listen)}: {reason}"
+            ) from None
 
     def _on_datagram(self, sender: Address, data: bytes) -> None:
         self.members.on_datagram(self._loop.now(), data)
@@ -308,7 +321,7 @@
             yield math.inf
 
     def _release_address(self) -> None:
-        """Leaves the shared address to a successor that has the name, or takes it back."""
+        """Releases the shared address while a successor has the name, or binds it again afterwards."""
         if not self._options.shares_address or self._closed:
             return
         is_handed_over = self.members.names.is_handed_over
@@ -318,8 +331,8 @@
         elif not is_handed_over and self.wire is None:
             try:
                 self.wire = self._bind()
-            except AddressInUseError as fault:
-                self.log("members: not listening", why=str(fault))
+            except AddressInUseError as error:
+                self.log("members: cannot listen", why=str(error))
 
     def _on_incarnation_fault(self, reason: str) -> None:
         self.log("members: incarnation not persisted", why=reason, goes_by="the clock")
@@ -340,12 +353,12 @@
         )
 
     def _member_to_json(self, member: Member) -> dict[str, object]:
-        silent = max(self._loop.now() - member.heard_at, 0.0) if member.name != self.own_name else 0.0
+        silence = max(self._loop.now() - member.heard_at, 0.0) if member.name != self.own_name else 0.0
         return {
             "name": member.name,
             "state": member.status.value,
             "life": member.incarnation,
-            "heard": round(silent, 3),
+            "heard": round(silence, 3),
             "address": address_text(member.address),
         }
 
@@ -354,9 +367,9 @@
         faults = []
         if names.other_address:
             text = f"another process at {names.other_address} has this name too; give each its own name"
-            faults.append(text + (", this one keeps quiet until then" if names.is_silenced else ""))
+            faults.append(text + ("; this process is silenced until then" if names.is_silenced else ""))
         if names.is_handed_over:
-            faults.append("the process of this sidecar beside this one has the name")
+            faults.append("the successor process of this sidecar has taken over the name")
         return faults
 
 
--- a/rainspindle/protocol/members.py
+++ b/rainspindle/protocol/members.py
@@ -1,9 +1,9 @@
-"""What members tell one another: one MessagePack map a datagram, 1,200 bytes at most. No I/O.
+"""Wire format of the membership protocol: one MessagePack map per datagram of at most 1,200 bytes. No I/O.
 
-Each message names its fleet, its sender and the sender's incarnation, and carries the release's VERSION with
-the lowest version that can read it. Keys that a reader does not know, further items at the end of a list, and
-kinds that it does not know are ignored, so that two releases can stand side by side. The keys on the wire are
-single letters; KEYS maps the fields to them.
+Each message names its fleet, its sender and the sender's incarnation, and carries the VERSION of the sender's
+release and the lowest version able to read it. Readers ignore unknown keys, additional items at the end of a
+list and unknown kinds, so that two releases can run side by side. Keys on the wire are one or two letters;
+KEYS maps the fields to them.
 """
 
 from __future__ import annotations
@@ -19,39 +19,39 @@
 from ..errors import Trouble
 from ..transport.address import Address
 
-VERSION = 1  # of this release
-LOWEST_READER = 1  # the lowest version of a reader that its messages can be read by
-MAX_DATAGRAM = 1200  # bytes, so that it crosses any usual line in one piece
+VERSION = 1  # version of this release's messages
+LOWEST_READER = 1  # lowest version of a reader that can read this release's messages
+MAX_DATAGRAM = 1200  # bytes; passes usual networks without fragmentation
 MAX_NAME = 100  # characters of a member's name
-MAX_REGISTER_NAME = 100
-MAX_REGISTER_VALUE = 900
-MAX_LOAD_REPORT = 256
-MAX_ITEMS = 100  # of a list
+MAX_REGISTER_NAME = 100  # characters
+MAX_REGISTER_VALUE = 900  # bytes
+MAX_LOAD_REPORT = 256  # characters
+MAX_ITEMS = 100  # items of a list
 MAX_REQUESTS = 16
-LIST_OVERHEAD = 48  # bytes kept for what stands around the lists
-TABLE_PARTITIONS = 64  # digests over the members that one knows
-REGISTER_PARTITIONS = 64  # digests over one owner's registers (registers.PARTITIONS)
-DIGEST_BYTES = 4  # of each of them
-IPV4_BYTES = 6  # of an address with its port
+LIST_OVERHEAD = 48  # bytes reserved for the encoding of the lists around their items
+TABLE_PARTITIONS = 64  # digests of all members that the sender knows
+REGISTER_PARTITIONS = 64  # digests of one owner's registers; equal to registers.PARTITIONS
+DIGEST_BYTES = 4  # size of the digest of a partition
+IPV4_BYTES = 6  # size of a packed address with its port
 IPV6_BYTES = 18
 
 
 class MessageKind(IntEnum):
-    """What a message is for."""
+    """Purpose of a message."""
 
     PING = 1
     ACK = 2
-    NACK = 3  # a ping sent for another member was not answered
+    NACK = 3  # a ping sent on behalf of another member was not answered
     PING_REQUEST = 4
-    STATE = 5  # the sender's table digests; asks for what differs
+    STATE = 5  # carries the sender's table digests and requests the records that differ
     STATE_ANSWER = 6
-    UPDATE = 7  # updates alone
+    UPDATE = 7  # carries updates only
     LOAD_REPORT = 8
-    NAME_CONFLICT = 9
+    NAME_CONFLICT = 9  # the sender has the same name as the receiver and is silenced
 
 
 class Status(IntEnum):
-    """A member's status on the wire; of two with one incarnation and refutation the higher holds."""
+    """Status of a member on the wire; at equal incarnation and refutation the higher one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -66,34 +66,34 @@
 
 
 class UnreadableMessageError(Trouble, ValueError):
-    """A datagram that is no member's, or is cut or damaged."""
+    """A datagram that is not a member's message, or that is truncated or damaged."""
 
-    remedy = "look for what else sends to this address; members listen on a port of their own"
+    remedy = "find out what else sends to this address; members need a port of their own"
 
 
 class IncompatibleReleaseError(UnreadableMessageError):
-    """A message of a release that this one cannot read."""
+    """A message of a newer release that this one cannot read."""
 
-    remedy = "bring this sidecar to the release of the others"
+    remedy = "upgrade this sidecar to the release of the others"
 
 
 class ForeignFleetError(UnreadableMessageError):
-    """A message of a fleet of another name."""
+    """A message of a fleet with another name."""
 
-    remedy = "see that the fleets have seeds and addresses of their own, or one name in `members.fleet`"
+    remedy = "give each fleet its own seeds and addresses, or give both the same name in `members.fleet`"
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What is told of one member.
+    """State of one member as the sender believes it to be.
 
     Attributes:
-        name: The member.
-        address: Where it hears the others.
-        incarnation: Of its process; grows from start to start.
-        refutation: Grows within an incarnation, by the member alone.
-        status: As believed by the sender.
-        suspected_by: Of a suspicion: who has it.
-        age: Of the dead and those who left: whole seconds for which they are.
+        name: Name of the member.
+        address: Packed address at which the member receives datagrams.
+        incarnation: Number of the member's start; increases with each start.
+        refutation: Number that the member alone increases within an incarnation.
+        status: A `Status`.
+        suspected_by: Name of a member that suspects it; empty if it is not suspected.
+        age: For a member that is dead or left, the whole seconds since then.
     """
 
     name: Name
@@ -106,7 +106,7 @@
 
 
 class RegisterUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """One register, and the milliseconds since its owner is known to have held it."""
+    """One register; `age` is the time in milliseconds since its owner last verifiably held it."""
 
     owner: Name
     name: Annotated[str, msgspec.Meta(max_length=MAX_REGISTER_NAME)]
@@ -117,7 +117,7 @@
 
 
 class RegisterDigest(msgspec.Struct, array_like=True, frozen=True):
-    """All registers of one owner in eight bytes, and the milliseconds since it is known to have had them."""
+    """Digest of all registers of one owner; `age` is the time in milliseconds since it had exactly these."""
 
     owner: Name
     incarnation: Incarnation
@@ -126,14 +126,14 @@
 
 
 class RegisterRequest(msgspec.Struct, array_like=True, frozen=True):
-    """The sender's digests of one owner's registers: it wants those where the reader has others."""
+    """The sender's partition digests of one owner's registers, to request the registers that differ."""
 
     owner: Name
     digests: Annotated[bytes, msgspec.Meta(max_length=REGISTER_PARTITIONS * DIGEST_BYTES)]
 
 
 class Header(msgspec.Struct, rename={"version": "v", "lowest_reader": "r", "fleet": "f"}):
-    """What is read of a message that cannot be read whole."""
+    """Fields that are read from a message that cannot be decoded completely, to explain why."""
 
     version: Small
     lowest_reader: Small
@@ -163,27 +163,27 @@
 
 
 class Message(msgspec.Struct, rename=KEYS, omit_defaults=True):
-    """One datagram as it is read.
+    """One received datagram.
 
     Attributes:
-        version: The sender's release.
-        lowest_reader: The lowest version that can read it.
-        fleet: The fleet's name.
-        sender: The member's name.
-        incarnation: Of its process.
-        refutation: Its own, within the incarnation.
-        address: Where the sender hears the others.
-        number: Grows with each datagram of an incarnation.
-        kind: A MessageKind, or one of a later release.
-        echo: Of an answer: the number of what it answers.
-        target: Whom a ping is for, or is to be sent to.
-        target_address: The target's, where a ping is to be sent on.
-        member_updates: News of members.
-        register_updates: News of registers.
-        register_digests: Of the registers of some owners.
-        register_requests: For registers that the sender has otherwise.
-        table_digests: Of all members that the sender knows.
-        load_report: A message of the balancer.
+        version: Message version of the sender's release.
+        lowest_reader: Lowest version of a reader that can read the message.
+        fleet: Name of the fleet.
+        sender: Name of the sending member.
+        incarnation: Incarnation of the sender.
+        refutation: Refutation number of the sender.
+        address: Packed address at which the sender receives datagrams.
+        number: Number of the datagram; increases within an incarnation.
+        kind: A `MessageKind`, or a number that a later release introduced.
+        echo: In an answer, the number of the datagram that it answers.
+        target: Name of the member that a ping is meant for, or that is to be pinged.
+        target_address: In a ping request, the packed address to ping.
+        member_updates: Updates of members.
+        register_updates: Updates of registers.
+        register_digests: Digests of the registers of some owners.
+        register_requests: Requests for registers that the sender has in another state.
+        table_digests: Digests of all members that the sender knows.
+        load_report: Load report of the balancer.
     """
 
     version: Small
@@ -207,9 +207,9 @@
 
 
 class OutgoingMessage(msgspec.Struct, rename=KEYS, omit_defaults=True):
-    """One datagram as it is written: what its lists hold is encoded already, so that its size is known.
+    """One datagram to be sent; the items of its lists are encoded already, so that their size is known.
 
-    The fields are those of Message.
+    The fields are those of `Message`.
     """
 
     version: int
@@ -238,12 +238,12 @@
 
 
 def raw(item: MemberUpdate | RegisterUpdate | RegisterDigest | RegisterRequest) -> msgspec.Raw:
-    """Encodes an item of a list."""
+    """Encodes an item of one of the lists of a message."""
     return msgspec.Raw(_encode(item))
 
 
 def encode(message: OutgoingMessage | Message) -> bytes:
-    """Encodes a message."""
+    """Encodes a message without checking its size."""
     return _encode(message)
 
 
@@ -251,10 +251,12 @@
     """Decodes a datagram of `fleet`.
 
     Raises:
-        UnreadableMessageError: It is no such message; a subclass tells why where that can be read.
+        IncompatibleReleaseError: The message requires a newer reader.
+        ForeignFleetError: The message belongs to another fleet.
+        UnreadableMessageError: The datagram is not a valid message for any other reason.
     """
     if len(data) > MAX_DATAGRAM:
-        raise UnreadableMessageError(f"a datagram of over {MAX_DATAGRAM} bytes")
+        raise UnreadableMessageError(f"datagram too long: expected at most {MAX_DATAGRAM} bytes")
     try:
         message = _decode_message(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
@@ -262,16 +264,18 @@
     if message.lowest_reader > VERSION or message.fleet != fleet:
         raise _explain(data, fleet, "")
     if not _has_valid_addresses(message):
-        raise UnreadableMessageError("an address that is none")
+        raise UnreadableMessageError(
+            f"invalid address: expected {IPV4_BYTES} or {IPV6_BYTES} bytes with a port other than 0"
+        )
     return message
 
 
 @functools.lru_cache(8192)
 def pack_address(address: Address) -> bytes:
-    """Encodes an address.
+    """Encodes an address as 6 (IPv4) or 18 (IPv6) bytes.
 
     Raises:
-        OSError: The host is not numeric.
+        OSError: The host is not a numeric IP address.
     """
     host, port = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -280,30 +284,33 @@
 
 @functools.lru_cache(8192)
 def unpack_address(packed: bytes) -> Address:
-    """Decodes what `pack_address` has encoded."""
+    """Decodes an address encoded by `pack_address`."""
     family = socket.AF_INET if len(packed) == IPV4_BYTES else socket.AF_INET6
     return socket.inet_ntop(family, packed[:-2]), int.from_bytes(packed[-2:], "big")
 
 
 def _explain(data: bytes, fleet: str, fault: str) -> UnreadableMessageError:
-    """Returns the reason, as far as the message's header can be read."""
+    """Returns the error for an unreadable message, as specific as its header allows."""
     try:
         header = _decode_header(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        return UnreadableMessageError(f"not a member's message: {fault}")
+        return UnreadableMessageError(f"not a membership message: {fault}")
     if header.lowest_reader > VERSION:
         return IncompatibleReleaseError(
-            f"a message of version {header.version}, for readers of {header.lowest_reader} on"
+            f"message of version {header.version} requires a reader of version {header.lowest_reader};"
+            f" this release has version {VERSION}"
         )
     if header.fleet != fleet:
-        return ForeignFleetError(f"a message of fleet {header.fleet!r}")
-    return UnreadableMessageError(f"not a member's message: {fault}")
+        return ForeignFleetError(f"message of fleet {header.fleet!r}; expected fleet {fleet!r}")
+    return UnreadableMessageError(f"not a membership message: {fault}")
 
 
 def _has_valid_addresses(message: Message) -> bool:
     if message.target_address and not _is_address(message.target_address):
         return False
-    return _is_address(message.address) and all(_is_address(one.address) for one in message.member_updates)
+    return _is_address(message.address) and all(
+        _is_address(update.address) for update in message.member_updates
+    )
 
 
 def _is_address(packed: bytes) -> bool:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -627,7 +627,7 @@
     for process in world.running():
         spread = process.members.messenger.registers
         assert spread is not None
-        spread.keep = 30.0
+        spread.retention = 30.0
         process.cells.write(world.now, "x/a", b"1")
     world.run(world.now + 5)
     world.kill("m5")
@@ -637,7 +637,7 @@
     assert world.run_until(lambda: len(newcomer.cells.named("x/a")) == 6, 10)
     spread = newcomer.members.messenger.registers
     assert spread is not None
-    spread.keep = 30.0
+    spread.retention = 30.0
     world.run(world.now + 40)
     assert not any("m5" in p.cells.named("x/a") for p in world.running())
     assert all(len(p.cells.named("x/a")) == 5 for p in world.running())
