--- a/rainspindle/decisions/canary/burn.py
+++ b/rainspindle/decisions/canary/burn.py
@@ -1,9 +1,12 @@
-"""Whether the new side burns its budget: two windows, each with its burn rate, the old side as yardstick.
+"""Multi-window burn rates of a canary's error budget, with the old side as the baseline.
+
+The new side is the variant under test; the old side is what it is compared with.
 
 Source: Beyer, Murphy, Rensin, Kawahara, Thorne (eds.), "The Site Reliability Workbook" (2018), chapter 5:
-an alert wants the burn rate over its limit in a long window, so that it matters, and in a short one, so that
-it has not ended. Departed from in two points: the rate is what goes beyond the old side's, and what chance
-may make of a release that keeps its budget is no sign.
+an alert requires the burn rate to exceed its limit in a long window, which shows that the fault matters, and
+in a short one, which shows that it is still going on. This module departs from it in two points: only
+failures beyond the old side's count, and a result that a release within its budget may show by chance does
+not count.
 """
 
 from __future__ import annotations
@@ -15,10 +18,11 @@
 from .counts import EFFECTS, TURNED, Sums, at
 from .terms import Terms
 
-# Guards against false stops where few exchanges are seen: failures that a release within its budget makes
-# once in so many looks are no sign. May hurt where traffic is thin: a bad release is let go on for some more.
-CHANCE = math.log(1e5)
-UNEVEN = 1.25  # a trouble of the whole fleet does not fall on both sides alike: times the old side's rate
+# Guards against false stops at low traffic: a failure count that a release within its budget reaches once in
+# 1e5 evaluations is not taken as evidence. Too strict at low traffic: a bad release continues for longer.
+MIN_EVIDENCE = math.log(1e5)
+# Times the old side's failure share: a fault of the whole fleet does not hit both sides equally.
+BASELINE_MARGIN = 1.25
 GROUPS: tuple[tuple[str, tuple[int, ...]], ...] = (
     ("all", tuple(range(len(EFFECTS)))),
     *((effect.value, (n,)) for n, effect in enumerate(EFFECTS)),
@@ -26,69 +30,81 @@
 
 
 class Level(IntEnum):
-    SOUND = 0
-    OVER = 1  # burns faster than its budget allows: it goes on, and not forward
+    """What the burn rates of a group of requests call for, the most severe last."""
+
+    HEALTHY = 0
+    OVER_BUDGET = 1  # burns faster than its budget allows: the run continues but does not advance
     PAUSE = 2
     ABORT = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Burn:
-    """Of one group of exchanges."""
+    """The burn rates of one group of requests."""
 
     group: str
-    new: tuple[int, int]  # in the long window: all, and those failed or late
+    new: tuple[int, int]  # requests in the long window: all, and those that failed or were late
     old: tuple[int, int]
-    long: float  # burn rates: times the budget
-    short: float
+    long_rate: float  # multiples of the rate that the budget allows
+    short_rate: float
     level: Level
 
 
-def counted(sums: Sums, new: bool, kinds: tuple[int, ...]) -> tuple[int, int]:
-    return sum(sums[at(new, kind)] for kind in kinds), sum(sums[at(new, kind, True)] for kind in kinds)
+def totals(sums: Sums, new: bool, classes: tuple[int, ...]) -> tuple[int, int]:
+    """Requests of one side in these classes: all, and those that failed or were late."""
+    return sum(sums[at(new, index)] for index in classes), sum(
+        sums[at(new, index, True)] for index in classes
+    )
+
 
+def baseline_share(old: tuple[int, int]) -> float:
+    """The share of requests that may fail on the new side without counting against it.
 
-def yardstick(old: tuple[int, int]) -> float:
-    """What the old side fails at; with few exchanges more than was seen, with none all of them."""
-    return min(1.0, UNEVEN * (old[1] + 1) / (old[0] + 1))
+    One failed request is added to those of the old side, so with few requests the share is higher than what
+    was seen, and with none it is 1.
+    """
+    return min(1.0, BASELINE_MARGIN * (old[1] + 1) / (old[0] + 1))
 
 
-def rate(new: tuple[int, int], old: tuple[int, int], budget: float) -> float:
-    return max(0.0, new[1] / new[0] - yardstick(old)) / budget if new[0] else 0.0
+def burn_rate(new: tuple[int, int], old: tuple[int, int], budget: float) -> float:
+    """The share of failed requests beyond the baseline, as a multiple of the budget."""
+    return max(0.0, new[1] / new[0] - baseline_share(old)) / budget if new[0] else 0.0
 
 
-def more_than_chance(new: tuple[int, int], share: float) -> bool:
-    """By Chernoff's bound on the tail of a binomial distribution."""
-    n, part = new[0], new[1] / new[0] if new[0] else 0.0
-    if not n or part <= share or share >= 1:
+def is_significant(new: tuple[int, int], expected_share: float) -> bool:
+    """Whether chance is ruled out by the Chernoff bound on the tail of a binomial distribution."""
+    count, share = new[0], new[1] / new[0] if new[0] else 0.0
+    if not count or share <= expected_share or expected_share >= 1:
         return False
-    far = part * math.log(part / share) + ((1 - part) * math.log((1 - part) / (1 - share)) if part < 1 else 0)
-    return n * far > CHANCE
+    divergence = share * math.log(share / expected_share) + (
+        (1 - share) * math.log((1 - share) / (1 - expected_share)) if share < 1 else 0
+    )
+    return count * divergence > MIN_EVIDENCE
 
 
 def look(terms: Terms, long: Sums, short: Sums) -> list[Burn]:
-    """All groups: the exchanges together, and those of each effect, as a release may fail for one alone."""
+    """Evaluates all requests together, then those of each idempotency: a release may fail for one alone."""
     found = []
-    for group, kinds in GROUPS:
-        new, old = counted(long, True, kinds), counted(long, False, kinds)
-        burns = (
-            rate(new, old, terms.budget),
-            rate(counted(short, True, kinds), counted(short, False, kinds), terms.budget),
+    for group, classes in GROUPS:
+        new, old = totals(long, True, classes), totals(long, False, classes)
+        rates = (
+            burn_rate(new, old, terms.budget),
+            burn_rate(totals(short, True, classes), totals(short, False, classes), terms.budget),
         )
-        level = Level.OVER if burns[0] > 1 else Level.SOUND
-        if more_than_chance(new, min(yardstick(old) + terms.budget, 1.0)):
+        level = Level.OVER_BUDGET if rates[0] > 1 else Level.HEALTHY
+        if is_significant(new, min(baseline_share(old) + terms.budget, 1.0)):
             level = (
                 Level.ABORT
-                if min(burns) >= terms.abort_at
+                if min(rates) >= terms.abort_at
                 else Level.PAUSE
-                if min(burns) >= terms.pause_at
+                if min(rates) >= terms.pause_at
                 else level
             )
-        found.append(Burn(group, new, old, *burns, level))
+        found.append(Burn(group, new, old, *rates, level))
     return found
 
 
-def turned_away(sums: Sums) -> float:
-    """The part of the new side's exchanges that its endpoints had no room for."""
-    turned, all_new = sums[at(True, TURNED)], counted(sums, True, GROUPS[0][1])[0]
-    return turned / (turned + all_new) if turned else 0.0
+def rejected_share(sums: Sums) -> float:
+    """The share of the new side's requests that were rejected because its endpoints had no capacity."""
+    rejected, answered = sums[at(True, TURNED)], totals(sums, True, GROUPS[0][1])[0]
+    return rejected / (rejected + answered) if rejected else 0.0
--- a/rainspindle/decisions/canary/canary.py
+++ b/rainspindle/decisions/canary/canary.py
@@ -1,6 +1,8 @@
-"""One canary as one sidecar sees it: which keys are in, when a stage goes forward, when it ends.
+"""The canary decisions of one sidecar.
 
-No I/O, no clock, no chance: the time is passed in, and it acts through its host.
+Decides which keys go to the new side, when the run advances to its next stage, and when it pauses or aborts.
+It does no I/O and reads neither a clock nor random numbers: the time is passed in, and it acts through its
+host.
 """
 
 from __future__ import annotations
@@ -18,134 +20,163 @@
 from ..members.member import Member, MemberStatus
 from . import burn, counts, state
 from .burn import Burn, Level
-from .counts import COARSE, EFFECTS, FINE, TURNED, Heard, Ring, Sums, Told, Window, at
-from .state import MARK, MOST_PARDONED, State
+from .counts import COARSE, EFFECTS, FINE, TURNED, PeerReport, ReportedWindow, Ring, Sums, Told, at
+from .state import MARK_BYTES, MAX_PARDONED, State
 from .terms import Terms, point
 
 
-class CanaryTrouble(Trouble):
-    """What a canary cannot do as it stands."""
+class CanaryError(Trouble):
+    """A call that the current state of the canary does not allow."""
 
-    remedy = "look at GET /-/canaries for what the canary is waiting for"
+    remedy = "see GET /-/canaries for what the canary is waiting for"
 
 
-class NoRun(CanaryTrouble):
-    remedy = "begin one with POST /-/canaries/NAME/start"
+class NoRunError(CanaryError):
+    """The call needs a run, and none was ever started."""
 
+    remedy = "start one with POST /-/canaries/NAME/start"
 
-class RunUnderWay(CanaryTrouble):
-    remedy = "end it first with POST /-/canaries/NAME/abort"
 
+class RunInProgressError(CanaryError):
+    """A run cannot be started because another one has not been aborted."""
 
-class RunAborted(CanaryTrouble):
-    remedy = "an aborted run is not gone on with: begin a new one with POST /-/canaries/NAME/start"
+    remedy = "abort it first with POST /-/canaries/NAME/abort"
 
 
-class TooManyPauses(CanaryTrouble):
-    remedy = "end the run with POST /-/canaries/NAME/abort and begin a new one"
+class RunAbortedError(CanaryError):
+    """The call needs a run that is not aborted."""
+
+    remedy = "an aborted run cannot be continued: start a new one with POST /-/canaries/NAME/start"
+
+
+class TooManyPausesError(CanaryError):
+    """The state has no room for the pause marks that one more resume would remove."""
+
+    remedy = "abort the run with POST /-/canaries/NAME/abort and start a new one"
 
 
 class CanaryHost(Protocol):
-    """All that a canary can do."""
+    """The effects that a canary may have, and the members that it sees."""
 
     def tell_counts(self, now: float, value: bytes) -> None:
-        """Writes its own cell of counts, 900 bytes at most."""
+        """Writes this member's register of counts. `value` has 900 bytes at most."""
 
     def tell_state(self, now: float, value: bytes) -> None:
-        """Writes its own cell of state: a decision, to be told to all at once."""
+        """Writes this member's register of state, which is to reach all members at once."""
 
     def keep(self, value: bytes) -> None:
-        """Writes this to the folder, where there is one."""
+        """Persists `value` in the data folder, if there is one."""
 
     def members(self) -> Sequence[Member]:
-        """Itself among them."""
+        """All known members, this one included."""
 
-    def log(self, event: str, **fields: object) -> None: ...
+    def log(self, event: str, **fields: object) -> None:
+        """Writes a log line with these fields."""
 
 
 class Kept(msgspec.Struct, array_like=True):
-    """What outlasts the process."""
+    """What survives a restart of the process."""
 
     state: bytes
-    others: bool  # whether it ever knew a member beside itself
+    others: bool  # whether this sidecar ever knew another member
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """How many of the members were heard, by a look."""
+class Coverage:
+    """How many of the members, this one included, reported in time at the last update."""
 
     members: int = 1
-    heard: int = 1  # with counts that are fresh
-    level: int = 1  # and at the same stage, by the same terms
-    missing: tuple[str, ...] = ()
+    heard: int = 1  # members with a fresh report
+    level: int = 1  # of these, the members at the same stage by the same terms
+    missing: tuple[str, ...] = ()  # names of the members that are not among `level`
 
 
 class Canary:
-    TICK, IDLE = 0.25, 0.5  # seconds
-    LOOK, LOOK_EACH = 0.25, 0.001  # seconds between looks at the sums, and more of them a member
-    # Counts are told as often as EVERY, and of many members by turns: EACH seconds a member.
-    EVERY, EACH, FRESH = 1.0, 0.01, 4.0  # FRESH: times that, or seconds at least
-    HASTE = 0.25  # times that, where an exchange of the new side went bad since
-    STALL = 1.5  # seconds between ticks after which this process has been stopped
-    SETTLE = 0.3  # seconds after that in which what comes may have lain there meanwhile
-    ALONE = 3.0  # seconds after which a sidecar that never knew another goes by its own word
-    CARRIERS = 5  # members that carry the state in their cells, at least
-    PAUSE_TURN, PAUSE_LATEST = 0.02, 1.0  # seconds: who says what all see, the first in rank at once
-    STEP_TURN, STEP_LATEST = 0.2, 2.0
-    CARRY_AFTER = 1.0
-    MOST_TURNED = 0.2  # of the new side's exchanges turned away, over which no stage goes forward
-    HELD = 3.0  # seconds for which another's word of a pause, with no mark heard yet, holds a stage back
+    """One canary at one sidecar. The caller passes in results, registers of other members and the time."""
+
+    TICK_INTERVAL, IDLE_INTERVAL = 0.25, 0.5  # seconds between ticks, in a run and without one
+    # Seconds between evaluations of the window totals: the first at least, the second for each member.
+    LOOK, EVALUATION_INTERVAL_PER_MEMBER = 0.25, 0.001
+    # Counts are published once in EVERY seconds, in large fleets once in EACH seconds for each member. They
+    # are fresh for FRESH such intervals, and for FRESH seconds at least.
+    EVERY, EACH, FRESH = 1.0, 0.01, 4.0
+    URGENT_FACTOR = 0.25  # shortens the interval after a request failed or was late on the new side
+    STALL_THRESHOLD = 1.5  # a longer gap between ticks, in seconds, means that this process was stopped
+    SETTLE_TIME = 0.3  # seconds after a stall in which messages may date from before or during it
+    SOLO_AFTER = 3.0  # seconds after which a sidecar that never knew another member decides alone
+    CARRIERS = 5  # members that have the state in their register, at least
+    # A decision that all members see due is made by rank, to avoid duplicates: the first in rank makes it at
+    # once, each next one so many seconds later, and all after the maximum.
+    PAUSE_DELAY_PER_RANK, MAX_PAUSE_DELAY = 0.02, 1.0
+    ADVANCE_DELAY_PER_RANK, MAX_ADVANCE_DELAY = 0.2, 2.0
+    REPLICATE_AFTER = (
+        1.0  # seconds after a change of state before further members write it to their registers
+    )
+    MAX_REJECTED_SHARE = 0.2  # of the new side's requests; above this share the run does not advance
+    # Seconds for which another member's report of a pause blocks an advance while its mark has not arrived.
+    REPORTED_PAUSE_HOLD = 3.0
 
     def __init__(
         self,
         now: float,
         terms: Terms,
-        own: str,
-        life: int,
+        own_name: str,
+        incarnation: int,
         host: CanaryHost,
         kept: bytes | None = None,
         alone: bool = False,
     ) -> None:
-        """`alone`: judges by its own counts and hears nobody, as the baseline of the lab does."""
-        self.terms, self.own, self.life, self.host, self.alone = terms, own, life, host, alone
+        """Restores the state from `kept`, the value last passed to the host's `keep`.
+
+        With `alone` the canary judges by its own counts and ignores those of others; the lab's baseline does.
+        """
+        self.terms, self.own_name, self.incarnation, self.host, self.alone = (
+            terms,
+            own_name,
+            incarnation,
+            host,
+            alone,
+        )
         self.digest = terms.digest
         self.state = State()
-        self.others: dict[str, Heard] = {}
-        self.carried: dict[str, tuple[State, str]] = {}  # others' cells of state, each with its note
-        self.note, self.told_state = "", State()
-        self.marks, self.unread, self.known_others = 0, 0, False
+        self.peer_reports: dict[str, PeerReport] = {}
+        self.peer_states: dict[str, tuple[State, str]] = {}  # other members' registers of state, with notes
+        self.note, self.published_state = "", State()
+        self.marks_made, self.undecodable, self.had_peers = 0, 0, False
         self.own_marks: set[bytes] = set()
-        self.ticked = self.woke = now
-        self.confirmed_at = self.held_until = self.told_at = -math.inf
-        self.look_at, self.stage_at, self.changed_at = now, now, now
-        self.first_seen: dict[Level | None, float] = {}  # when this was first seen; None: that it may go on
+        self.last_tick_at = self.running_since = now
+        self.confirmed_at = self.advance_blocked_until = self.published_at = -math.inf
+        self.look_at, self.stage_since, self.changed_at = now, now, now
+        self.due_since: dict[Level | None, float] = {}  # since when a decision is due; None: the advance
         self.burns: list[Burn] = []
-        self.seen = Seen()
-        self.waits: list[str] = []
-        self.in_touch_before = self.differs = False
-        self.harmed, self.bad_since = 0, False
-        self.begin_counts(now)
+        self.coverage = Coverage()
+        self.unmet: list[str] = []
+        self.was_in_touch = self.terms_differ = False
+        self.harmed, self.failed_since_report = 0, False
+        self.reset_counts(now)
         if kept is not None:
             self.take_kept(now, kept)
 
-    def begin_counts(self, now: float) -> None:
+    def reset_counts(self, now: float) -> None:
+        """Empties this sidecar's windows and its request counts of the stage."""
         self.coarse, self.fine = Ring(now, self.terms.long, COARSE), Ring(now, self.terms.short, FINE)
-        self.stage_new = [0] * len(EFFECTS)
+        self.stage_requests = [0] * len(EFFECTS)
 
     def take_kept(self, now: float, kept: bytes) -> None:
+        """Restores the persisted state; logs a warning and starts without one if it cannot be decoded."""
         try:
-            told = msgspec.msgpack.decode(kept, type=Kept)
-            known, _ = state.decode(told.state)
-        except (msgspec.MsgspecError, ValueError) as fault:
-            self.host.log("canary state unreadable", canary=self.terms.name, why=fault)
+            persisted = msgspec.msgpack.decode(kept, type=Kept)
+            known, _ = state.decode(persisted.state)
+        except (msgspec.MsgspecError, ValueError) as error:
+            self.host.log("canary state unreadable", canary=self.terms.name, why=error)
             return
-        self.known_others = told.others
+        self.had_peers = persisted.others
         self.learn(now, known)
 
-    # Which side.
+    # Assignment of requests to a side.
 
     def part(self, now: float) -> float:
-        """Of the keys that go to the new side here and now."""
+        """The share of keys that this sidecar sends to the new side now, 0 to 1."""
         s = self.state
         if not s.run or s.aborted or s.digest != self.digest or not self.in_touch(now):
             return 0.0
@@ -153,114 +184,135 @@
         return self.terms.steps[stage].part if stage < len(self.terms.steps) else 1.0
 
     def in_touch(self, now: float) -> bool:
-        """Guards against a stage that has ended meanwhile: of a process that was stopped, or is cut off. May
-        hurt where the network drops all datagrams: the old side has all keys until they come again."""
-        return now - self.ticked <= self.STALL and now - self.confirmed_at <= self.terms.alone_after
+        """Whether this sidecar's state is recent enough to act on.
+
+        Guards against a stage that has ended in the meantime, in a process that was stopped or is partitioned
+        from the others. Too strict for a network that drops all datagrams: the old side receives all keys
+        until datagrams arrive again.
+        """
+        return (
+            now - self.last_tick_at <= self.STALL_THRESHOLD
+            and now - self.confirmed_at <= self.terms.alone_after
+        )
 
     def takes(self, now: float, key: str | None, request_id: str = "") -> bool:
-        """Whether an exchange goes to the new side. One with no key goes by its request's id, so that its
-        repeat goes the same way; with neither it takes the old side until all is new."""
+        """Whether a request goes to the new side.
+
+        A request without a key is assigned by its id, so that its retry takes the same side. One with neither
+        takes the old side until all keys are on the new one.
+        """
         part = self.part(now)
         if part <= 0.0 or part >= 1.0:
             return part >= 1.0
-        word = key or request_id
-        return bool(word) and point(self.terms.name, word) < part
+        assigned_by = key or request_id
+        return bool(assigned_by) and point(self.terms.name, assigned_by) < part
 
     def ended(self, now: float, new: bool, effect: Idempotency, bad: bool) -> None:
-        """An exchange has its answer; `bad`: it failed, or came after the promised time."""
+        """Counts a finished request. `bad`: it failed or exceeded its latency objective."""
         if not self.active:
             return
         kind = EFFECTS.index(effect)
-        places = (at(new, kind), at(new, kind, True)) if bad else (at(new, kind),)
-        self.coarse.add(now, *places)
-        self.fine.add(now, *places)
+        counters = (at(new, kind), at(new, kind, True)) if bad else (at(new, kind),)
+        self.coarse.add(now, *counters)
+        self.fine.add(now, *counters)
         if new:
-            self.stage_new[kind] += 1
+            self.stage_requests[kind] += 1
             self.harmed += bad
-            self.bad_since = self.bad_since or bad
+            self.failed_since_report = self.failed_since_report or bad
 
-    def turned(self, now: float, new: bool) -> None:
-        """One was turned away by a side with no forward."""
+    def record_rejection(self, now: float, new: bool) -> None:
+        """Counts a request that its side rejected without an attempt."""
         if self.active:
             self.coarse.add(now, at(new, TURNED))
             self.fine.add(now, at(new, TURNED))
 
     @property
     def active(self) -> bool:
-        """Whether a run by these terms is under way."""
+        """Whether a run by this sidecar's terms is in progress."""
         return bool(self.state.run) and not self.state.aborted and self.state.digest == self.digest
 
-    # News.
+    # Registers of other members.
 
     def heard_state(self, now: float, owner: str, value: bytes) -> None:
+        """Takes over another member's register of state; an empty value removes it."""
         if not value:
-            self.carried.pop(owner, None)
+            self.peer_states.pop(owner, None)
             return
         try:
-            self.carried[owner] = state.decode(value)
+            self.peer_states[owner] = state.decode(value)
         except ValueError:
-            self.unread += 1
+            self.undecodable += 1
             return
-        self.learn(now, self.carried[owner][0])
+        self.learn(now, self.peer_states[owner][0])
 
     def heard_counts(
-        self, now: float, owner: str, life: int, sequence: int, value: bytes, held: float = math.inf
+        self, now: float, owner: str, incarnation: int, sequence: int, value: bytes, held: float = math.inf
     ) -> None:
-        """`held`: when their owner is known to have told them, where that is before now."""
-        at = min(now, held)
-        before = self.others.get(owner)
-        # Guards against counts that come twice, late, or from a dead life.
-        if before is not None and (life, sequence) <= (before.life, before.sequence):
+        """Takes over another member's register of counts; an empty value removes it.
+
+        `held`: when the owner is known to have published them, if that is before now.
+        """
+        reported_at = min(now, held)
+        before = self.peer_reports.get(owner)
+        # Guards against counts that arrive twice, late, or from an earlier incarnation.
+        if before is not None and (incarnation, sequence) <= (before.incarnation, before.sequence):
             return
         if not value:
-            self.others.pop(owner, None)
+            self.peer_reports.pop(owner, None)
             return
         try:
-            told = counts.decode(value)
+            report = counts.decode(value)
         except ValueError:
-            self.unread += 1
+            self.undecodable += 1
             return
-        self.others[owner] = Heard(
-            told,
-            at,
-            life,
+        self.peer_reports[owner] = PeerReport(
+            report,
+            reported_at,
+            incarnation,
             sequence,
-            Window(at, told.coarse, told.unit, told.coarse_age, self.terms.long, COARSE),
-            Window(at, told.fine, told.unit, told.fine_age, self.terms.short, FINE),
+            ReportedWindow(
+                reported_at, report.coarse, report.unit, report.coarse_age, self.terms.long, COARSE
+            ),
+            ReportedWindow(reported_at, report.fine, report.unit, report.fine_age, self.terms.short, FINE),
         )
-        self.hear_stamp(now, at, told)
+        self.apply_reported_state(now, reported_at, report)
 
-    def hear_stamp(self, now: float, held: float, told: Told) -> None:
-        """What its counts say of the state may come before the state itself."""
+    def apply_reported_state(self, now: float, reported_at: float, report: Told) -> None:
+        """Takes over what a report of counts says of the state, as it may arrive before the state itself."""
         s = self.state
-        if (told.run, told.digest) < (s.run, s.digest) or not told.run:
+        if (report.run, report.digest) < (s.run, s.digest) or not report.run:
             return
-        known = State(told.run, told.digest, told.epoch, told.stage, told.aborted)
-        if told.paused and not told.aborted:
-            if (told.run, told.digest, told.epoch) >= (s.run, s.digest, s.epoch) and not s.paused:
-                self.held_until = max(self.held_until, held + self.HELD)
-            # The stage that holds there may be lower than the one told, and its marks are not here yet.
+        known = State(report.run, report.digest, report.epoch, report.stage, report.aborted)
+        if report.paused and not report.aborted:
+            if (report.run, report.digest, report.epoch) >= (s.run, s.digest, s.epoch) and not s.paused:
+                self.advance_blocked_until = max(
+                    self.advance_blocked_until, reported_at + self.REPORTED_PAUSE_HOLD
+                )
+            # The stage in force there may be lower than the reported one, as the pause marks that lower it
+            # have not arrived yet.
             known = replace(known, epoch=0, stage=0)
         self.learn(now, known)
 
     def learn(self, now: float, other: State, note: str = "") -> None:
+        """Joins `other` into the state. If that changes it, logs, persists and reports the new state."""
         before, self.state = self.state, self.state.join(other)
         s = self.state
         if s == before:
             return
-        self.changed_at, self.first_seen = now, {}
+        self.changed_at, self.due_since = now, {}
         if (s.run, s.digest, s.epoch) != (before.run, before.digest, before.epoch):
             if (s.run, s.digest) != (before.run, before.digest):
-                self.harmed, self.in_touch_before = 0, False
+                self.harmed, self.was_in_touch = 0, False
             self.burns = []
-            self.begin_counts(now)  # what came before a resume is not held against what comes after it
+            self.reset_counts(now)  # failures before a resume do not count against the run after it
         if s.stamp != before.stamp:
-            self.stage_at, self.stage_new = now, [0] * len(EFFECTS)
-        self.tell_of(before, note)
-        self.host.keep(msgspec.msgpack.encode(Kept(s.encode(), self.known_others)))
-        self.tell(now)
+            self.stage_since, self.stage_requests = now, [0] * len(EFFECTS)
+        self.log_change(before, note)
+        self.host.keep(msgspec.msgpack.encode(Kept(s.encode(), self.had_peers)))
+        self.publish_counts(now)
 
-    def tell_of(self, before: State, note: str) -> None:
+    def log_change(self, before: State, note: str) -> None:
+        """Logs how the state differs from `before`. `note`: the reason of a decision made here, or empty."""
         s, steps = self.state, self.terms.steps
         new_run = (s.run, s.digest) != (before.run, before.digest)
         stage = f"{s.in_force + 1}/{len(steps)}" if s.in_force < len(steps) else "done"
@@ -283,186 +335,216 @@
             self.host.log(
                 f"canary {event}", canary=self.terms.name, run=s.run, stage=stage, why=note or "told"
             )
-        differs = bool(s.run) and not s.aborted and s.digest != self.digest
-        if differs and not self.differs:
+        terms_differ = bool(s.run) and not s.aborted and s.digest != self.digest
+        if terms_differ and not self.terms_differ:
             self.host.log(
                 "canary terms differ",
                 canary=self.terms.name,
                 run=s.run,
-                why="the run under way is by another file; all keys take the old side here",
+                why="the run in progress has other terms than this sidecar's file; "
+                "all keys take the old side here",
             )
-        self.differs = differs
+        self.terms_differ = terms_differ
 
-    def act(self, now: float, new: State, note: str) -> None:
-        """A decision made here."""
+    def decide(self, now: float, new: State, note: str) -> None:
+        """Puts a decision made here into force and publishes it."""
         self.note = note
         self.learn(now, new, note)
-        self.carry(now, note)
+        self.publish_state(now, note)
 
-    def carry(self, now: float, note: str = "") -> None:
-        self.told_state = self.state
+    def publish_state(self, now: float, note: str = "") -> None:
+        """Writes the state to this member's register."""
+        self.published_state = self.state
         self.host.tell_state(now, self.state.encode(note))
 
-    # What is due.
+    # Periodic work.
 
     def tick(self, now: float) -> float:
-        """Gives when to be called next at the latest."""
-        if now - self.ticked > self.STALL and self.state.run:
-            self.woke, self.confirmed_at = now, -math.inf
-        self.ticked = now
+        """Does what is due; returns the latest time of the next call."""
+        if now - self.last_tick_at > self.STALL_THRESHOLD and self.state.run:
+            self.running_since, self.confirmed_at = now, -math.inf
+        self.last_tick_at = now
         if not self.state.run or self.state.aborted:
-            if self.told_at == -math.inf:
-                self.tell(now)
-            self.keep_carried(now)
-            return now + self.IDLE
-        members = [m for m in self.host.members() if m.name != self.own]
-        self.confirm(now, members)
+            if self.published_at == -math.inf:
+                self.publish_counts(now)
+            self.replicate_state(now)
+            return now + self.IDLE_INTERVAL
+        members = [m for m in self.host.members() if m.name != self.own_name]
+        self.update_coverage(now, members)
         if self.active and now >= self.look_at:
-            self.look_at = now + max(self.LOOK, self.LOOK_EACH * self.seen.members)
-            self.judge(now)
-            self.go_on(now)
-        if now - self.told_at >= self.interval * (self.HASTE if self.bad_since else 1.0):
-            self.tell(now)
-        self.keep_carried(now)
-        return now + self.TICK
+            self.look_at = now + max(self.LOOK, self.EVALUATION_INTERVAL_PER_MEMBER * self.coverage.members)
+            self.evaluate(now)
+            self.advance_if_ready(now)
+        if now - self.published_at >= self.report_interval * (
+            self.URGENT_FACTOR if self.failed_since_report else 1.0
+        ):
+            self.publish_counts(now)
+        self.replicate_state(now)
+        return now + self.TICK_INTERVAL
 
     @property
-    def interval(self) -> float:
-        """Between words of counts. Guards against a load of news that grows with the square of the fleet."""
-        return max(self.EVERY, self.EACH * self.seen.members)
+    def report_interval(self) -> float:
+        """Seconds between reports of counts.
 
-    def confirm(self, now: float, members: list[Member]) -> None:
-        """Looks who was heard lately, and whether that is enough to go by the stage that is known here."""
+        It grows with the fleet, as the traffic of reports would otherwise grow with the square of its size.
+        """
+        return max(self.EVERY, self.EACH * self.coverage.members)
+
+    def update_coverage(self, now: float, members: list[Member]) -> None:
+        """Determines which of the other members reported lately, and whether they suffice to be in touch."""
         counted = [m.name for m in members if m.status is not MemberStatus.LEFT]
-        if counted and not self.known_others:
-            self.known_others = True
+        if counted and not self.had_peers:
+            self.had_peers = True
             self.host.keep(msgspec.msgpack.encode(Kept(self.state.encode(), True)))
-        if len(self.others) > 2 * len(counted) + 64:  # guards against growth: names may be ever new
-            self.others = {name: self.others[name] for name in counted if name in self.others}
-            self.carried = {name: self.carried[name] for name in counted if name in self.carried}
-        # Guards against what lay in a stopped process's socket and is as old as its own word.
-        since = max(now - max(self.FRESH, self.FRESH * self.interval), self.woke + self.SETTLE)
-        heard = [name for name in counted if name in self.others and self.others[name].at >= since]
+        if len(self.peer_reports) > 2 * len(counted) + 64:  # bounds memory: members may have ever new names
+            self.peer_reports = {
+                name: self.peer_reports[name] for name in counted if name in self.peer_reports
+            }
+            self.peer_states = {name: self.peer_states[name] for name in counted if name in self.peer_states}
+        # Guards against messages that lay in the socket of a stopped process and are as old as its own state.
+        fresh_from = max(
+            now - max(self.FRESH, self.FRESH * self.report_interval), self.running_since + self.SETTLE_TIME
+        )
+        heard = [
+            name
+            for name in counted
+            if name in self.peer_reports and self.peer_reports[name].reported_at >= fresh_from
+        ]
         level = [
             name
             for name in heard
-            if self.others[name].told.stamp == self.state.stamp
-            and not self.others[name].told.unheard
-            and self.others[name].told.own == self.digest
+            if self.peer_reports[name].report.stamp == self.state.stamp
+            and not self.peer_reports[name].report.unheard
+            and self.peer_reports[name].report.own == self.digest
         ]
-        known = set(level)
-        self.seen = Seen(
+        at_this_stage = set(level)
+        self.coverage = Coverage(
             1 + len(counted),
             1 + len(heard),
             1 + len(level),
-            tuple(sorted(name for name in counted if name not in known)),
+            tuple(sorted(name for name in counted if name not in at_this_stage)),
         )
         if self.alone or not counted:
-            left = any(m.status is MemberStatus.LEFT for m in members)
-            enough = self.alone or ((left or not self.known_others) and now - self.woke >= self.ALONE)
+            has_left = any(m.status is MemberStatus.LEFT for m in members)
+            sufficient = self.alone or (
+                (has_left or not self.had_peers) and now - self.running_since >= self.SOLO_AFTER
+            )
         else:
-            enough = bool(heard) and self.seen.heard > self.terms.hold * self.seen.members
-        if enough:
+            sufficient = bool(heard) and self.coverage.heard > self.terms.hold * self.coverage.members
+        if sufficient:
             self.confirmed_at = now
         in_touch = self.in_touch(now)
-        if in_touch != self.in_touch_before and self.active:
+        if in_touch != self.was_in_touch and self.active:
             self.host.log(
                 "canary in touch" if in_touch else "canary out of touch",
                 canary=self.terms.name,
-                heard=self.seen.heard,
-                members=self.seen.members,
-                why="the stage holds" if in_touch else "all keys take the old side here",
+                heard=self.coverage.heard,
+                members=self.coverage.members,
+                why="the stage is in force here" if in_touch else "all keys take the old side here",
             )
-            self.tell(now)
-        self.in_touch_before = in_touch
+            self.publish_counts(now)
+        self.was_in_touch = in_touch
 
-    def sums(self, now: float) -> tuple[Sums, Sums]:
-        """Of the long and of the short window, of all sidecars."""
+    def window_totals(self, now: float) -> tuple[Sums, Sums]:
+        """The counters of all sidecars in the long and in the short window."""
         self.coarse.roll(now)
         self.fine.roll(now)
         long, short = [counts.add_up(list(self.coarse.spans))], [counts.add_up(list(self.fine.spans))]
         s = self.state
-        for heard in self.others.values():
-            if not self.alone and (heard.told.run, heard.told.digest, heard.told.epoch) == (
+        for peer in self.peer_reports.values():
+            if not self.alone and (peer.report.run, peer.report.digest, peer.report.epoch) == (
                 s.run,
                 s.digest,
                 s.epoch,
             ):
-                long.append(heard.long.within(now))
-                short.append(heard.short.within(now))
+                long.append(peer.long.within(now))
+                short.append(peer.short.within(now))
         return counts.add_up(long), counts.add_up(short)
 
-    def judge(self, now: float) -> None:
-        """Whoever sees the budget burn says so, with nobody asked."""
+    def evaluate(self, now: float) -> None:
+        """Computes the burn rates; pauses or aborts the run if one is too high, without asking any member."""
         s = self.state
-        long, short = self.sums(now)
-        self.burns, self.turned_part = burn.look(self.terms, long, short), burn.turned_away(long)
-        worst = max(self.burns, key=lambda b: (b.level, b.long))
-        # Guards against a sidecar that was stopped and has not heard yet that staff have resumed.
+        long, short = self.window_totals(now)
+        self.burns, self.rejected_share = burn.look(self.terms, long, short), burn.rejected_share(long)
+        worst = max(self.burns, key=lambda b: (b.level, b.long_rate))
+        # Guards against a decision by a sidecar that was stopped and does not know yet that an operator
+        # resumed the run.
         if (
             worst.level < Level.PAUSE
             or (worst.level is Level.PAUSE and s.paused)
             or not self.in_touch(now)
             or s.in_force >= len(self.terms.steps)
         ):
-            self.first_seen = {None: self.first_seen[None]} if None in self.first_seen else {}
+            self.due_since = {None: self.due_since[None]} if None in self.due_since else {}
             return
-        if not self.my_turn(now, worst.level, self.PAUSE_TURN, self.PAUSE_LATEST):
+        if not self.is_due_by_rank(now, worst.level, self.PAUSE_DELAY_PER_RANK, self.MAX_PAUSE_DELAY):
             return
         note = (
             f"{worst.group}: {worst.new[1]} of {worst.new[0]} bad, old {worst.old[1]} of {worst.old[0]}, "
-            f"burns {worst.long:.1f}, {worst.short:.1f}"
+            f"burns {worst.long_rate:.1f}, {worst.short_rate:.1f}"
         )
         if worst.level is Level.ABORT:
-            self.act(now, replace(s, aborted=True), note)
+            self.decide(now, replace(s, aborted=True), note)
         else:
-            self.act(now, s.marked(self.new_mark()), note)
+            self.decide(now, s.marked(self.new_mark()), note)
+
+    def is_due_by_rank(
+        self, now: float, decision: Level | None, delay_per_rank: float, max_delay: float
+    ) -> bool:
+        """Whether it is this member's turn to make a decision; None is the decision to advance.
 
-    def my_turn(self, now: float, what: Level | None, each: float, latest: float) -> bool:
-        """Guards against a fleet that says the same thing at once: the first in rank says it, and where
-        that is not heard, those behind."""
-        first = self.first_seen.setdefault(what, now)
-        return now - first >= min(self.rank() * each, latest) - 1e-9
+        Guards against all members making the same decision at once: the first in rank makes it, and where
+        that does not arrive, the members behind it do.
+        """
+        due_since = self.due_since.setdefault(decision, now)
+        return now - due_since >= min(self.rank() * delay_per_rank, max_delay) - 1e-9
 
     def rank(self) -> int:
-        def place(name: str) -> bytes:
+        """The number of members alive that come before this one, in an order that differs for each run."""
+
+        def position(name: str) -> bytes:
             return blake2b(f"{self.state.run}|{name}".encode(), digest_size=8).digest()
 
-        own = place(self.own)
+        own_position = position(self.own_name)
         return sum(
-            place(m.name) < own
+            position(m.name) < own_position
             for m in self.host.members()
-            if m.status is MemberStatus.ALIVE and m.name != self.own
+            if m.status is MemberStatus.ALIVE and m.name != self.own_name
         )
 
     def new_mark(self) -> bytes:
-        self.marks += 1
+        """Creates the name of a pause mark, unique among all members and incarnations."""
+        self.marks_made += 1
         name = blake2b(
-            f"{self.own}|{self.life}|{self.state.run}|{self.marks}".encode(), digest_size=MARK
+            f"{self.own_name}|{self.incarnation}|{self.state.run}|{self.marks_made}".encode(),
+            digest_size=MARK_BYTES,
         ).digest()
         self.own_marks.add(name)
         return name
 
-    def go_on(self, now: float) -> None:
-        """The next stage, where all that it takes is there."""
-        self.waits = self.why_it_waits(now)
-        if self.waits:
-            self.first_seen.pop(None, None)
-        elif self.my_turn(now, None, self.STEP_TURN, self.STEP_LATEST):
+    def advance_if_ready(self, now: float) -> None:
+        """Advances the run to its next stage once all conditions are met and it is this member's turn."""
+        self.unmet = self.unmet_conditions(now)
+        if self.unmet:
+            self.due_since.pop(None, None)
+        elif self.is_due_by_rank(now, None, self.ADVANCE_DELAY_PER_RANK, self.MAX_ADVANCE_DELAY):
             s = self.state
-            self.act(now, replace(s, stage=s.stage + 1), "all that the stage takes is there")
-
-    def stage_counts(self) -> list[int]:
-        """Exchanges on the new side in this stage, by effect, at all sidecars."""
-        told = [
-            h.told.stage_new
-            for h in self.others.values()
-            if not self.alone and h.told.stamp == self.state.stamp and len(h.told.stage_new) == len(EFFECTS)
+            self.decide(now, replace(s, stage=s.stage + 1), "all that the stage takes is there")
+
+    def stage_request_counts(self) -> list[int]:
+        """Requests on the new side in this stage at all sidecars, in the order of `EFFECTS`."""
+        reported = [
+            peer.report.stage_new
+            for peer in self.peer_reports.values()
+            if not self.alone
+            and peer.report.stamp == self.state.stamp
+            and len(peer.report.stage_new) == len(EFFECTS)
         ]
-        return [sum(column) for column in zip(self.stage_new, *told, strict=True)]
+        return [sum(column) for column in zip(self.stage_requests, *reported, strict=True)]
 
-    def why_it_waits(self, now: float) -> list[str]:
-        s, terms, waits = self.state, self.terms, list[str]()
+    def unmet_conditions(self, now: float) -> list[str]:
+        """What the next stage waits for, as the console reports it; empty if the run may advance."""
+        s, terms, unmet = self.state, self.terms, list[str]()
         if not s.run:
             return ["not begun"]
         if s.aborted:
@@ -473,35 +555,36 @@
             return ["paused: until it is resumed or aborted"]
         if s.stage >= len(terms.steps):
             return ["done"]
-        step, seen, found = terms.steps[s.stage], self.seen, self.stage_counts()
+        step, coverage, requests = terms.steps[s.stage], self.coverage, self.stage_request_counts()
         if not self.in_touch(now):
-            waits.append(f"out of touch: {seen.heard} of {seen.members} members heard")
-        if now < self.held_until:
-            waits.append("another member says that it is paused")
-        if now - self.stage_at < step.time:
-            waits.append(f"{step.time - (now - self.stage_at):.0f} s of {step.time:.0f} s are left")
-        if sum(found) < step.exchanges:
-            waits.append(f"{sum(found)} of {step.exchanges} exchanges seen")
+            unmet.append(f"out of touch: {coverage.heard} of {coverage.members} members heard")
+        if now < self.advance_blocked_until:
+            unmet.append("another member says that it is paused")
+        if now - self.stage_since < step.time:
+            unmet.append(f"{step.time - (now - self.stage_since):.0f} s of {step.time:.0f} s are left")
+        if sum(requests) < step.exchanges:
+            unmet.append(f"{sum(requests)} of {step.exchanges} exchanges seen")
         for effect, burnt in zip(EFFECTS, self.burns[1:], strict=False):
-            few = found[EFFECTS.index(effect)]
-            if burnt.old[0] + burnt.new[0] and few < terms.each_effect:
-                waits.append(f"{few} of {terms.each_effect} {effect.value} exchanges seen")
-        if not self.alone and seen.level < terms.fresh * seen.members - 1e-9:
-            waits.append(f"{seen.level} of {seen.members} members heard at this stage")
-        burning = [b for b in self.burns if b.level is not Level.SOUND]
-        waits += [f"{b.group}: burns {b.long:.1f} times the budget" for b in burning]
+            of_effect = requests[EFFECTS.index(effect)]
+            if burnt.old[0] + burnt.new[0] and of_effect < terms.each_effect:
+                unmet.append(f"{of_effect} of {terms.each_effect} {effect.value} exchanges seen")
+        if not self.alone and coverage.level < terms.fresh * coverage.members - 1e-9:
+            unmet.append(f"{coverage.level} of {coverage.members} members heard at this stage")
+        burning = [b for b in self.burns if b.level is not Level.HEALTHY]
+        unmet += [f"{b.group}: burns {b.long_rate:.1f} times the budget" for b in burning]
         if not self.burns:
-            waits.append("not looked yet")
-        elif self.turned_part > self.MOST_TURNED:
-            waits.append(f"the new side turns away {self.turned_part:.0%}")
-        return waits
+            unmet.append("not looked yet")
+        elif self.rejected_share > self.MAX_REJECTED_SHARE:
+            unmet.append(f"the new side turns away {self.rejected_share:.0%}")
+        return unmet
 
-    turned_part = 0.0
+    rejected_share = 0.0
 
-    def tell(self, now: float) -> None:
+    def publish_counts(self, now: float) -> None:
+        """Writes this sidecar's counts, and the state that it knows, to its register of counts."""
         s = self.state
-        self.told_at, self.bad_since = now, False
-        told = Told(
+        self.published_at, self.failed_since_report = now, False
+        report = Told(
             counts.VERSION,
             self.digest,
             s.run,
@@ -511,65 +594,85 @@
             s.paused,
             s.aborted,
             not self.in_touch(now),
-            stage_new=self.stage_new,
+            stage_new=self.stage_requests,
             harmed=self.harmed,
         )
-        self.host.tell_counts(now, counts.encode(told, self.fine, self.coarse, now))
+        self.host.tell_counts(now, counts.encode(report, self.fine, self.coarse, now))
+
+    def replicate_state(self, now: float) -> None:
+        """Writes the state to this member's register if too few members alive have it in theirs.
 
-    def keep_carried(self, now: float) -> None:
-        """A few members carry the state, so that it outlives whoever made it."""
+        The state thus survives the loss of the member that decided it.
+        """
         s = self.state
-        if not s.run or self.told_state == s or now - self.changed_at < self.CARRY_AFTER:
+        if not s.run or self.published_state == s or now - self.changed_at < self.REPLICATE_AFTER:
             return
         alive = {m.name for m in self.host.members() if m.status is MemberStatus.ALIVE}
-        carriers = sum(known.join(s) == known for name, (known, _) in self.carried.items() if name in alive)
+        carriers = sum(
+            known.join(s) == known for name, (known, _) in self.peer_states.items() if name in alive
+        )
         if carriers < self.CARRIERS and self.rank() < self.CARRIERS:
-            self.carry(now, self.note)
+            self.publish_state(now, self.note)
 
-    # Calls. Each may be repeated: the second finds what the first made.
+    # Calls of operators. Each is idempotent: repeated, it finds the effect of the first call.
 
     def start(self, now: float, wall: float) -> None:
-        """`wall`: Unix time, which orders runs where all that was known of earlier ones is lost."""
+        """Starts a run; does nothing if one is running by these terms.
+
+        Raises RunInProgressError if one is paused, done, or running by other terms. `wall` is the Unix time:
+        it makes the new run's number higher than earlier ones even if all knowledge of those is lost.
+        """
         s = self.state
         if s.run and not s.aborted:
             if s.digest != self.digest:
-                raise RunUnderWay(f"run {s.run} of canary {self.terms.name!r} is by another file")
+                raise RunInProgressError(
+                    f"run {s.run} of canary {self.terms.name!r} has other terms than this sidecar's file"
+                )
             if s.paused or s.stage >= len(self.terms.steps):
-                raise RunUnderWay(
-                    f"run {s.run} of canary {self.terms.name!r} is {'paused' if s.paused else 'done'}"
+                raise RunInProgressError(
+                    f"run {s.run} of canary {self.terms.name!r} is {'paused' if s.paused else 'done'}, "
+                    "not aborted"
                 )
             return
-        self.act(now, State(max(s.run + 1, int(wall)), self.digest), "called")
+        self.decide(now, State(max(s.run + 1, int(wall)), self.digest), "called")
 
-    def running(self) -> State:
+    def require_run(self) -> State:
+        """Returns the state of a run that is not aborted. Raises NoRunError or RunAbortedError."""
         if not self.state.run:
-            raise NoRun(f"canary {self.terms.name!r} has no run")
+            raise NoRunError(f"canary {self.terms.name!r} has no run")
         if self.state.aborted:
-            raise RunAborted(f"run {self.state.run} of canary {self.terms.name!r} is aborted")
+            raise RunAbortedError(f"run {self.state.run} of canary {self.terms.name!r} is aborted")
         return self.state
 
     def pause(self, now: float) -> None:
-        s = self.running()
-        # A pause of another is no reason to make none: a resume that has not heard of this call must not win.
+        """Pauses the run. Raises NoRunError or RunAbortedError."""
+        s = self.require_run()
+        # Another member's pause does not make this one redundant: a concurrent resume may remove that mark,
+        # but cannot remove the one made here.
         if not any(name in self.own_marks for _, name in s.open):
-            self.act(now, s.marked(self.new_mark()), "called")
+            self.decide(now, s.marked(self.new_mark()), "called")
 
     def resume(self, now: float) -> None:
-        s = self.running()
+        """Resumes a paused run. Raises NoRunError, RunAbortedError or TooManyPausesError."""
+        s = self.require_run()
         if not s.paused:
             return
-        if len(s.pardoned) + len(s.open) > MOST_PARDONED:
-            raise TooManyPauses(f"run {s.run} of canary {self.terms.name!r} was paused too often")
-        self.act(now, s.resumed(), "called")
+        if len(s.pardoned) + len(s.open) > MAX_PARDONED:
+            raise TooManyPausesError(
+                f"run {s.run} of canary {self.terms.name!r} has more than {MAX_PARDONED} pause marks, "
+                "the limit for a resume"
+            )
+        self.decide(now, s.resumed(), "called")
 
     def abort(self, now: float) -> None:
+        """Aborts the run for good: all keys return to the old side. Raises NoRunError."""
         if not self.state.run:
-            raise NoRun(f"canary {self.terms.name!r} has no run")
+            raise NoRunError(f"canary {self.terms.name!r} has no run")
         if not self.state.aborted:
-            self.act(now, replace(self.state, aborted=True), "called")
+            self.decide(now, replace(self.state, aborted=True), "called")
 
-    def change(self, now: float, terms: Terms) -> bool:
-        """Takes other terms, unless a run is under way: then the old ones stay, and False."""
+    def update_terms(self, now: float, terms: Terms) -> bool:
+        """Adopts other terms; keeps the present ones and returns False while a run by them is in progress."""
         if terms == self.terms:
             return True
         if self.active:
@@ -577,20 +680,21 @@
                 "canary terms refused",
                 canary=self.terms.name,
                 run=self.state.run,
-                why="a run is under way by the file as it was; abort it, then read the file again",
+                why="a run by the previous terms is in progress; abort it, then reload the file",
             )
             return False
         self.terms, self.digest = terms, terms.digest
-        self.begin_counts(now)
+        self.reset_counts(now)
         self.burns = []
-        self.tell_of(self.state, "")
-        self.tell(now)
+        self.log_change(self.state, "")
+        self.publish_counts(now)
         return True
 
-    # For the console.
+    # Console.
 
     @property
     def standing(self) -> str:
+        """The state as the console shows it."""
         s = self.state
         return (
             "idle"
@@ -607,16 +711,17 @@
         )
 
     def report(self, now: float) -> dict[str, object]:
+        """What the console shows of this canary."""
         s = self.state
         if self.active:
-            self.waits = self.why_it_waits(now)
+            self.unmet = self.unmet_conditions(now)
         notes = {
             name: note
-            for name, (known, note) in self.carried.items()
+            for name, (known, note) in self.peer_states.items()
             if note and (known.run, known.digest) == (s.run, s.digest)
         }
         if self.note:
-            notes[self.own] = self.note
+            notes[self.own_name] = self.note
         return {
             "name": self.terms.name,
             "matter": self.terms.matter,
@@ -628,27 +733,27 @@
             "paused_by": len(s.open),
             "in_touch": self.in_touch(now) if s.run else True,
             "members": {
-                "known": self.seen.members,
-                "heard": self.seen.heard,
-                "at_this_stage": self.seen.level,
-                "missing": list(self.seen.missing[:50]),
+                "known": self.coverage.members,
+                "heard": self.coverage.heard,
+                "at_this_stage": self.coverage.level,
+                "missing": list(self.coverage.missing[:50]),
             },
             "sides": {
                 b.group: {
                     "new": {"exchanges": b.new[0], "bad": b.new[1]},
                     "old": {"exchanges": b.old[0], "bad": b.old[1]},
-                    "burn_long": round(b.long, 2),
-                    "burn_short": round(b.short, 2),
+                    "burn_long": round(b.long_rate, 2),
+                    "burn_short": round(b.short_rate, 2),
                 }
                 for b in self.burns
             },
-            "turned_away": round(self.turned_part, 3),
+            "turned_away": round(self.rejected_share, 3),
             "harmed": self.harmed
             + sum(
-                h.told.harmed
-                for h in self.others.values()
-                if (h.told.run, h.told.digest) == (s.run, s.digest)
+                peer.report.harmed
+                for peer in self.peer_reports.values()
+                if (peer.report.run, peer.report.digest) == (s.run, s.digest)
             ),
-            "waits": self.waits if self.active else self.why_it_waits(now),
+            "waits": self.unmet if self.active else self.unmet_conditions(now),
             "notes": notes,
         }
--- a/rainspindle/decisions/canary/counts.py
+++ b/rainspindle/decisions/canary/counts.py
@@ -1,4 +1,7 @@
-"""What one sidecar has seen of both sides, in spans of time, and what all have seen together."""
+"""Request counts of both sides of a canary in time buckets: one sidecar's own and those of the fleet.
+
+A sidecar publishes its counts in a register; the others add them up over their windows.
+"""
 
 from __future__ import annotations
 
@@ -11,140 +14,169 @@
 
 VERSION = 1
 EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED, Idempotency.NON_IDEMPOTENT)
-TURNED = len(EFFECTS)  # the class of those turned away with no forward: no word on a release
+# The class of requests that were rejected without an attempt: they say nothing about a release.
+TURNED = len(EFFECTS)
 CLASSES = len(EFFECTS) + 1
-WIDTH = 2 * CLASSES * 2  # numbers in a span: side, class, and of each all and the bad
-FINE, COARSE = 4, 8  # whole spans in the short window and in the long one
-MOST_NUMBER = 0xFFFF
+# Counters in a bucket: for each side and class, one of all requests and one of failed and late ones.
+WIDTH = 2 * CLASSES * 2
+FINE, COARSE = 4, 8  # complete buckets in the short window and in the long one
+MAX_COUNT = 0xFFFF  # the limit for a number in an encoded report
 
 Sums = list[int]
 
 
-def at(new: bool, kind: int, bad: bool = False) -> int:
-    return (new * CLASSES + kind) * 2 + bad
+def at(new: bool, class_index: int, bad: bool = False) -> int:
+    """The index of a counter in a bucket. `bad`: the counter of requests that failed or were late."""
+    return (new * CLASSES + class_index) * 2 + bad
 
 
 class Ring:
-    """Spans of one length, the newest last; it is not whole yet. Covers its window, and a span more."""
+    """A sliding window of time buckets of equal length, the newest and incomplete one last.
+
+    The buckets cover the window and the length of one bucket more.
+    """
 
     def __init__(self, now: float, window: float, spans: int) -> None:
-        self.span, self.begun, self.most = window / spans, now, spans + 1
-        self.spans: deque[Sums] = deque([[0] * WIDTH], maxlen=self.most)
+        self.bucket_seconds, self.newest_start, self.max_buckets = window / spans, now, spans + 1
+        self.spans: deque[Sums] = deque([[0] * WIDTH], maxlen=self.max_buckets)
 
     def roll(self, now: float) -> None:
-        missed = int((now - self.begun) / self.span)
-        if missed > 0:
-            self.begun += missed * self.span
-            for _ in range(min(missed, self.most)):
+        """Appends the buckets that have begun by now and drops those that are older than the window."""
+        elapsed = int((now - self.newest_start) / self.bucket_seconds)
+        if elapsed > 0:
+            self.newest_start += elapsed * self.bucket_seconds
+            for _ in range(min(elapsed, self.max_buckets)):
                 self.spans.append([0] * WIDTH)
 
-    def add(self, now: float, *places: int) -> None:
+    def add(self, now: float, *indices: int) -> None:
+        """Adds 1 to each of these counters (see `at`) in the newest bucket."""
         self.roll(now)
-        for place in places:
-            self.spans[-1][place] += 1
+        for index in indices:
+            self.spans[-1][index] += 1
 
 
 class Told(msgspec.Struct, array_like=True):
-    """What a sidecar tells of itself in its cell."""
+    """A sidecar's report in its register of counts: which state of the run it knows, and its counts."""
 
     version: int
-    own: bytes  # the digest of its terms
+    own: bytes  # the digest of the terms in its own configuration
     run: int
-    digest: bytes  # of the run that it knows
+    digest: bytes  # of the terms of the run that it knows
     epoch: int
     stage: int
     paused: bool
     aborted: bool
-    unheard: bool  # it takes the old side, as it hears too few
-    unit: int = 1  # of the numbers in spans
-    fine_age: float = 0.0  # of the span that is not whole
+    unheard: bool  # it sends all keys to the old side because it receives reports from too few members
+    unit: int = 1  # requests that 1 stands for in `fine` and `coarse`
+    fine_age: float = 0.0  # seconds since the incomplete bucket began
     coarse_age: float = 0.0
     fine: list[int] = msgspec.field(default_factory=list)
     coarse: list[int] = msgspec.field(default_factory=list)
-    stage_new: list[int] = msgspec.field(default_factory=list)  # in this stage on the new side, by effect
-    harmed: int = 0  # in this run on the new side: failed or late
+    stage_new: list[int] = msgspec.field(default_factory=list)  # new side, this stage, by idempotency
+    harmed: int = 0  # requests of this run that failed or were late on the new side
 
     @property
     def stamp(self) -> tuple[int, bytes, int, int]:
+        """The stage of the run that the sidecar knows; equal stamps mean the same stage."""
         return self.run, self.digest, self.epoch, self.stage
 
 
-def pack(spans: deque[Sums], unit: int) -> list[int]:
-    """From the newest back, less what is empty at the end. What is bad is rounded up."""
-    out: list[int] = []
-    for sums in reversed(spans):
-        out += [-(-n // unit) for n in sums]
-    while out and not out[-1]:
-        out.pop()
-    return out
+def pack(buckets: deque[Sums], unit: int) -> list[int]:
+    """Lists the counters of the buckets in this unit, rounded up, from the newest bucket to the oldest.
+
+    Zeros at the end are left out.
+    """
+    packed: list[int] = []
+    for bucket in reversed(buckets):
+        packed += [-(-count // unit) for count in bucket]
+    while packed and not packed[-1]:
+        packed.pop()
+    return packed
 
 
-def encode(told: Told, fine: Ring, coarse: Ring, now: float) -> bytes:
-    """900 bytes at most: where there is more, it is told in larger units."""
+def encode(report: Told, fine: Ring, coarse: Ring, now: float) -> bytes:
+    """Completes the report with both windows and encodes it.
+
+    Takes 900 bytes at most: counts above `MAX_COUNT` are given in a larger unit.
+    """
     fine.roll(now)
     coarse.roll(now)
-    most = max(max(sums) for ring in (fine, coarse) for sums in ring.spans)
-    told.unit = 1
-    while most // told.unit >= MOST_NUMBER:
-        told.unit *= 2
-    told.fine, told.coarse = pack(fine.spans, told.unit), pack(coarse.spans, told.unit)
-    told.fine_age, told.coarse_age = round(now - fine.begun, 3), round(now - coarse.begun, 3)
-    return msgspec.msgpack.encode(told)
+    highest = max(max(bucket) for window in (fine, coarse) for bucket in window.spans)
+    report.unit = 1
+    while highest // report.unit >= MAX_COUNT:
+        report.unit *= 2
+    report.fine, report.coarse = pack(fine.spans, report.unit), pack(coarse.spans, report.unit)
+    report.fine_age, report.coarse_age = (
+        round(now - fine.newest_start, 3),
+        round(now - coarse.newest_start, 3),
+    )
+    return msgspec.msgpack.encode(report)
 
 
 def decode(raw: bytes) -> Told:
-    """Raises ValueError."""
+    """Raises ValueError if `raw` is no report of this version or has a value out of range."""
     try:
-        told = msgspec.msgpack.decode(raw, type=Told)
-    except msgspec.MsgspecError as fault:
-        raise ValueError(f"not counts: {fault}") from None
+        report = msgspec.msgpack.decode(raw, type=Told)
+    except msgspec.MsgspecError as error:
+        raise ValueError(f"cannot decode canary counts: {error}") from None
     if (
-        told.version != VERSION
-        or told.unit < 1
-        or len(told.fine) > (FINE + 1) * WIDTH
-        or len(told.coarse) > (COARSE + 1) * WIDTH
-        or min((0, *told.fine, *told.coarse)) < 0
-        or not (0 <= told.fine_age < 1e6 and 0 <= told.coarse_age < 1e6)
-        or told.run < 0
-        or told.epoch < 0
-        or not 0 <= told.stage < 256
+        report.version != VERSION
+        or report.unit < 1
+        or len(report.fine) > (FINE + 1) * WIDTH
+        or len(report.coarse) > (COARSE + 1) * WIDTH
+        or min((0, *report.fine, *report.coarse)) < 0
+        or not (0 <= report.fine_age < 1e6 and 0 <= report.coarse_age < 1e6)
+        or report.run < 0
+        or report.epoch < 0
+        or not 0 <= report.stage < 256
     ):
-        raise ValueError(f"not counts of version {VERSION}")
-    return told
+        raise ValueError(f"canary counts are not of version {VERSION}, or have a value out of range")
+    return report
+
 
+class ReportedWindow:
+    """The buckets of another sidecar's report, with their running totals from the newest bucket back.
 
-class Window:
-    """One sidecar's spans as they came, summed up once from the newest on, so that a look is cheap."""
+    The totals are computed once, when the report is received, so that each evaluation is cheap.
+    """
 
     def __init__(
-        self, came: float, numbers: list[int], unit: int, age: float, window: float, spans: int
+        self, reported_at: float, numbers: list[int], unit: int, age: float, window: float, buckets: int
     ) -> None:
-        self.begun, self.span, self.most = came - age, window / spans, spans
-        self.sums: list[Sums] = [[0] * WIDTH]  # of so many of the newest spans
-        for n in range(0, len(numbers), WIDTH):
-            part, last = numbers[n : n + WIDTH], self.sums[-1]
-            self.sums.append(
-                [a + b * unit for a, b in zip(last, part + [0] * (WIDTH - len(part)), strict=True)]
+        self.newest_start, self.bucket_seconds, self.max_buckets = (
+            reported_at - age,
+            window / buckets,
+            buckets,
+        )
+        self.running_totals: list[Sums] = [[0] * WIDTH]  # at index n: of the n newest buckets
+        for start in range(0, len(numbers), WIDTH):
+            bucket, last = numbers[start : start + WIDTH], self.running_totals[-1]
+            self.running_totals.append(
+                [
+                    total + count * unit
+                    for total, count in zip(last, bucket + [0] * (WIDTH - len(bucket)), strict=True)
+                ]
             )
 
     def within(self, now: float) -> Sums:
-        """Of the spans that are not too old by now, though nothing newer has come."""
-        aged = int(max(now - self.begun, 0.0) / self.span)
-        keep = min(self.most + 1 - aged, len(self.sums) - 1)
-        return self.sums[keep] if keep > 0 else self.sums[0]
+        """The totals of the buckets that still lie in the window, also if no newer report has come."""
+        aged = int(max(now - self.newest_start, 0.0) / self.bucket_seconds)
+        kept = min(self.max_buckets + 1 - aged, len(self.running_totals) - 1)
+        return self.running_totals[kept] if kept > 0 else self.running_totals[0]
 
 
 @dataclass(slots=True)
-class Heard:
-    """What another sidecar last told."""
+class PeerReport:
+    """The last report received from another sidecar."""
 
-    told: Told
-    at: float
-    life: int
+    report: Told
+    reported_at: float  # on this process's clock
+    incarnation: int
     sequence: int
-    long: Window
-    short: Window
+    long: ReportedWindow
+    short: ReportedWindow
 
 
-def add_up(parts: list[Sums]) -> Sums:
-    return [sum(column) for column in zip(*parts, strict=True)] if parts else [0] * WIDTH
+def add_up(counts: list[Sums]) -> Sums:
+    """Adds these lists of counters, index by index."""
+    return [sum(column) for column in zip(*counts, strict=True)] if counts else [0] * WIDTH
--- a/rainspindle/decisions/canary/terms.py
+++ b/rainspindle/decisions/canary/terms.py
@@ -1,4 +1,4 @@
-"""What a canary is to do, as its operator wrote it; and which keys are in."""
+"""The terms of a canary as its operator configured them, and the assignment of keys to its new side."""
 
 from __future__ import annotations
 
@@ -8,37 +8,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One stage."""
+    """One stage: its share of keys, and what it must have seen before the run advances."""
 
-    part: float  # of the keys, 0 to 1
-    time: float  # seconds at least
-    exchanges: int  # on the new side, at all sidecars together, at least
+    part: float  # share of keys that go to the new side, 0 to 1
+    time: float  # minimum duration in seconds
+    exchanges: int  # minimum number of requests on the new side, over all sidecars
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Times are seconds. Whatever is in here is told apart by `digest`: sidecars whose terms differ do not
-    run one canary together."""
+    """All that sidecars must agree on to run one canary together. Times are in seconds.
+
+    The digest covers every field, and the names of this class, of `Step` and of their fields with it.
+    """
 
     name: str
-    matter: str  # what is new, in words that are the same at every sidecar
+    matter: str  # identifies what is new; the same text at every sidecar
     steps: tuple[Step, ...]
-    budget: float = 0.01  # the part of exchanges that may fail or be late beyond what the old side's do
-    long: float = 300.0  # windows
-    short: float = 30.0
-    pause_at: float = 2.0  # burn rates: times the budget
-    abort_at: float = 10.0
-    fresh: float = 0.9  # the part of the members that must be heard before a stage goes forward
-    hold: float = 0.5  # heard of no more than this part, a sidecar takes the old side
-    alone_after: float = 5.0  # seconds of that
-    each_effect: int = 20  # exchanges of each effect that clients bring, in a stage, at least
+    budget: float = 0.01  # share of requests that may fail or be late beyond the old side's share
+    long: float = 300.0  # length of the long window
+    short: float = 30.0  # length of the short window
+    pause_at: float = 2.0  # burn rate at which the run pauses, in multiples of the budget
+    abort_at: float = 10.0  # burn rate at which the run is aborted, in multiples of the budget
+    fresh: float = 0.9  # share of the members whose reports must be fresh before the run advances
+    # A sidecar sends all keys to the old side once its reports have come from no more than this share of the
+    # members for `alone_after`.
+    hold: float = 0.5
+    alone_after: float = 5.0
+    each_effect: int = 20  # minimum requests in a stage of each idempotency that clients send
 
     @property
     def digest(self) -> bytes:
+        """Identifies these terms on the wire, as 8 bytes."""
         return blake2b(repr(self).encode(), digest_size=8).digest()
 
 
-def point(name: str, word: str) -> float:
-    """Where a key stands, 0 to 1, alike at every sidecar and in every run of one canary: who is in at 5%
-    stays in at 25%."""
-    return int.from_bytes(blake2b(f"{name}|{word}".encode(), digest_size=8).digest(), "big") / 2**64
+def point(name: str, key: str) -> float:
+    """The position of a key from 0 to 1; it is on the new side if this is below the stage's share.
+
+    It is the same at every sidecar and in every run of this canary: a key on the new side at 5% stays there
+    at 25%.
+    """
+    return int.from_bytes(blake2b(f"{name}|{key}".encode(), digest_size=8).digest(), "big") / 2**64
--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -391,7 +391,7 @@
         new = {table.name: table for table in tables}
         later = [f"canary {name}" for name in sorted(self.tables.keys() ^ new.keys())]
         for name in self.tables.keys() & new.keys():
-            if new[name].matter != self.tables[name].matter or not self.canaries[name].change(
+            if new[name].matter != self.tables[name].matter or not self.canaries[name].update_terms(
                 now, new[name].terms()
             ):
                 later.append(f"canary {name}")
--- a/rainspindle/routing/canary.py
+++ b/rainspindle/routing/canary.py
@@ -350,7 +350,7 @@
         # The times of a body that came meanwhile are not known here: it can fail, but is never late.
         late = given.expiry is None and now - begun > kind.latency_objective
         if isinstance(final, Rejected) and not tried.forwards and self.apart[canary.terms.name]:
-            canary.turned(now, new)  # the side had no room: no word on what runs there
+            canary.record_rejection(now, new)  # the side had no room: no word on what runs there
         elif isinstance(final, Finished):
             canary.ended(now, new, kind.idempotency, late)
         elif not isinstance(final, Left) or late:
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -16,7 +16,7 @@
 from rainspindle.balancer.host import AttemptOutcome, Idempotency
 from rainspindle.balancer.host import EndpointStatus as Lifecycle
 from rainspindle.decisions.canary import counts
-from rainspindle.decisions.canary.canary import Canary, NoRun, RunAborted, RunUnderWay
+from rainspindle.decisions.canary.canary import Canary, NoRunError, RunAbortedError, RunInProgressError
 from rainspindle.decisions.canary.state import State, decode
 from rainspindle.decisions.canary.terms import Step, Terms, point
 from rainspindle.decisions.shared.registers import MAX_VALUE, RegisterStore
@@ -177,7 +177,7 @@
         elif op == "back" and not node.alive:
             node.start()
         elif op in ("start", "pause", "resume", "abort") and node.runs():
-            with contextlib.suppress(NoRun, RunAborted, RunUnderWay):
+            with contextlib.suppress(NoRunError, RunAbortedError, RunInProgressError):
                 getattr(node.canary, op)(net.now, *([net.now] if op == "start" else []))
             if op == "abort":
                 assert node.canary.part(net.now) == 0.0
@@ -375,12 +375,12 @@
     a, b = net.nodes["s0"], net.nodes["s1"]
     for _ in range(40):
         b.canary.ended(net.now, True, Idempotency.NON_IDEMPOTENT, True)
-    b.canary.tell(net.now)
+    b.canary.publish_counts(net.now)
     cell = b.cells.named("canary/c")["s1"].register
     place = counts.at(True, 2, True)
     for _ in range(40):
         b.canary.ended(net.now, True, Idempotency.NON_IDEMPOTENT, True)
-    b.canary.tell(net.now)
+    b.canary.publish_counts(net.now)
     newer = b.cells.named("canary/c")["s1"].register
     a.canary.heard_counts(net.now, "s1", newer.incarnation, newer.sequence, newer.value)
     for life, sequence in (
@@ -389,26 +389,29 @@
         (cell.incarnation - 1, 999),
     ):
         a.canary.heard_counts(net.now, "s1", life, sequence, cell.value)
-        assert a.canary.sums(net.now)[0][place] == 80
-    assert a.canary.sums(net.now + 15)[1][place] == 0 and a.canary.sums(net.now + 15)[0][place] == 80
-    assert a.canary.sums(net.now + 80)[0][place] == 0, "too old, though nothing newer came"
+        assert a.canary.window_totals(net.now)[0][place] == 80
+    assert (
+        a.canary.window_totals(net.now + 15)[1][place] == 0
+        and a.canary.window_totals(net.now + 15)[0][place] == 80
+    )
+    assert a.canary.window_totals(net.now + 80)[0][place] == 0, "too old, though nothing newer came"
     c = begun(size=1).nodes["s0"].canary
     c.heard_state(net.now, "s1", b.canary.state.encode())
     c.heard_counts(net.now, "s1", newer.incarnation, newer.sequence, newer.value, net.now - 15)
-    sums = c.sums(net.now)
+    sums = c.window_totals(net.now)
     assert sums[0][place] == 80 and sums[1][place] == 0, "told by others, 15 s after their owner was heard"
     a.canary.heard_counts(net.now, "s1", 9, 1, b"\xff\x00")
     a.canary.heard_state(net.now, "s1", b"junk")
-    assert a.canary.unread == 2
+    assert a.canary.undecodable == 2
 
 
 def test_a_cell_holds_what_the_busiest_sees() -> None:
     net = begun(size=1)
     canary, cells = net.nodes["s0"].canary, RegisterStore("x", 1)
     for ring in (canary.fine, canary.coarse):
-        for sums in [[10**7 + n] * counts.WIDTH for n in range(ring.most)]:
+        for sums in [[10**7 + n] * counts.WIDTH for n in range(ring.max_buckets)]:
             ring.spans.append(sums)
-    canary.tell(net.now)
+    canary.publish_counts(net.now)
     value = net.nodes["s0"].cells.named("canary/c")["s0"].register.value
     assert len(value) <= MAX_VALUE and cells.write(0.0, "canary/c", value)
     told = counts.decode(value)
@@ -420,14 +423,14 @@
     net = begun(other_terms={"s4": other})
     assert net.nodes["s4"].canary.standing == "another file's" and net.nodes["s4"].canary.part(net.now) == 0.0
     assert [e for e in net.events if e[1:3] == ("s4", "canary terms differ")]
-    with pytest.raises(RunUnderWay) as refused:
+    with pytest.raises(RunInProgressError) as refused:
         net.nodes["s4"].canary.start(net.now, net.now)
     assert "abort" in refused.value.line()
-    assert not net.nodes["s0"].canary.change(net.now, other)
+    assert not net.nodes["s0"].canary.update_terms(net.now, other)
     net.nodes["s4"].canary.abort(net.now)
     assert until(net, "aborted", 2.0) <= 1.0
     for name in ("s0", "s1", "s2", "s3"):
-        assert net.nodes[name].canary.change(net.now, other)
+        assert net.nodes[name].canary.update_terms(net.now, other)
     net.nodes["s2"].canary.start(net.now, net.now)
     net.run(3.0)
     assert {node.canary.part(net.now) for node in net.nodes.values()} == {0.05}
@@ -557,7 +560,7 @@
     pair.start()
     for key in (*pair.in_canary()[:4], *pair.in_canary(False)[:4]):
         pair.exchange(key)
-    sums = pair.run.canaries["c"].sums(pair.loop.now())[0]
+    sums = pair.run.canaries["c"].window_totals(pair.loop.now())[0]
     # By the promise as it was, both sides: one is judged by the other.
     new, old = ((sums[counts.at(side, 0)], sums[counts.at(side, 0, True)]) for side in (True, False))
     assert new[0] == old[0] == 4 and new[1] >= 3 > 1 >= old[1]
@@ -622,7 +625,7 @@
     for path, status in ((("canaries", "x", "start"), 404), (("canaries", "c", "stop"), 404)):
         assert call("POST", *path).status == status and call("POST", *path).body["remedy"]
     assert call("GET", "canaries", "c", "start").status == 405 and call("POST", "canaries").status == 405
-    for act, kind in (("pause", NoRun), ("resume", NoRun), ("abort", NoRun)):
+    for act, kind in (("pause", NoRunError), ("resume", NoRunError), ("abort", NoRunError)):
         with pytest.raises(kind) as refused:
             call("POST", "canaries", "c", act)
         assert "start" in refused.value.remedy
@@ -634,7 +637,7 @@
     ):
         bodies = [call("POST", "canaries", "c", act).body for _ in range(2)]
         assert bodies[0]["state"] == bodies[1]["state"] == standing and bodies[0]["run"] == bodies[1]["run"]
-    with pytest.raises(RunAborted):
+    with pytest.raises(RunAbortedError):
         call("POST", "canaries", "c", "resume")
     report = call("GET", "canaries").body["canaries"][0]
     assert report["state"] == "aborted" and msgspec.json.encode(report)
