--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -1,4 +1,4 @@
-"""Canaries in the program: their tables in the operator's file, their cores, the staff's calls."""
+"""Canaries in the program: configuration tables, cores for the sides, and console calls."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ...errors import Trouble
 from ...lazy_dataclasses import replace
 from ...protocol.settings import make_balancer, traffic_type
-from ...routing.canary import CanaryRouter, Ready, Side, SideFacade, SplitCore, add_types
+from ...routing.canary import CanaryRoute, CanaryRouter, Side, SideFacade, SplitCore, add_variant_classes
 from ...routing.core import Back, Directory, Taker
 from ...store.file import Missing, StoredFile, Unfit
 from ...transport.loop import Loop
@@ -30,14 +30,15 @@
 log = logging.getLogger("rainspindle.canary")
 
 NAME = re.compile(r"[A-Za-z0-9_.-]{1,60}")
-KIND, VERSION, MOST_KEPT = 5, 1, 4096  # of the file
-MOST_STAGES, MOST_PART = 100, 0.95
-TOWARD = 50  # members that are told of a decision by the one that makes it; the rest hear it from these
-ACTS = ("start", "pause", "resume", "abort")
+KIND, VERSION, MOST_KEPT = 5, 1, 4096  # of the state file: its kind, its version, its size limit in bytes
+MAX_STAGES, MAX_SHARE = 100, 0.95
+# Members that receive a decision directly from the one that makes it; gossip carries it to the others.
+DIRECT_RECIPIENTS = 50
+ACTIONS = ("start", "pause", "resume", "abort")
 
 
 class StagePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One entry of `stages`."""
+    """One entry of `stages`: share of keys, minimum seconds, minimum requests on the new side."""
 
     part: float
     time: float
@@ -45,7 +46,7 @@
 
 
 class SettingPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A setting that may differ between exchanges of one module: of one traffic type."""
+    """A setting of one traffic class that is to change; one balancer applies both values at a time."""
 
     traffic_type: str
     promised_time: float | None = None  # milliseconds, as in the settings
@@ -53,7 +54,11 @@
 
 
 class CanaryPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[canary]]`. One of `endpoints`, `kind` and `setting` names what is new. Times are seconds."""
+    """A `[[canary]]` table of the fleet file.
+
+    One of `endpoints`, `kind` and `setting` names what is new. Times are in seconds. `terms` gives the other
+    fields to `Terms`, which describes them.
+    """
 
     name: str
     stages: tuple[StagePart, ...]
@@ -72,7 +77,7 @@
 
     @property
     def matter(self) -> str:
-        """What is new, alike at every sidecar; what an edit of the file cannot change without a restart."""
+        """Identifies what is new, alike at every sidecar; a change of it needs a restart."""
         if self.setting is not None:
             return f"setting {self.setting.traffic_type} {self.setting.promised_time} {self.setting.value}"
         if self.kind is not None:
@@ -80,6 +85,7 @@
         return f"endpoints {' '.join(sorted(self.endpoints or ()))}"
 
     def terms(self) -> Terms:
+        """The terms as all sidecars must agree on them."""
         steps = tuple(Step(s.part, s.time, s.exchanges) for s in self.stages)
         return Terms(
             self.name,
@@ -98,83 +104,92 @@
 
 
 def unfit(tables: Sequence[CanaryPart], config: Config) -> Iterator[str]:
-    """Each fault with its path."""
+    """Yields the errors of the tables, each with the path of its key."""
     names = Counter(table.name for table in tables)
     taken: dict[str, int] = {}
     for n, table in enumerate(tables):
-        at = f"canary[{n}]"
+        path = f"canary[{n}]"
         if not NAME.fullmatch(table.name):
-            yield f"{at}.name: {table.name!r:.80} is not 1 to 60 of A-Z a-z 0-9 _ . -"
+            yield f"{path}.name: {table.name!r:.80} is not 1 to 60 characters of A-Z a-z 0-9 _ . -"
         elif names[table.name] > 1:
-            yield f"{at}.name: {table.name!r} names {names[table.name]} canaries"
+            yield f"{path}.name: {table.name!r} is the name of {names[table.name]} canaries"
         named = [key for key in ("endpoints", "kind", "setting") if getattr(table, key) is not None]
         if len(named) != 1:
             yield (
-                f"{at}: names {' and '.join(named) or 'nothing'} as new; give one of 'endpoints', 'kind', "
-                "'setting'"
+                f"{path}: names {' and '.join(named) or 'nothing'} as new; give exactly one of 'endpoints', "
+                "'kind' and 'setting'"
             )
-        for id in table.endpoints or ():
-            if taken.setdefault(id, n) != n:
-                yield f"{at}.endpoints: {id!r} is also in canary[{taken[id]}]"
+        for endpoint in table.endpoints or ():
+            if taken.setdefault(endpoint, n) != n:
+                yield f"{path}.endpoints: {endpoint!r} is also in canary[{taken[endpoint]}]"
         if table.endpoints is not None and not table.endpoints:
-            yield f"{at}.endpoints: is empty"
+            yield f"{path}.endpoints: is empty; list the endpoints of the new side"
         if table.kind is not None and table.kind not in config.settings.kinds:
             yield (
-                f"{at}.kind: {table.kind!r} is none of the settings' kinds: "
-                f"{', '.join(config.settings.kinds) or 'there are none'}"
+                f"{path}.kind: {table.kind!r} is not a kind of the settings: "
+                f"{', '.join(config.settings.kinds) or 'they have none'}"
             )
         elif table.kind is not None and taken.setdefault(f"kind {table.kind}", n) != n:
-            yield f"{at}.kind: {table.kind!r} is also canary[{taken[f'kind {table.kind}']}]'s"
+            yield f"{path}.kind: {table.kind!r} is also taken by canary[{taken[f'kind {table.kind}']}]"
         if table.setting is not None:
-            yield from unfit_setting(f"{at}.setting", table.setting, config)
-        yield from unfit_figures(at, table)
+            yield from validate_setting(f"{path}.setting", table.setting, config)
+        yield from validate_numbers(path, table)
 
 
-def unfit_setting(at: str, setting: SettingPart, config: Config) -> Iterator[str]:
+def validate_setting(path: str, setting: SettingPart, config: Config) -> Iterator[str]:
+    """Yields the errors of the `setting` table whose path is `path`."""
     types = {t["name"]: t for t in config.raw_settings["traffic-types"]}
     if setting.traffic_type not in types:
-        yield f"{at}.traffic_type: {setting.traffic_type!r} is none of {', '.join(types)}"
+        yield f"{path}.traffic_type: {setting.traffic_type!r} is not one of the settings: {', '.join(types)}"
         return
     if (setting.promised_time is None) == (setting.value is None):
-        yield f"{at}: give one of 'promised_time' and 'value': one thing is judged at a time"
+        yield f"{path}: give exactly one of 'promised_time' and 'value': a canary judges one change at a time"
     expiry = float(types[setting.traffic_type]["expiry"])
     if setting.promised_time is not None and not 0 < setting.promised_time <= expiry:
-        yield f"{at}.promised_time: {setting.promised_time} ms is not from 0 to the expiry, {expiry}"
+        yield (
+            f"{path}.promised_time: {setting.promised_time} ms is not above 0 and at most the traffic type's "
+            f"expiry, {expiry} ms"
+        )
     highest = max(traffic_type(t).priority_weight for t in types.values())
     if setting.value is not None and not 0 <= setting.value <= highest:
         yield (
-            f"{at}.value: {setting.value} is not from 0 to {highest}, the highest of the settings: "
-            "the budget of forwards goes by that"
+            f"{path}.value: {setting.value} is not from 0 to {highest}, the highest value in the settings, "
+            "on which the retry budget depends"
         )
 
 
-def unfit_figures(at: str, table: CanaryPart) -> Iterator[str]:
-    if not 1 <= len(table.stages) <= MOST_STAGES:
-        yield f"{at}.stages: {len(table.stages)} of them; give 1 to {MOST_STAGES}"
+def validate_numbers(path: str, table: CanaryPart) -> Iterator[str]:
+    """Yields the errors of the stages and limits in the `[[canary]]` table whose path is `path`."""
+    if not 1 <= len(table.stages) <= MAX_STAGES:
+        yield f"{path}.stages: has {len(table.stages)} entries; give 1 to {MAX_STAGES}"
     before = 0.0
     for n, stage in enumerate(table.stages):
-        if not before < stage.part <= MOST_PART:
+        if not before < stage.part <= MAX_SHARE:
             yield (
-                f"{at}.stages[{n}].part: {stage.part} is not over {before} and up to {MOST_PART}: the old "
-                "side is what the new one is judged by, and after the last stage all keys are in"
+                f"{path}.stages[{n}].part: {stage.part} is not above {before} and at most {MAX_SHARE}: each "
+                "stage takes more keys than the one before, the old side keeps some as the baseline, and "
+                "after the last stage all keys go to the new side"
             )
         before = max(before, stage.part)
         if not 0 <= stage.time < 1e7 or stage.exchanges < 1:
-            yield f"{at}.stages[{n}]: wants a time of 0 s or more and an exchange or more"
+            yield (
+                f"{path}.stages[{n}]: requires 0 s <= time < 10000000 s and exchanges >= 1, "
+                f"not {stage.time} and {stage.exchanges}"
+            )
     if not 0 < table.budget < 1:
-        yield f"{at}.budget: {table.budget} is not between 0 and 1"
+        yield f"{path}.budget: {table.budget} is not between 0 and 1"
     if not 1.0 <= table.short < table.long <= 86_400:
-        yield f"{at}: wants 1 s <= short < long <= 86400 s, not {table.short} and {table.long}"
+        yield f"{path}: requires 1 s <= short < long <= 86400 s, not {table.short} and {table.long}"
     if not 1 <= table.pause_at <= table.abort_at:
-        yield f"{at}: wants 1 <= pause_at <= abort_at, not {table.pause_at} and {table.abort_at}"
+        yield f"{path}: requires 1 <= pause_at <= abort_at, not {table.pause_at} and {table.abort_at}"
     if not 0.5 < table.fresh <= 1:
-        yield f"{at}.fresh: {table.fresh} is not over 0.5 and up to 1"
+        yield f"{path}.fresh: {table.fresh} is not above 0.5 and at most 1"
     if not 0 <= table.hold < table.fresh:
-        yield f"{at}.hold: {table.hold} is not from 0 to below fresh, {table.fresh}"
+        yield f"{path}.hold: {table.hold} is not at least 0 and below fresh, {table.fresh}"
     if not 1 <= table.alone_after <= 3600:
-        yield f"{at}.alone_after: {table.alone_after} is not from 1 to 3600 s"
+        yield f"{path}.alone_after: {table.alone_after} is not from 1 to 3600 s"
     if table.each_effect < 0:
-        yield f"{at}.each_effect: {table.each_effect} is below 0"
+        yield f"{path}.each_effect: {table.each_effect} is below 0"
 
 
 def split_core(
@@ -185,15 +200,19 @@
     on_watch: Callable[[], None],
     on_tick: Callable[[], None],
 ) -> SplitCore:
-    """What a sidecar has in place of its `Core` where the file names canaries."""
+    """Creates the core of a sidecar whose file has canaries, with a side for each one of endpoints."""
     settings = config.raw_settings
     limits = settings["policy-limits"]
-    # Guards against an exchange that has used up its forwards on a new side that is dead: one is kept back.
-    fewer = {**settings, "policy-limits": {**limits, "max-forwards": max(1, limits["max-forwards"] - 1)}}
-
-    def facade(seed: int, of: dict[str, Any]) -> SideFacade:
+    # Guards against a request that uses up its attempts on a new side whose endpoints have failed: a new side
+    # gets one attempt fewer, which is left for the old side.
+    new_side_settings = {
+        **settings,
+        "policy-limits": {**limits, "max-forwards": max(1, limits["max-forwards"] - 1)},
+    }
+
+    def facade(seed: int, side_settings: dict[str, Any]) -> SideFacade:
         now = loop.now()
-        return SideFacade(now, lambda host: make_balancer(host, seed, now, of))
+        return SideFacade(now, lambda host: make_balancer(host, seed, now, side_settings))
 
     sides = []
     for n, table in enumerate(tables):
@@ -202,8 +221,8 @@
             sides.append(
                 Side(
                     table.name,
-                    taker_of_lines(table, config),
-                    facade(config.seed + 1 + n, fewer),
+                    endpoint_filter(table, config),
+                    facade(config.seed + 1 + n, new_side_settings),
                     directory,
                     make_back(directory),
                 )
@@ -221,7 +240,8 @@
     )
 
 
-def taker_of_lines(table: CanaryPart, config: Config) -> Callable[[ListedEndpoint], bool]:
+def endpoint_filter(table: CanaryPart, config: Config) -> Callable[[ListedEndpoint], bool]:
+    """Returns a function that tells whether a listed endpoint belongs to the new side."""
     if table.kind is not None:
         number = config.settings.kinds.index(table.kind)
         return lambda line: line.machine_kind == number
@@ -229,7 +249,8 @@
     return lambda line: line.id in ids
 
 
-def with_setting(setting: SettingPart, names: tuple[str, ...], n: int, kind: TrafficClass) -> TrafficClass:
+def apply_setting(setting: SettingPart, names: tuple[str, ...], n: int, kind: TrafficClass) -> TrafficClass:
+    """The variant of the class at index `n` of `names`: with the setting's value if the setting is for it."""
     if names[n] != setting.traffic_type:
         return kind
     if setting.promised_time is not None:
@@ -237,62 +258,71 @@
     return replace(kind, value=setting.value if setting.value is not None else kind.priority_weight)
 
 
-class CanaryHostOf:
-    """What one canary acts through."""
+class MemberCanaryHost:
+    """The host of one canary at this member."""
 
-    def __init__(self, ground: Ground, name: str, chance: Callable[[list[str]], list[str]]) -> None:
-        self.ground, self.name, self.shuffled = ground, name, chance
+    def __init__(self, ground: Ground, name: str, shuffled: Callable[[list[str]], list[str]]) -> None:
+        """`shuffled` returns the names in random order."""
+        self.ground, self.name, self.shuffled = ground, name, shuffled
         self.file = (
             None
             if ground.folder is None
             else StoredFile(str(ground.folder / f"canary-{name}.state"), KIND, VERSION, MOST_KEPT)
         )
-        self.unwritten = False
+        self.write_failed = False
 
     def tell_counts(self, now: float, value: bytes) -> None:
+        """Writes the register of counts."""
         self.ground.cells.write(now, f"canary/{self.name}", value)
 
     def tell_state(self, now: float, value: bytes) -> None:
+        """Writes the register of state and sends it at once to some members, chosen at random."""
         alive = [
             m.name
             for m in self.members()
             if m.status is MemberStatus.ALIVE and m.name != self.ground.members.own_name
         ]
-        self.ground.cells.write(now, f"canary/{self.name}/state", value, self.shuffled(alive)[:TOWARD])
+        self.ground.cells.write(
+            now, f"canary/{self.name}/state", value, self.shuffled(alive)[:DIRECT_RECIPIENTS]
+        )
 
     def kept(self) -> bytes | None:
+        """What the state file holds; None if there is none, or if it is corrupt, which is logged."""
         if self.file is None:
             return None
         try:
             return self.file.read()
         except Missing:
             return None
-        except Unfit as fault:
-            self.log("canary state unreadable", canary=self.name, why=fault)
+        except Unfit as error:
+            self.log("canary state unreadable", canary=self.name, why=error)
             return None
 
     def keep(self, value: bytes) -> None:
+        """Writes the state file. Only the first of consecutive failures is logged."""
         if self.file is None:
             return
         try:
             self.file.write(value, str(self.ground.members.own_incarnation))
-        except OSError as fault:
-            if not self.unwritten:
-                self.log("canary state cannot be written", canary=self.name, file=self.file.path, why=fault)
-            self.unwritten = True
+        except OSError as error:
+            if not self.write_failed:
+                self.log("canary state cannot be written", canary=self.name, file=self.file.path, why=error)
+            self.write_failed = True
         else:
-            self.unwritten = False
+            self.write_failed = False
 
     def members(self) -> Sequence[Member]:
+        """All known members, this one included."""
         return self.ground.members.members()
 
     def log(self, event: str, **fields: object) -> None:
-        trouble = ("aborted", "paused", "differ", "refused", "unreadable", "written", "of touch")
-        (log.warning if event.endswith(trouble) else log.info)(event, extra={"fields": fields})
+        """Logs an event; as a warning if an operator should know of it."""
+        warning_endings = ("aborted", "paused", "differ", "refused", "unreadable", "written", "of touch")
+        (log.warning if event.endswith(warning_endings) else log.info)(event, extra={"fields": fields})
 
 
 class CanaryRun:
-    """The canaries of one sidecar."""
+    """The canaries of one sidecar as a part of the program; see `Part` for its methods."""
 
     def __init__(
         self,
@@ -301,12 +331,12 @@
         shuffled: Callable[[list[str]], list[str]] = lambda names: names,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """`shuffled` gives the names in an order of chance."""
+        """`shuffled` returns the names in random order; `wall` returns the Unix time."""
         self.ground, self.tables, self.wall = ground, {table.name: table for table in tables}, wall
         now = ground.loop.now()
         self.canaries: dict[str, Canary] = {}
         for table in tables:
-            host = CanaryHostOf(ground, table.name, shuffled)
+            host = MemberCanaryHost(ground, table.name, shuffled)
             self.canaries[table.name] = Canary(
                 now, table.terms(), ground.members.own_name, ground.members.own_incarnation, host, host.kept()
             )
@@ -318,24 +348,36 @@
                 self.heard(now, seen.register)
 
     def taker(self, inner: Taker) -> Taker:
-        """`inner` is the core that `split_core` made. Raises Trouble for another."""
+        """Returns a router in front of `inner`, the core that `split_core` made.
+
+        Raises Trouble if it is another one.
+        """
         if not self.canaries:
             return inner
         if not isinstance(inner, SplitCore):
-            raise Trouble("canaries stand before a core that has one side alone", "report it: a defect")
-        config, ready = self.ground.config, []
+            raise Trouble(
+                f"canaries require the core that split_core makes, not {type(inner).__name__}",
+                "report it as a defect of rainspindle",
+            )
+        config, routes = self.ground.config, []
         names = config.settings.type_names
         for name, canary in self.canaries.items():
             setting = self.tables[name].setting
             if setting is None:
-                ready.append(Ready(canary, side=name))
+                routes.append(CanaryRoute(canary, side=name))
             else:
-                ready.append(Ready(canary, types_on=add_types(inner, partial(with_setting, setting, names))))
+                routes.append(
+                    CanaryRoute(
+                        canary,
+                        class_offset=add_variant_classes(inner, partial(apply_setting, setting, names)),
+                    )
+                )
         types = [traffic_type(t) for t in config.raw_settings["traffic-types"]]
-        self.core, self.router = inner, CanaryRouter(self.ground.loop, inner, types, ready)
+        self.core, self.router = inner, CanaryRouter(self.ground.loop, inner, types, routes)
         return self.router
 
     def heard(self, now: float, cell: Register) -> None:
+        """Passes a register that was written or received on to its canary."""
         _, _, rest = cell.name.partition("/")
         name, _, what = rest.partition("/")
         canary = self.canaries.get(name)
@@ -355,31 +397,37 @@
             )
 
     def tick(self, now: float) -> float:
+        """Does what is due; returns the latest time of the next call."""
         if self.core is not None:
             self.core.share_own_rates(now)
         return min((canary.tick(now) for canary in self.canaries.values()), default=now + 1.0)
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
-        """Each look asks who is there."""
+        """Does nothing: each canary asks for the members when it evaluates its run."""
 
     def call(self, now: float, method: str, path: tuple[str, ...], query: Mapping[str, str]) -> Answer | None:
+        """Answers `/-/canaries` and `/-/canaries/NAME/ACTION`; None for other paths. Raises CanaryError."""
         if path[:1] != ("canaries",):
             return None
         if len(path) == 1:
             if method not in ("GET", "HEAD"):
-                return no(405, f"/-/canaries wants GET, not {method}", "ask with GET")
+                return no(405, f"/-/canaries requires GET, not {method}", "call it with GET")
             return Answer(200, {"canaries": [canary.report(now) for canary in self.canaries.values()]})
         canary = self.canaries.get(path[1])
-        if len(path) != 3 or path[2] not in ACTS:
-            return no(404, "no such call", "POST /-/canaries/NAME/ and one of " + ", ".join(ACTS))
+        if len(path) != 3 or path[2] not in ACTIONS:
+            return no(
+                404, "no such console call", "POST to /-/canaries/NAME/ and one of " + ", ".join(ACTIONS)
+            )
         if canary is None:
             return no(
                 404,
                 f"no canary {path[1]!r:.80} in the file of this sidecar",
-                "it has " + (", ".join(self.canaries) or "none"),
+                "use the name of one that it has: " + (", ".join(self.canaries) or "none"),
             )
         if method != "POST":
-            return no(405, f"/-/canaries/{path[1]}/{path[2]} wants POST, not {method}", "call with POST")
+            return no(
+                405, f"/-/canaries/{path[1]}/{path[2]} requires POST, not {method}", "call it with POST"
+            )
         if path[2] == "start":
             canary.start(now, self.wall())
         else:
@@ -387,7 +435,10 @@
         return Answer(200, canary.report(now))
 
     def reload(self, now: float, tables: Sequence[CanaryPart]) -> list[str]:
-        """What is new needs a restart; all else is taken over, but not while a run is under way."""
+        """Adopts the tables, except that a change of what is new requires a restart.
+
+        A canary whose run is in progress keeps its terms. Returns the canaries that were not updated.
+        """
         new = {table.name: table for table in tables}
         later = [f"canary {name}" for name in sorted(self.tables.keys() ^ new.keys())]
         for name in self.tables.keys() & new.keys():
@@ -400,16 +451,18 @@
         return later
 
     def leave(self, now: float) -> None:
-        """Its counts stay with the others."""
+        """Does nothing: the other members keep this one's counts."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing: no file is open."""
 
     def figures(self) -> Mapping[str, object]:
+        """The numbers for the last log line; empty before `taker` made the router."""
         if self.router is None:
             return {}
-        return {"canary_sent": dict(self.router.sent), "canary_crossed": self.router.crossed}
+        return {"canary_sent": dict(self.router.sent), "canary_crossed": self.router.fallbacks}
 
 
 def no(status: int, error: str, remedy: str) -> Answer:
+    """A console answer that reports an error."""
     return Answer(status, {"error": error, "remedy": remedy})
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -517,12 +517,12 @@
         pair.sent.clear()
         pair.exchange(key, 1)
         further += max(0, len(pair.sent) - 1)
-    assert further == 2 and pair.run.router is not None and pair.run.router.crossed >= 2
+    assert further == 2 and pair.run.router is not None and pair.run.router.fallbacks >= 2
     old = pair.core.facade.balancer
     assert isinstance(old, Balancer) and old.retry_budget is not None
     assert (
         old.retry_budget.counted_requests
-        == pair.core.taken + pair.core.further["c"].taken - pair.run.router.crossed
+        == pair.core.taken + pair.core.other_cores["c"].taken - pair.run.router.fallbacks
     )
 
 
@@ -536,7 +536,7 @@
     assert {message.startswith("~") for message in told} == {True, False}
     for message in told:
         other.core.apply(other.core.facade.heard(other.loop.now(), "pair", message))
-    for core, like in ((other.core, "pair"), (other.core.further["c"], "pair")):
+    for core, like in ((other.core, "pair"), (other.core.other_cores["c"], "pair")):
         balancer = core.facade.balancer
         assert isinstance(balancer, Balancer) and like in balancer.peer_load.reports
         assert {"pair~", "pair~c"} & balancer.peer_load.learned.keys()
@@ -555,7 +555,7 @@
 
     pair = Pair(slow, setting={"traffic_type": "read", "promised_time": 200})
     balancer = pair.core.facade.balancer
-    assert isinstance(balancer, Balancer) and not pair.core.further
+    assert isinstance(balancer, Balancer) and not pair.core.other_cores
     assert [t.latency_objective for t in balancer.traffic_classes] == [0.6, 0.6, 0.6, 0.2, 0.6, 0.6]
     pair.start()
     for key in (*pair.in_canary()[:4], *pair.in_canary(False)[:4]):
@@ -609,7 +609,7 @@
         "canary[6].fresh",
         "canary[6].alone_after",
         "canary[6].each_effect",
-        "canary[6]: wants 1 s",
+        "canary[6]: requires 1 s",
     ):
         assert any(line_.startswith(path) for line_ in told), (path, told)
     assert not list(unfit([msgspec.convert({**one, "kind": "new"}, type=CanaryPart)], pair.config))
