--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -112,7 +112,7 @@
         if not NAME.fullmatch(table.name):
             yield f"{path}.name: {table.name!r:.80} is not 1 to 60 characters of A-Z a-z 0-9 _ . -"
         elif names[table.name] > 1:
-            yield f"{path}.name: {table.name!r} is the name of {names[table.name]} canaries"
+            yield f"{path}.name: {table.name!r} names {names[table.name]} canaries"
         named = [key for key in ("endpoints", "kind", "setting") if getattr(table, key) is not None]
         if len(named) != 1:
             yield (
@@ -123,7 +123,7 @@
             if taken.setdefault(endpoint, n) != n:
                 yield f"{path}.endpoints: {endpoint!r} is also in canary[{taken[endpoint]}]"
         if table.endpoints is not None and not table.endpoints:
-            yield f"{path}.endpoints: is empty; list the endpoints of the new side"
+            yield f"{path}.endpoints: is empty"
         if table.kind is not None and table.kind not in config.settings.kinds:
             yield (
                 f"{path}.kind: {table.kind!r} is not a kind of the settings: "
