--- a/rainspindle/decisions/evidence/__init__.py
+++ b/rainspindle/decisions/evidence/__init__.py
@@ -1,1 +1,1 @@
-"""What sidecars tell one another of endpoints and keys, and how much it counts."""
+"""Endpoint failures and hot keys reported between sidecars, and how much each report counts."""
--- a/rainspindle/decisions/listing/__init__.py
+++ b/rainspindle/decisions/listing/__init__.py
@@ -1,1 +1,1 @@
-"""Who asks the list service for a fleet of sidecars, and when the others are spared."""
+"""Decides which sidecars of a fleet poll the list service and when the others may skip their own calls."""
--- a/rainspindle/program/fleet/evidence.py
+++ b/rainspindle/program/fleet/evidence.py
@@ -1,4 +1,4 @@
-"""What sidecars tell one another of endpoints and keys: `[evidence]` of the fleet file."""
+"""Reports of endpoints and keys between sidecars: `[evidence]` of the fleet file."""
 
 from __future__ import annotations
 
@@ -24,30 +24,31 @@
 
 log = logging.getLogger("rainspindle.evidence")
 
-LOOK, LOOK_OUT = 0.25, 0.1  # seconds between two looks at the module: at rest, and while anything is out
-COUNT_GAP = 5.0  # seconds between two countings of the members
-MOST_SHOWN = 50  # endpoints in an answer
+# seconds between two checks of the balancers: normally, and while any endpoint is ejected
+LOOK, LOOK_OUT = 0.25, 0.1
+COUNT_GAP = 5.0  # seconds between two counts of the members
+MOST_SHOWN = 50  # maximum endpoints in an answer to an operator
 
 
 class EvidencePart(msgspec.Struct, forbid_unknown_fields=True):
     """`[evidence]` of the fleet file."""
 
-    tellers: int = 3  # whose words together warn, and make a key hot
-    lasts: float = 15.0  # seconds for which word counts
+    tellers: int = 3  # how many members' reports together warn of an endpoint, or make a key hot
+    lasts: float = 15.0  # seconds for which a report counts
 
 
 def unfit(table: EvidencePart, config: Config) -> Iterator[str]:
-    """Each fault between values that are well formed, with its path."""
+    """Yields each value that is well formed but out of range, with its path."""
     if not 2 <= table.tellers <= 50:
         yield (
-            f"evidence.tellers: {table.tellers} is not from 2 to 50: word of one alone must warn of nothing"
+            f"evidence.tellers: {table.tellers} is not from 2 to 50: a single member's report must not warn"
         )
     if not 5.0 <= table.lasts <= 120.0:
-        yield f"evidence.lasts: {table.lasts:g} s is not from 5 to 120: a trial comes each 5 s"
+        yield f"evidence.lasts: {table.lasts:g} s is not from 5 to 120: trials are 5 s apart"
 
 
 class EvidenceRun(Watches):
-    """The evidence's host: it has the modules, the members and the cell."""
+    """Runs the `Evidence` with the balancers, the members and the register."""
 
     def __init__(self, ground: Ground, table: EvidencePart, wall: Callable[[], float] = time.time) -> None:
         super().__init__()
@@ -64,18 +65,22 @@
         )
 
     def attach(self, core: Core, follower: Follower) -> None:
+        """Connects the evidence with the core's balancers and the members' registers."""
         watch(core, self, self.evidence, self.ground.config.decoder.clock_offset)
         self.ground.cells.on_change(CELL, self.heard)
         for seen in list(self.ground.cells.named(CELL).values()):
             self.heard(self.ground.loop.now(), seen.register)
 
     def ready_from(self, now: float) -> float:
+        """Returns `now`: the listener does not wait for this part."""
         return now
 
     def taker(self, inner: Taker) -> Taker:
+        """Returns `inner`: requests are not changed."""
         return inner
 
     def heard(self, now: float, cell: Register) -> None:
+        """Handles a changed register of evidence."""
         if cell.name != CELL or cell.owner == self.ground.members.own_name:
             return
         if not cell.value:
@@ -85,11 +90,14 @@
             told = decode_told(cell.value)
         except UnreadableEvidence as fault:
             self.unread += 1
-            log.debug("unreadable evidence", extra={"fields": {"from": cell.owner, "why": fault}})
+            log.debug(
+                "evidence register cannot be decoded", extra={"fields": {"from": cell.owner, "why": fault}}
+            )
         else:
             self.evidence.heard(now, cell.owner, told)
 
     def tick(self, now: float) -> float:
+        """Does what is due and returns when to be called next at the latest."""
         if now - self.counted_at >= COUNT_GAP:
             self.counted_at = now
             own = self.ground.members.own_name
@@ -104,10 +112,12 @@
         return min(self.evidence.tick(now), now + (LOOK_OUT if out else LOOK))
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
+        """Forgets the reports of a member that is dead or has left."""
         if after.status in (MemberStatus.DEAD, MemberStatus.LEFT):
             self.evidence.forget(now, after.name)
 
     def call(self, now: float, method: str, path: tuple[str, ...], query: Mapping[str, str]) -> Answer | None:
+        """Answers an operator's call of /-/evidence, None for other paths."""
         if path[:1] != ("evidence",):
             return None
         if len(path) > 1:
@@ -117,7 +127,7 @@
         return Answer(200, {**self.evidence.report(now), "unread": self.unread, "endpoints": self.shown(now)})
 
     def shown(self, now: float) -> list[dict[str, object]]:
-        """What is told of endpoints, those that are out here or told as out by any."""
+        """Returns the endpoints that are ejected here or reported by any member, for operators."""
         evidence, found = self.evidence, list[dict[str, object]]()
         held = evidence.summed_held(now)
         for mark in [*evidence.own, *(m for m in evidence.by_mark if m not in evidence.own)]:
@@ -139,48 +149,55 @@
         return found
 
     def reload(self, now: float, tables: EvidencePart) -> list[str]:
+        """Applies the table of a fleet file that was read again; returns what needs a restart."""
         self.table = tables
         self.evidence.tellers, self.evidence.lasts = tables.tellers, tables.lasts
         return []
 
     def leave(self, now: float) -> None:
-        """What it told ages at the others."""
+        """Does nothing: the own reports expire at the other members."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing, as nothing is open."""
 
     def figures(self) -> Mapping[str, object]:
+        """Returns the metrics."""
         counts = self.evidence.counts
         return {
             f"evidence_{name}": counts[name]
             for name in ("told", "words", "discounted", "warnings", "spared", "hastened")
         }
 
-    # The evidence's side.
+    # Interface for the evidence.
 
     def wall(self, now: float) -> float:
+        """Returns Unix time."""
         return self.clock()
 
     def warn(self, now: float, mark: int, on: bool) -> None:
+        """Sets whether one own failure is enough to eject the endpoint, and logs it."""
         super().warn(now, mark, on)
         where = self.find(mark)
         log.info(
-            "others say it is dead" if on else "others say so no more",
+            "endpoint reported dead by other members" if on else "endpoint no longer reported dead",
             extra={
                 "fields": {"endpoint": where[1].id if where else mark, "warned": len(self.evidence.warned)}
             },
         )
 
     def size(self) -> int:
+        """Returns the number of members at the last count."""
         return self.members
 
     def rank(self) -> int:
+        """Returns the own position in a pseudo-random order of the members, 0 for the first."""
         return self.place
 
     def tell(self, now: float, told: Told) -> None:
+        """Writes the own register."""
         self.ground.cells.write(now, CELL, encode_told(told))
 
 
 def chance_of(name: str) -> int:
-    """By which members are ordered, alike at all."""
+    """Returns the hash by which members are ordered, the same at all members."""
     return zlib.crc32(name.encode())
--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -1,4 +1,4 @@
-"""The list of endpoints relayed from a few sidecars to the others: `[list]` of the fleet file."""
+"""Relays the endpoint list from a few sidecars to the others: `[list]` of the fleet file."""
 
 from __future__ import annotations
 
@@ -30,27 +30,31 @@
 log = logging.getLogger("rainspindle.list")
 
 LEAST_ASKERS, MOST_ASKERS = 2, 16
-SAME_START = 0.002  # seconds between two tellings of one start
-WARNED = {"list: a member is not believed", "list: too large to be told on", "list: unreadable word"}
+SAME_START = 0.002  # seconds; reported starts of one process differ by less than this
+WARNED = {
+    "list: implausible report, member not believed",
+    "list: too large to relay, each sidecar polls for itself",
+    "list: report cannot be decoded",
+}
 
 
 class ListPart(msgspec.Struct, forbid_unknown_fields=True):
     """`[list]` of the fleet file."""
 
-    askers: int = 3  # members that ask the list service for all, while their calls succeed
+    askers: int = 3  # members that poll the list service for the whole fleet while their calls succeed
 
 
 def unfit(table: ListPart, config: Config) -> Iterator[str]:
-    """Each fault between values that are well formed, with its path."""
+    """Yields each value that is well formed but out of range, with its path."""
     if not LEAST_ASKERS <= table.askers <= MOST_ASKERS:
         yield f"list.askers: is {table.askers}; expected {LEAST_ASKERS} to {MOST_ASKERS}"
 
 
 class ListRun:
-    """Host to the `Relay`, between the follower of the list and the members' cells."""
+    """Runs the `Relay` between the list's follower and the members' registers."""
 
     def __init__(self, ground: Ground, table: ListPart, seeded: bool) -> None:
-        """`seeded`: the members' file has addresses of others."""
+        """`seeded`: whether the members' file has addresses of others."""
         self.ground, self.table = ground, table
         self.config = ground.config
         within = self.config.settings.ask_within if self.config.asks_list else 0.0
@@ -59,7 +63,7 @@
         self.core: Core | None = None
         self.known: dict[str, tuple[ListedEndpoint, Address | None]] = {}
         self.address = self.config.discovery
-        self.usual = 0.0  # seconds that the follower's watch waits as alone
+        self.usual = 0.0  # seconds that the follower's watch waits in a sidecar on its own
         self.unread = 0
         self.tell_others: Callable[[ListChange], None] = lambda change: None
         terms = Terms(table.askers, within, seeded)
@@ -74,24 +78,28 @@
         )
         if not self.relay.on:
             log.info(
-                "list: nothing is relayed",
+                "list: relay is off",
                 extra={
                     "fields": {
                         "why": "lists are pushed"
                         if not self.config.asks_list
-                        else f"the asking period of {within:g} s is under {LEAST_ASK_WITHIN:g} s"
+                        else f"the asking period of {within:g} s is below {LEAST_ASK_WITHIN:g} s"
                     }
                 },
             )
 
     def mark(self) -> bytes:
-        """Of the service and of the terms in which its lines are read: word in others counts for nothing."""
+        """Returns the digest that identifies the service and the settings by which its lines are read.
+
+        Reports with another digest are ignored.
+        """
         settings = self.config.settings
         return words.mark(address_text(self.address), settings.zones, settings.kinds)
 
-    # What the program asks.
+    # Interface to the program.
 
     def attach(self, core: Core, follower: Follower) -> None:
+        """Connects the relay with the core and the follower; does nothing if the relay is off."""
         if not self.relay.on:
             return
         self.core, self.follower, self.usual = core, follower, follower.wait
@@ -112,21 +120,26 @@
         self.ground.cells.on_change("list/", self.heard)
 
     def ready_from(self, now: float) -> float:
+        """Returns `now`: the listener does not wait for this part."""
         return now
 
     def taker(self, inner: Taker) -> Taker:
+        """Returns `inner`: requests are not changed."""
         return inner
 
     def tick(self, now: float) -> float:
+        """Does what is due and returns when to be called next at the latest."""
         if self.follower is None:
             return now + 1.0
         self.look_at_address(now)
         return self.relay.tick(now)
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
+        """Handles a change of the membership."""
         self.relay.members_changed()
 
     def call(self, now: float, method: str, path: tuple[str, ...], query: Mapping[str, str]) -> Answer | None:
+        """Answers an operator's call of /-/list, None for other paths."""
         if path[0] != "list":
             return None
         if len(path) > 1:
@@ -136,6 +149,7 @@
         return Answer(200, self.body(now))
 
     def body(self, now: float) -> Mapping[str, object]:
+        """Returns the relay's state for operators."""
         relay = self.relay
 
         def ago(at: float) -> float | None:
@@ -161,19 +175,22 @@
         }
 
     def reload(self, now: float, tables: ListPart) -> list[str]:
+        """Applies the table of a fleet file that was read again; returns what needs a restart."""
         self.table = tables
         self.relay.terms = replace(self.relay.terms, askers=tables.askers)
         self.relay.members_changed()
         return []
 
     def leave(self, now: float) -> None:
-        """Others are to ask in its place at once."""
+        """Gives up the asker role, so that others take it over at once."""
         if self.follower is not None:
             self.relay.leave(now)
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Does nothing, as nothing is open."""
 
     def figures(self) -> Mapping[str, object]:
+        """Returns the metrics."""
         relay = self.relay
         return {
             "list_mode": relay.mode or "alone",
@@ -185,7 +202,10 @@
     # The follower.
 
     def sound(self, do: Callable[[], T], otherwise: T) -> T:
-        """Guards against a fault here that would cost the list itself, or the members their word."""
+        """Calls `do` and returns `otherwise` if it raises.
+
+        Guards against a fault here that would stop the list itself, or the members' gossip.
+        """
         try:
             return do()
         except Exception as fault:
@@ -193,6 +213,7 @@
             return otherwise
 
     def look_at_address(self, now: float) -> None:
+        """Resets the relay if the follower polls another service."""
         assert self.follower is not None
         if self.follower.address != self.address:
             self.address = self.follower.address
@@ -200,6 +221,7 @@
             self.relay.moved(now, self.mark())
 
     def spared(self) -> float:
+        """Returns until when the next call may wait, and sets the follower's watch time."""
         now = self.ground.loop.now()
         self.look_at_address(now)
         assert self.follower is not None
@@ -208,7 +230,7 @@
         return self.relay.spared(now)
 
     def told(self, change: ListChange) -> None:
-        """By the service itself, to this one."""
+        """Handles an answer of the service itself to this member."""
         now = self.ground.loop.now()
         self.look_at_address(now)
         if change.whole:
@@ -218,7 +240,7 @@
             self.relay.told(now, change.version, change.whole, lines)
 
     def noted(self, change: ListChange) -> dict[str, bytes] | None:
-        """The lines as they are told on, None where they cannot be."""
+        """Returns the changed lines as they are relayed, None if they do not fit into registers."""
         lines: dict[str, bytes] = {}
         try:
             for line in change.lines:
@@ -236,28 +258,34 @@
         return lines
 
     def failed(self) -> None:
+        """Handles a failed call of this member."""
         self.relay.failed(self.ground.loop.now())
 
-    # Host to the relay.
+    # Interface for the relay.
 
     def alive(self) -> Sequence[str]:
+        """Returns the names of the live members."""
         return [m.name for m in self.ground.members.members() if m.status is MemberStatus.ALIVE]
 
     def write(self, now: float, name: str, value: bytes) -> None:
+        """Writes a register of this member; an empty value deletes it."""
         if value:
             self.ground.cells.write(now, name, value)
         else:
             self.ground.cells.delete(now, name)
 
     def cell(self, owner: str, name: str) -> bytes:
+        """Returns the value of a register, b"" if there is none."""
         seen = self.ground.cells.read(owner, name)
         return seen.register.value if seen is not None else b""
 
     def heard(self, now: float, cell: Register) -> None:
+        """Handles a changed register of the list."""
         if cell.name == words.HEAD and cell.owner != self.ground.members.own_name:
             self.sound(partial(self.heard_head, now, cell), None)
 
     def heard_head(self, now: float, cell: Register) -> None:
+        """Handles a changed head of another member."""
         if not cell.value:
             self.relay.gone(now, cell.owner)
             return
@@ -267,12 +295,15 @@
         except UnreadableList as fault:
             self.unread += 1
             if self.unread == 1:
-                self.log("list: unreadable word", member=cell.owner, why=str(fault), remedy=fault.remedy)
+                self.log(
+                    "list: report cannot be decoded", member=cell.owner, why=str(fault), remedy=fault.remedy
+                )
             return
         self.look_at_address(now)
         self.relay.heard(now, cell.owner, head, seen.heard_at if seen is not None else now)
 
     def take(self, now: float, version: int, lines: words.Lines, delta: words.Lines) -> bool:
+        """Applies a relayed list to the core; returns False if a line cannot be decoded."""
         assert self.core is not None and self.follower is not None
         changed: list[ListedEndpoint] = []
         addresses: dict[str, Address] = {}
@@ -288,7 +319,7 @@
                 if at is not None:
                     addresses[id] = at
         except UnreadableList as fault:
-            self.log("list: unreadable word", why=str(fault), remedy=fault.remedy)
+            self.log("list: report cannot be decoded", why=str(fault), remedy=fault.remedy)
             return False
         for line in changed:
             if line.status is EndpointStatus.GONE:
@@ -301,22 +332,27 @@
         return True
 
     def urge(self) -> None:
+        """Makes the follower look again at when its next call is due."""
         if self.follower is None:
             return
         relay = self.relay
-        # Guards against an asker that is silent for as long as the watch waits that it had before.
+        # Guards against a new asker that reports nothing until its earlier, longer watch ends.
         if relay.asker and relay.mode == "alone" and relay.own_at > relay.failed_at:
             self.follower.anew()
         else:
             self.follower.task.wake()
 
     def log(self, event: str, **fields: object) -> None:
+        """Writes a log line, as a warning if operators should act on it."""
         log.log(logging.WARNING if event in WARNED else logging.INFO, event, extra={"fields": fields})
 
 
 def kept(line: ListedEndpoint, before: ListedEndpoint) -> ListedEndpoint:
-    """What word says of an endpoint that is known. Guards against one that an older start, or none, would
-    make warm, and against a start told with other last digits, which would make it cold."""
+    """Returns the relayed line with the start that is already known, unless the relayed one is later.
+
+    Guards against an older or missing start, which would make the endpoint count as warmed up, and against a
+    start with other last digits, which would make it count as cold.
+    """
     if before.started_at is not None and (
         line.started_at is None or line.started_at < before.started_at + SAME_START
     ):
--- a/rainspindle/protocol/discovery.py
+++ b/rainspindle/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's messages: the watch asked for, and the changes it tells."""
+"""Discovery's messages: the requested watch and the changes it returns."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What discovery told: changed lines, or the whole list."""
+    """An answer of discovery: the changed lines, or the whole list."""
 
     version: int
     whole: bool
@@ -32,13 +32,18 @@
 
 
 class ListDecoder:
+    """Decodes discovery's answers."""
+
     def __init__(self, zones: Sequence[str], clock_offset: float, kinds: Sequence[str] = ()) -> None:
-        """`clock_offset` is what is added to Unix time to give the sidecar's own; it never changes, or
-        every start time would look like a new start."""
+        """`clock_offset` is what is added to Unix time to give the sidecar's clock.
+
+        It never changes, as every start time would look like a new start otherwise.
+        """
         self.kinds = {name: n for n, name in enumerate(kinds)}
         self.zones, self.clock_offset = {name: n for n, name in enumerate(zones)}, clock_offset
 
     def decode(self, message: Any) -> ListChange:
+        """Decodes an answer. Raises Unreadable."""
         try:
             entries = message["instances"]
             return ListChange(
@@ -48,15 +53,19 @@
                 {e["instanceId"]: parse_address(e["hostPort"]) for e in entries if e.get("hostPort")},
             )
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as fault:
-            raise Unreadable(f"not a list: {type(fault).__name__} {fault}") from None
+            raise Unreadable(f"answer is no endpoint list: {type(fault).__name__} {fault}") from None
 
     def zone(self, name: str) -> int:
-        """Its number in the settings. One that they do not name has a number below 0, alike at all sidecars.
+        """Returns the zone's number in the settings.
 
-        Guards against two such zones that count as one: a repeat would go to where it is not dropped."""
+        A zone that the settings do not name gets a number below 0, the same at all sidecars. Guards against
+        two such zones that count as one: a repeated request would then go to a zone in which it is not
+        deduplicated.
+        """
         return self.zones.get(name, -1 - zlib.crc32(name.encode()))
 
     def line(self, e: dict[str, Any]) -> ListedEndpoint:
+        """Decodes one endpoint."""
         weight, started = e.get("weight"), e.get("startedAtMs")
         return ListedEndpoint(
             str(e["instanceId"]),
@@ -76,21 +85,26 @@
         self.decoder, self.call = decoder, Call(MOST_LIST)
 
     def whole(self, host: bytes) -> bytes:
+        """Returns the request for the whole list."""
         return self.call.request(b"GET", b"/v1/endpoints", [(b"Host", host)], b"")
 
     def watch(self, host: bytes, version: int, wait: float) -> bytes:
+        """Returns the request for changes after a version; the service may wait `wait` seconds for one."""
         target = f"/v1/endpoints?index={version}&wait={int(wait * 1000)}".encode()
         return self.call.request(b"GET", target, [(b"Host", host)], b"")
 
     def receive(self, data: bytes) -> tuple[ListChange, bool] | None:
-        """The change once it is whole, and whether the connection can be used again. Raises Unreadable."""
+        """Returns the change once it has arrived completely, and whether the connection can be used again.
+
+        Raises Unreadable.
+        """
         reply = self.call.receive(data)
         if reply is None:
             return None
         if reply.status != 200:
-            raise Unreadable(f"status {reply.status}")
+            raise Unreadable(f"discovery answered with status {reply.status}; expected 200")
         try:
             message = orjson.loads(reply.body)
         except orjson.JSONDecodeError as fault:
-            raise Unreadable(f"not JSON: {fault}") from None
+            raise Unreadable(f"discovery's answer is no JSON: {fault}") from None
         return self.decoder.decode(message), reply.reusable
--- a/rainspindle/protocol/evidence.py
+++ b/rainspindle/protocol/evidence.py
@@ -1,6 +1,7 @@
-"""What a member tells of endpoints and keys in its cell `evidence`. No I/O.
+"""Codec for the register `evidence`, in which a member reports endpoints and keys. Does no I/O.
 
-A MessagePack array by msgspec: a version first, fields are only ever added at the end, unknown ones ignored.
+The value is a MessagePack array (msgspec) that begins with a version. Fields are only ever added at the end,
+and unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -12,37 +13,38 @@
 from ..errors import Trouble
 
 VERSION, CELL = 1, "evidence"
-MOST_BYTES, MOST_OUT, MOST_KEYS, MOST_HELD = 900, 16, 12, 4  # of one cell
+MOST_BYTES, MOST_OUT, MOST_KEYS, MOST_HELD = 900, 16, 12, 4  # limits of one register
 
 
 class UnreadableEvidence(Trouble):
-    """What another member tells is none that this release reads."""
+    """A register of another member cannot be decoded by this release."""
 
-    remedy = "see that all members run a release that is beside this one"
+    remedy = "make sure that all members run this release or an adjacent one"
 
 
 class Out(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint that the teller holds out, or has put back lately."""
+    """An endpoint that the reporter has ejected or recently readmitted."""
 
-    mark: int  # 64 bits of its id
-    start: int  # milliseconds, as the list tells it; 0 where it does not
-    tried: float  # seconds before the cell was written: its trip, or its last trial's begin or failure
-    hard: bool = False  # nothing but failures came from it when it tripped
-    served: float = -1.0  # seconds before: a trial was answered; -1 for none
-    trying: bool = False  # the last trial's end is not known yet
+    mark: int  # 64-bit hash of its id
+    start: int  # milliseconds of Unix time by the list; 0 if the list has none
+    tried: float  # seconds before the write: its ejection, or the begin or failure of the last trial
+    hard: bool = False  # nothing but failures came from it before its ejection
+    served: float = -1.0  # seconds before the write: when a trial was answered; -1 if none was
+    trying: bool = False  # the result of the last trial is not known yet
 
 
 class Told(msgspec.Struct, array_like=True, frozen=True):
-    """The cell of one member."""
+    """The register of one member."""
 
     version: int
-    wall: float  # Unix time of the writing, by the teller's clock
+    wall: float  # Unix time of the write, by the reporter's clock
     zone: int
-    outs: int  # how many endpoints it holds out, told here or not
+    outs: int  # number of endpoints it has ejected, whether `out` has them or not
     out: list[Out] = []
-    total: int = 0  # exchanges that `keys` are counted among; 0 where it tells no keys
-    keys: list[tuple[int, int]] = []  # 64 bits of the busiest, and how many of `total`
-    held: list[tuple[int, int]] = []  # marks, and how many forwards it has out there: the most
+    total: int = 0  # requests that `keys` are counted among; 0 if it reports no keys
+    keys: list[tuple[int, int]] = []  # 64-bit hashes of the busiest keys, and their counts within `total`
+    # endpoints' marks and the reporter's attempts in flight there, the largest numbers
+    held: list[tuple[int, int]] = []
 
 
 told_of = msgspec.msgpack.Decoder(Told)
@@ -50,12 +52,12 @@
 
 
 def mark_of(text: str) -> int:
-    """64 bits for an endpoint's id or a key, the same in each release."""
+    """Returns a 64-bit hash of an endpoint's id or of a key, the same in all releases."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def encode_told(told: Told) -> bytes:
-    """Within MOST_BYTES: what is told least goes first."""
+    """Encodes a report in at most MOST_BYTES; the least important entries are dropped first."""
     value = encoder.encode(told)
     while len(value) > MOST_BYTES and (told.held or told.keys or told.out):
         told = msgspec.structs.replace(
@@ -66,8 +68,8 @@
 
 
 def decode_told(value: bytes) -> Told:
-    """Raises UnreadableEvidence."""
+    """Decodes a report. Raises UnreadableEvidence."""
     try:
         return told_of.decode(value)
     except msgspec.MsgspecError as fault:
-        raise UnreadableEvidence(f"a member's word of endpoints: {fault}") from None
+        raise UnreadableEvidence(f"evidence register cannot be decoded: {fault}") from None
--- a/rainspindle/routing/evidence.py
+++ b/rainspindle/routing/evidence.py
@@ -1,4 +1,4 @@
-"""The modules of one sidecar's core, watched for the evidence: one, or one for each side of a canary."""
+"""Connects the balancers of a sidecar's core with the evidence: one, or one for each side of a canary."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def watch(core: Core, watches: Watches, evidence: Evidence, offset: float) -> None:
-    """`offset`: what the list's Unix times were moved by to give the loop's."""
+    """Watches each balancer; `offset` is what was added to the list's Unix times to give the loop's."""
     for side in core.cores.values() if isinstance(core, SplitCore) else (core,):
         balancer = side_balancer(side)
         if balancer is not None:
