--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from ...balancer.host import EndpointStatus, ListedEndpoint
-from ...decisions.listing.relay import LEAST_ASK_WITHIN, Relay, Terms
+from ...decisions.listing.relay import MIN_ASK_WITHIN, Relay, Terms
 from ...decisions.members.member import Member, MemberStatus
 from ...decisions.shared.registers import Register
 from ...lazy_dataclasses import replace
-from ...protocol import listing as words
+from ...protocol import listing as codec
 from ...protocol.discovery import ListChange
 from ...protocol.listing import Head, TooLarge, UnreadableList
 from ...routing.core import Core, Taker
@@ -34,7 +34,7 @@
 WARNED = {
     "list: implausible report, member not believed",
     "list: too large to relay, each sidecar polls for itself",
-    "list: report cannot be decoded",
+    "list: unreadable report",
 }
 
 
@@ -76,14 +76,14 @@
             self,
             random.Random(secrets.randbits(64)),
         )
-        if not self.relay.on:
+        if not self.relay.enabled:
             log.info(
                 "list: relay is off",
                 extra={
                     "fields": {
                         "why": "lists are pushed"
                         if not self.config.asks_list
-                        else f"the asking period of {within:g} s is below {LEAST_ASK_WITHIN:g} s"
+                        else f"the asking period of {within:g} s is below {MIN_ASK_WITHIN:g} s"
                     }
                 },
             )
@@ -94,13 +94,13 @@
         Reports with another digest are ignored.
         """
         settings = self.config.settings
-        return words.mark(address_text(self.address), settings.zones, settings.kinds)
+        return codec.mark(address_text(self.address), settings.zones, settings.kinds)
 
     # Interface to the program.
 
     def attach(self, core: Core, follower: Follower) -> None:
         """Connects the relay with the core and the follower; does nothing if the relay is off."""
-        if not self.relay.on:
+        if not self.relay.enabled:
             return
         self.core, self.follower, self.usual = core, follower, follower.wait
         known = self.config.known
@@ -161,16 +161,16 @@
             "lines": len(relay.lines),
             "vouched": relay.vouched,
             "confirmed": ago(relay.confirmed),
-            "own": {"calls": relay.calls, "failed": relay.failures, "last": ago(relay.own_at)},
+            "own": {"calls": relay.calls, "failed": relay.failures, "last": ago(relay.answered_at)},
             "askers": {
                 name: {
                     "version": word.head.version,
-                    "heard": ago(word.at),
+                    "heard": ago(word.held_at),
                     "failing": word.head.failing,
-                    "believed": not relay.doubted(now, name),
-                    "same_service": word.head.at == relay.at,
+                    "believed": not relay.is_distrusted(now, name),
+                    "same_service": word.head.at == relay.service,
                 }
-                for name, word in sorted(relay.words.items())[:64]
+                for name, word in sorted(relay.heads.items())[:64]
             },
         }
 
@@ -196,7 +196,7 @@
             "list_mode": relay.mode or "alone",
             "list_own_calls": relay.calls,
             "list_failed_calls": relay.failures,
-            "list_by_word": relay.takes,
+            "list_by_word": relay.lists_applied,
         }
 
     # The follower.
@@ -218,7 +218,7 @@
         if self.follower.address != self.address:
             self.address = self.follower.address
             self.known.clear()
-            self.relay.moved(now, self.mark())
+            self.relay.service_changed(now, self.mark())
 
     def spared(self) -> float:
         """Returns until when the next call may wait, and sets the follower's watch time."""
@@ -251,9 +251,9 @@
                     lines[line.id] = b""
                 else:
                     self.known[line.id] = line, at
-                    lines[line.id] = words.encode_line(line, at, self.config.decoder.clock_offset)
+                    lines[line.id] = codec.encode_line(line, at, self.config.decoder.clock_offset)
         except TooLarge as fault:
-            self.relay.unfit(str(fault))
+            self.relay.disable(str(fault))
             return None
         return lines
 
@@ -281,7 +281,7 @@
 
     def heard(self, now: float, cell: Register) -> None:
         """Handles a changed register of the list."""
-        if cell.name == words.HEAD and cell.owner != self.ground.members.own_name:
+        if cell.name == codec.HEAD and cell.owner != self.ground.members.own_name:
             self.sound(partial(self.heard_head, now, cell), None)
 
     def heard_head(self, now: float, cell: Register) -> None:
@@ -291,18 +291,16 @@
             return
         seen = self.ground.cells.read(cell.owner, cell.name)
         try:
-            head = words.decode(cell.value, Head)
+            head = codec.decode(cell.value, Head)
         except UnreadableList as fault:
             self.unread += 1
             if self.unread == 1:
-                self.log(
-                    "list: report cannot be decoded", member=cell.owner, why=str(fault), remedy=fault.remedy
-                )
+                self.log("list: unreadable report", member=cell.owner, why=str(fault), remedy=fault.remedy)
             return
         self.look_at_address(now)
         self.relay.heard(now, cell.owner, head, seen.heard_at if seen is not None else now)
 
-    def take(self, now: float, version: int, lines: words.Lines, delta: words.Lines) -> bool:
+    def take(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
         """Applies a relayed list to the core; returns False if a line cannot be decoded."""
         assert self.core is not None and self.follower is not None
         changed: list[ListedEndpoint] = []
@@ -314,12 +312,12 @@
                     if before is not None:
                         changed.append(replace(before[0], status=EndpointStatus.GONE))
                     continue
-                line, at = words.decode_line(id, data, self.config.decoder.clock_offset)
+                line, at = codec.decode_line(id, data, self.config.decoder.clock_offset)
                 changed.append(line if before is None else kept(line, before[0]))
                 if at is not None:
                     addresses[id] = at
         except UnreadableList as fault:
-            self.log("list: report cannot be decoded", why=str(fault), remedy=fault.remedy)
+            self.log("list: unreadable report", why=str(fault), remedy=fault.remedy)
             return False
         for line in changed:
             if line.status is EndpointStatus.GONE:
@@ -337,7 +335,7 @@
             return
         relay = self.relay
         # Guards against a new asker that reports nothing until its earlier, longer watch ends.
-        if relay.asker and relay.mode == "alone" and relay.own_at > relay.failed_at:
+        if relay.asker and relay.mode == "alone" and relay.answered_at > relay.failed_at:
             self.follower.anew()
         else:
             self.follower.task.wake()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -13,12 +13,12 @@
 from hypothesis import strategies as st
 
 from rainspindle.balancer.host import EndpointStatus, ListedEndpoint
-from rainspindle.decisions.listing.relay import LAST_PART, RETRIES, Relay, Terms, place
+from rainspindle.decisions.listing.relay import LAST_CALL_FRACTION, RETRY_RATE, Relay, Terms, rank_hash
 from rainspindle.lab.listing_net import AT, Net, Service, encoded, listed, play
 from rainspindle.lab.models.registry import Change, Registry
 from rainspindle.program.config import Config
 from rainspindle.program.fleet.listing import ListPart, kept, unfit
-from rainspindle.protocol import listing as words
+from rainspindle.protocol import listing as codec
 from rainspindle.protocol.listing import Head
 from rainspindle.routing.follow import Follower
 
@@ -27,7 +27,7 @@
 
 WITHIN = 10.0
 NAMES = [f"s{n}" for n in range(20)]
-ASKERS = sorted(NAMES, key=place)[:3]
+ASKERS = sorted(NAMES, key=rank_hash)[:3]
 OTHERS = [name for name in NAMES if name not in ASKERS]
 
 
@@ -99,7 +99,7 @@
     "all askers are cut off": lambda net: net.cut(dict.fromkeys(ASKERS, 1)),
     "a third is cut off": lambda net: net.cut(dict.fromkeys(NAMES[:7], 1)),
     "calls of the askers fail": lambda net: all_of(ASKERS, net.blind),
-    "all of the first ranks fail": lambda net: all_of(sorted(NAMES, key=place)[:12], net.blind),
+    "all of the first ranks fail": lambda net: all_of(sorted(NAMES, key=rank_hash)[:12], net.blind),
     "no cell comes any more": lambda net: net.cut({name: n for n, name in enumerate(NAMES)}),
     "a third of the cells is late": lambda net: setattr(net, "loss", 0.33),
 }
@@ -134,8 +134,8 @@
     def told(name: str, value: bytes) -> bytes:
         if not value:
             return value
-        if name == words.HEAD:
-            head = words.decode(value, Head)
+        if name == codec.HEAD:
+            head = codec.decode(value, Head)
             count[0] += 1
             far = 2**62 + count[0] if how == "too high" else head.version + 1
             gone = [(f"e{n}", b"") for n in range(12)]
@@ -143,12 +143,12 @@
                 "too high": {"version": far, "delta": gone},
                 "one ahead": {"version": far, "delta": gone},
                 "wrong changes": {"delta": gone},
-                "wrong digest": {"digest": b"x" * words.MARK},
+                "wrong digest": {"digest": b"x" * codec.MARK},
                 "never old": {"age": 0, "failing": False},
                 "unreadable": {},
                 "wrong chunk": {},
             }
-            lied = words.encode(msgspec.structs.replace(head, **ways[how]))
+            lied = codec.encode(msgspec.structs.replace(head, **ways[how]))
             return b"\xc1" if how == "unreadable" else lied
         return value[:-1] + b"\0" if how == "wrong chunk" else value
 
@@ -182,13 +182,13 @@
     left = {id: data for id, data in truth.items() if id not in sorted(truth)[:gone]}
 
     def told(name: str, value: bytes) -> bytes:
-        if name != words.HEAD or not value:
+        if name != codec.HEAD or not value:
             return value
-        return words.encode(
+        return codec.encode(
             msgspec.structs.replace(
-                words.decode(value, Head),
+                codec.decode(value, Head),
                 version=900,
-                digest=words.digest(left),
+                digest=codec.digest(left),
                 age=0,
                 since=0,
                 delta=[(id, b"") for id in sorted(truth)[:gone]],
@@ -213,7 +213,7 @@
     net.service.gate = type(net.service.gate)(8.0)
     net.run(28.0)
     # Each once on its own when its time has come, then few: alone they are some 200 a second.
-    assert calls(net, 22.0) < 800 / 26 and calls(net, 40.0) < RETRIES
+    assert calls(net, 22.0) < 800 / 26 and calls(net, 40.0) < RETRY_RATE
     late = sorted(net.lateness(30.5, 32.0))
     assert len(late) == 400 and late[200] < 5.0 and late[-1] < 12.0
 
@@ -237,12 +237,12 @@
     net = begun([12.0, 30.0], seconds=25.0)
     drains = Change(45.0, listed(31, EndpointStatus.DRAINING))
     other = Service(Registry([listed(n) for n in range(30, 40)], [drains], []))
-    other.at = words.mark("another")
+    other.at = codec.mark("another")
     for name in OTHERS[:10]:
         node = net.nodes[name]
         node.service, node.version, node.calling = other, None, 0
         assert node.relay is not None
-        node.relay.moved(net.now, other.at)
+        node.relay.service_changed(net.now, other.at)
         assert node.relay.spared(net.now) < net.now
         node.next_call()
     net.run(35.0)
@@ -278,7 +278,7 @@
     for n in range(20):
         relay = Relay(0.0, f"s{n}", n, Terms(3, 60.0), AT, Alone([]), random.Random(1))
         relay.lines = known
-        assert least <= relay.joining() <= most
+        assert least <= relay.startup_wait_until() <= most
 
 
 @pytest.mark.parametrize("scene", ["restart", "bare"])
@@ -356,7 +356,7 @@
     def cell(self, owner: str, name: str) -> bytes:
         return b""
 
-    def take(self, now: float, version: int, lines: words.Lines, delta: words.Lines) -> bool:
+    def take(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
         self.taken.append(version)
         return True
 
@@ -396,7 +396,7 @@
                             1,
                             beat,
                             version,
-                            words.digest(lists[version]),
+                            codec.digest(lists[version]),
                             age,
                             now > told_at,
                             [],
@@ -416,7 +416,7 @@
             (
                 chance.uniform(0, 60),
                 "liar",
-                Head(1, AT, 1, n, told, words.digest(lists[chance.randrange(40)]), 0),
+                Head(1, AT, 1, n, told, codec.digest(lists[chance.randrange(40)]), 0),
                 60.0,
             )
         )
@@ -437,10 +437,10 @@
         before = relay.version
         relay.heard(now, owner, head, now if came < stop_until else min(held, now))
         assert before is not None and relay.version is not None and relay.version >= before
-        after_three = relay.failed_at > relay.own_at and relay.failing_at < math.inf
-        if relay.spared(now) > max(now, relay.joining(), LAST_PART * WITHIN) and not after_three:
-            assert relay.version >= at_service(relay.spared(now) - LAST_PART * WITHIN - 0.01)
-            assert relay.spared(now) <= relay.confirmed + LAST_PART * WITHIN
+        after_three = relay.failed_at > relay.answered_at and relay.failing_at < math.inf
+        if relay.spared(now) > max(now, relay.startup_wait_until(), LAST_CALL_FRACTION * WITHIN) and not after_three:
+            assert relay.version >= at_service(relay.spared(now) - LAST_CALL_FRACTION * WITHIN - 0.01)
+            assert relay.spared(now) <= relay.confirmed + LAST_CALL_FRACTION * WITHIN
         if chance.random() < 0.02:
             relay.told(now, at_service(now), True, lists[at_service(now)])
         elif chance.random() < 0.02:
@@ -452,14 +452,14 @@
     relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, Alone(["a", "b", "own", "y"]), random.Random(1))
     relay.start(1, {"e": b"1"})
     for beat, now in ((1, 0.5), (2, 1.0), (3, 6.0)):  # the third may have been written soon after 1.0
-        while relay.looked < now:
-            relay.tick(min(relay.looked + 0.5, now))
+        while relay.checked_at < now:
+            relay.tick(min(relay.checked_at + 0.5, now))
         for owner in "ab":
             relay.heard(now, owner, Head(1, AT, 1, beat, 1, relay.digest, 1), now)
     assert relay.confirmed == pytest.approx(0.999)
     for owner, told in (("a", b"wrong"), ("b", b"2")):
         relay.heard(
-            6.5, owner, Head(1, AT, 1, 4, 2, words.digest({"e": b"2"}), 1, False, [], 1, [("e", told)]), 6.5
+            6.5, owner, Head(1, AT, 1, 4, 2, codec.digest({"e": b"2"}), 1, False, [], 1, [("e", told)]), 6.5
         )
     assert relay.version == 2 and relay.lines == {"e": b"2"}
 
@@ -475,14 +475,14 @@
 def test_a_list_is_the_same_from_its_chunks_and_nothing_else_is(
     lines: dict[str, bytes], chance: random.Random
 ) -> None:
-    chunks = words.split(lines)
-    told = words.Set(1, AT, 3, words.digest(lines), len(chunks))
-    assert words.joined(told, chunks) == lines
+    chunks = codec.split(lines)
+    told = codec.Set(1, AT, 3, codec.digest(lines), len(chunks))
+    assert codec.joined(told, chunks) == lines
     assert all(len(chunk) <= 900 for chunk in chunks)
     if lines:
         id = chance.choice(sorted(lines))
-        assert words.joined(told, words.split({**lines, id: lines[id] + b"x"})) is None
-        moved = words.split(dict(lines) | {id: lines[id][:-1] or b"y"})
+        assert codec.joined(told, codec.split({**lines, id: lines[id] + b"x"})) is None
+        moved = codec.split(dict(lines) | {id: lines[id][:-1] or b"y"})
         assert len(moved) != len(chunks) or sum(a != b for a, b in zip(moved, chunks, strict=True)) <= 1
 
 
@@ -492,23 +492,23 @@
         line = ListedEndpoint(
             "e", 2, 1, 0.75, EndpointStatus.DRAINING, None if started is None else started + offset, 3
         )
-        data = words.encode_line(line, ("::1", 80), offset)
+        data = codec.encode_line(line, ("::1", 80), offset)
         other = 99.5 - 1_700_000_400.125
-        assert words.decode_line("e", data, other) == (
+        assert codec.decode_line("e", data, other) == (
             ListedEndpoint("e", 2, 1, 0.75, EndpointStatus.DRAINING, started and started + other, 3),
             ("::1", 80),
         )
-    whole = words.encode(Head(1, AT, 1, 1, 5, b"d", 0))
+    whole = codec.encode(Head(1, AT, 1, 1, 5, b"d", 0))
     assert whole[0] == 0x9B, "eleven fields"
-    assert words.decode(b"\x9d" + whole[1:] + b"\xc0\xc0", Head).version == 5, "a newer release has more"
-    assert words.decode(b"\x97" + whole[1:-4], Head).version == 5, "an older one has fewer"
+    assert codec.decode(b"\x9d" + whole[1:] + b"\xc0\xc0", Head).version == 5, "a newer release has more"
+    assert codec.decode(b"\x97" + whole[1:-4], Head).version == 5, "an older one has fewer"
     for bad in (b"", b"\xc1", b"\x93\x01\x02\x03", b"\x9b\x00" + whole[2:]):
-        with pytest.raises(words.UnreadableList):
-            words.decode(bad, Head)
-    with pytest.raises(words.UnreadableList):
-        words.decode_line("e", b"\x97\xa1x\x00\x00\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\xa1?\xc0\x00", 0.0)
-    with pytest.raises(words.TooLarge):
-        words.encode_line(ListedEndpoint("e" * 500, 0, 0, 1.0, EndpointStatus.READY, None), None, 0.0)
+        with pytest.raises(codec.UnreadableList):
+            codec.decode(bad, Head)
+    with pytest.raises(codec.UnreadableList):
+        codec.decode_line("e", b"\x97\xa1x\x00\x00\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\xa1?\xc0\x00", 0.0)
+    with pytest.raises(codec.TooLarge):
+        codec.encode_line(ListedEndpoint("e" * 500, 0, 0, 1.0, EndpointStatus.READY, None), None, 0.0)
 
 
 def test_word_of_an_older_start_makes_nothing_warm() -> None:
--- a/tests/test_listing_processes.py
+++ b/tests/test_listing_processes.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from rainspindle.decisions.listing.relay import place
+from rainspindle.decisions.listing.relay import rank_hash
 from rainspindle.lab.canary_load import Answers, Clients
 from rainspindle.lab.fleet.processes import PATIENCE, Fleet, quiet_config, wait_until
 from rainspindle.lab.fleet.schedule import Split
@@ -16,7 +16,7 @@
 from rainspindle.lab.models.registry import Gate
 
 NAMES = ["a", "b", "c", "d", "e", "f", "g", "h"]
-ASKERS = sorted(NAMES, key=place)[:3]
+ASKERS = sorted(NAMES, key=rank_hash)[:3]
 OTHERS = [name for name in NAMES if name not in ASKERS]
 WITHIN = 10.0  # the asking period
 
@@ -42,7 +42,7 @@
             fleet.start()
             fleet.all_alive()
             if relayed:
-                askers = sorted(names, key=place)[:3]
+                askers = sorted(names, key=rank_hash)[:3]
                 stand(fleet, lambda name, told: told["mode"] == ("asker" if name in askers else "spared"))
             yield fleet, lists, answers
             assert not [line for s in fleet.sidecars.values() for line in s.faults()]
@@ -106,7 +106,7 @@
 def test_seven_in_ten_restarted_at_once_ask_a_busy_service_no_more_than_a_few(tmp_path: Path) -> None:
     """Alone each of the seven asks at once, and again and again, as the service takes five calls a second."""
     names = [f"n{n}" for n in range(10)]
-    ranked = sorted(names, key=place)
+    ranked = sorted(names, key=rank_hash)
     with started(tmp_path, names=names, within=30.0) as (fleet, lists, _):
         back = [*ranked[:3], *ranked[6:]]
         for name in back:
