--- a/rainspindle/decisions/evidence/evidence.py
+++ b/rainspindle/decisions/evidence/evidence.py
@@ -18,29 +18,29 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ...protocol.evidence import MOST_HELD, MOST_KEYS, MOST_OUT, VERSION, Out, Told
+from ...protocol.evidence import MAX_ENDPOINTS, MAX_HELD, MAX_KEYS, VERSION, Out, Told
 
 TRIAL_DELAY = 5.0  # seconds; the same as the balancer's delay
-# seconds of spread of the random delays, times ln(members)
-TELL_DRAW, TRIAL_DRAW, BACK_DRAW = 0.25, 0.75, 0.5
-QUIET = 5  # number of reporters after which one more report adds nothing
+# Seconds of spread of the random delays, times ln(members)
+REPORT_SPREAD, TRIAL_SPREAD, RECOVERY_SPREAD = 0.25, 0.75, 0.5
+ENOUGH_REPORTERS = 5  # number of reporters after which one more report adds nothing
 WRITE_GAP, URGENT_GAP = 1.0, 0.2  # seconds between two writes: of deferrable and of urgent reports
-SPARED_BY_ONE = 2  # times that one reporter's trials can postpone an own one, between two own trials
-BELIEVED = 1  # times per ejection that one reporter's answered trial can bring an own one forward
+MAX_POSTPONED_BY_ONE = 2  # times that one reporter's trials can postpone an own one, between two own trials
+MAX_ADVANCED_BY_ONE = 1  # times per ejection that one reporter's answered trial can bring an own one forward
 # A reporter with so many more ejected endpoints than the own member, at least the first number and this
 # fraction of the ready endpoints, probably has a bad network path itself.
-ODD_LEAST, ODD_PART = 2, 0.3
-WARNED_PART = 0.25  # maximum fraction of the endpoints that are warned of at once
-# the first so many members by rank report keys; seconds for which such a report counts
-KEY_TELLERS, KEY_LASTS = 128, 30.0
-# keys are reported after 1 s, then after half the time since the start, at least each 10 s
-KEY_FIRST, KEY_MORE, KEY_GAP = 1.0, 0.5, 10.0
-KEY_APART = 0.4  # fraction by which that time is randomly shorter or longer
-# KEY_MOST: a reporter's counts are limited to so many times the median's.
-# KEY_LEAST: minimum share of the traffic of a hot key.
-KEY_MOST, KEY_LEAST = 3.0, 0.002
-BACK_TOLD = 10.0  # seconds for which an answered trial is reported
-MOST_OWNERS = 4096
+IMPLAUSIBLE_EXCESS, IMPLAUSIBLE_FRACTION = 2, 0.3
+MAX_WARNED_FRACTION = 0.25  # maximum fraction of the endpoints that are warned of at once
+# The first so many members by rank report keys; seconds for which such a report counts
+KEY_REPORTERS, KEY_REPORT_LIFETIME = 128, 30.0
+# Keys are reported after 1 s, then after half the time since the start, at least each 10 s
+FIRST_KEY_GAP, KEY_GAP_GROWTH, MAX_KEY_GAP = 1.0, 0.5, 10.0
+KEY_GAP_JITTER = 0.4  # fraction by which that time is randomly shorter or longer
+# MAX_KEY_WEIGHT: a reporter's counts are limited to so many times the median's.
+# MIN_HOT_SHARE: minimum share of the traffic of a hot key.
+MAX_KEY_WEIGHT, MIN_HOT_SHARE = 3.0, 0.002
+READMISSION_REPORT_TIME = 10.0  # seconds for which an answered trial is reported
+MAX_REPORTERS = 4096
 
 
 class EvidenceHost(Protocol):
@@ -78,30 +78,30 @@
 
 
 @dataclass(slots=True)
-class Own:
+class Ejection:
     """An endpoint that the own member has ejected."""
 
     start: int
-    began: float  # its ejection
+    ejected_at: float
     tried: float  # its ejection, or the begin or failure of the last own trial
     hard: bool  # nothing but failures came from it before the ejection
-    tell_at: float  # math.inf once reported, or if enough others have reported it
-    told: bool = False
+    report_at: float  # math.inf once reported, or if enough others have reported it
+    reported: bool = False
     trying: bool = False
-    # when another member's trial was answered, unless one is known to have failed since
-    answered: float = -math.inf
+    # When another member's trial was answered, unless one is known to have failed since
+    answered_at: float = -math.inf
     due: float = 0.0  # time of the next trial
-    base: float = 0.0  # what `due` counts from; `draw` is the random delay on top of it
-    draw: float = 0.0
-    round: float = 0.0  # time of the trial by another member for which `draw` was first drawn
-    # trials postponed by reporter, since the last own trial
-    spared: dict[str, int] = field(default_factory=dict)
-    # trials brought forward by reporter, since the ejection
-    believed: dict[str, int] = field(default_factory=dict)
+    delay_from: float = 0.0  # what `due` counts from; `extra_delay` is the random delay on top of it
+    extra_delay: float = 0.0
+    round_at: float = 0.0  # time of the trial by another member for which `extra_delay` was first drawn
+    # Trials postponed by reporter, since the last own trial
+    postponed: dict[str, int] = field(default_factory=dict)
+    # Trials brought forward by reporter, since the ejection
+    advanced: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class PeerReport:
     """The latest report of one member about one endpoint; times are on this process's clock."""
 
     start: int
@@ -112,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class Teller:
+class Reporter:
     """The latest report of one member, without the details of its endpoints."""
 
     zone: int
@@ -132,103 +132,116 @@
         now: float,
         zone: int,
         host: EvidenceHost,
-        chance: random.Random,
+        rng: random.Random,
         tellers: int = 3,
         lasts: float = 15.0,
     ) -> None:
         """`tellers`: how many members' reports count together, at least 2; `lasts`: for how many seconds."""
-        self.zone, self.host, self.chance, self.tellers, self.lasts = zone, host, chance, tellers, lasts
-        self.own: dict[int, Own] = {}
-        # recently readmitted endpoints: their start, time of the readmission
-        self.back: dict[int, tuple[int, float]] = {}
-        self.by_owner: dict[str, Teller] = {}
-        self.by_mark: dict[int, dict[str, Heard]] = {}
+        self.zone, self.host, self.rng, self.tellers, self.lasts = zone, host, rng, tellers, lasts
+        self.ejections: dict[int, Ejection] = {}
+        # Recently readmitted endpoints: their start, time of the readmission
+        self.readmitted: dict[int, tuple[int, float]] = {}
+        self.reporters: dict[str, Reporter] = {}
+        self.reports: dict[int, dict[str, PeerReport]] = {}
         self.warned: set[int] = set()
-        self.shares: dict[int, float] = {}  # shares of the traffic of hot keys, by all reports
-        self.wrote_at, self.urgent, self.changed = -math.inf, False, False
-        self.began, self.keys_at, self.summed_at, self.keys_news = now, now + KEY_FIRST, now, False
+        self.hot_key_shares: dict[int, float] = {}  # shares of the traffic of hot keys, by all reports
+        self.written_at, self.urgent, self.has_changes = -math.inf, False, False
+        self.started_at, self.next_keys_at, self.summed_at, self.keys_changed = (
+            now,
+            now + FIRST_KEY_GAP,
+            now,
+            False,
+        )
         self.counts = dict.fromkeys(
             ("words", "discounted", "spared", "hastened", "warnings", "kept_quiet", "told", "refused"), 0
         )
 
     # Own observations.
 
-    def tripped(self, now: float, mark: int, start: int, hard: bool) -> None:
+    def on_ejected(self, now: float, mark: int, start: int, hard: bool) -> None:
         """Handles an ejection by the own balancer; `hard`: nothing but failures came before it."""
-        own = self.own[mark] = Own(start, now, now, hard, now + self.draw(TELL_DRAW))
-        own.due = own.base = now
-        own.due += TRIAL_DELAY
-        self.back.pop(mark, None)
-        self.unwarn(now, mark)
-        for owner in list(self.by_mark.get(mark, ())):
-            self.weigh(now, mark, owner, -math.inf, -math.inf)
-
-    def inherited(self, now: float, mark: int, start: int, since: float, due: float) -> None:
+        ejection = self.ejections[mark] = Ejection(
+            start, now, now, hard, now + self.random_delay(REPORT_SPREAD)
+        )
+        ejection.due = ejection.delay_from = now
+        ejection.due += TRIAL_DELAY
+        self.readmitted.pop(mark, None)
+        self.clear_warning(now, mark)
+        for owner in list(self.reports.get(mark, ())):
+            self.weigh_report(now, mark, owner, -math.inf, -math.inf)
+
+    def on_inherited_ejection(self, now: float, mark: int, start: int, since: float, due: float) -> None:
         """Handles an endpoint that was ejected by restored or received state at the start.
 
         `since` is the time of its last trial. Guards against second-hand reports that are passed on as own
         observations: the endpoint is reported only once an own trial has failed.
         """
-        own = self.own[mark] = Own(start, since, since, False, math.inf)
-        own.base, own.due = since, due
-        self.unwarn(now, mark)
+        ejection = self.ejections[mark] = Ejection(start, since, since, False, math.inf)
+        ejection.delay_from, ejection.due = since, due
+        self.clear_warning(now, mark)
 
-    def trying(self, now: float, mark: int) -> None:
+    def on_trial_sent(self, now: float, mark: int) -> None:
         """Handles an own trial that was sent."""
-        own = self.own.get(mark)
-        if own is not None:
-            own.tried, own.spared, own.trying = now, {}, True
-            if own.answered == -math.inf:
-                self.say(own)
+        ejection = self.ejections.get(mark)
+        if ejection is not None:
+            ejection.tried, ejection.postponed, ejection.trying = now, {}, True
+            if ejection.answered_at == -math.inf:
+                self.report_ejection(ejection)
 
-    def failed(self, now: float, mark: int) -> None:
+    def on_trial_failed(self, now: float, mark: int) -> None:
         """Handles an own trial that failed; the balancer makes the next one after its delay."""
-        own = self.own.get(mark)
-        if own is None:
+        ejection = self.ejections.get(mark)
+        if ejection is None:
             return
-        own.tried, own.spared, own.base, own.due, own.draw = now, {}, now, now + TRIAL_DELAY, 0.0
-        own.trying, own.answered = False, -math.inf
-        self.say(own)
+        ejection.tried, ejection.postponed, ejection.delay_from, ejection.due, ejection.extra_delay = (
+            now,
+            {},
+            now,
+            now + TRIAL_DELAY,
+            0.0,
+        )
+        ejection.trying, ejection.answered_at = False, -math.inf
+        self.report_ejection(ejection)
         # Guards against a member that is always the first to try again, as all others wait for random delays.
         if any(
-            self.counts_for(now, owner, heard, own.start)
-            for owner, heard in self.by_mark.get(mark, {}).items()
+            self.is_credible(now, owner, report, ejection.start)
+            for owner, report in self.reports.get(mark, {}).items()
         ):
-            own.draw = self.draw(TRIAL_DRAW)
-            own.due += own.draw
-            self.host.plan(now, mark, own.due)
+            ejection.extra_delay = self.random_delay(TRIAL_SPREAD)
+            ejection.due += ejection.extra_delay
+            self.host.plan(now, mark, ejection.due)
 
-    def served(self, now: float, mark: int) -> None:
+    def on_trial_answered(self, now: float, mark: int) -> None:
         """Handles an own trial that was answered in time: the endpoint is readmitted here."""
-        own = self.own.pop(mark, None)
-        if own is None:
+        ejection = self.ejections.pop(mark, None)
+        if ejection is None:
             return
         others = sum(
-            heard.start == own.start and heard.served > own.began
-            for heard in self.by_mark.get(mark, {}).values()
+            report.start == ejection.start and report.served > ejection.ejected_at
+            for report in self.reports.get(mark, {}).values()
         )
-        if own.told or others < QUIET:
-            self.back[mark] = own.start, now
+        if ejection.reported or others < ENOUGH_REPORTERS:
+            self.readmitted[mark] = ejection.start, now
             self.urgent = True
         else:
             self.counts["kept_quiet"] += 1
 
-    def gone(self, now: float, mark: int) -> None:
+    def on_endpoint_gone(self, now: float, mark: int) -> None:
         """Forgets an endpoint that has restarted or is no longer listed."""
-        self.own.pop(mark, None)
-        self.back.pop(mark, None)
-        self.changed = True
+        self.ejections.pop(mark, None)
+        self.readmitted.pop(mark, None)
+        self.has_changes = True
 
-    def say(self, own: Own) -> None:
+    def report_ejection(self, ejection: Ejection) -> None:
         """Reports the endpoint with the next write."""
-        own.told, own.tell_at, self.urgent = True, math.inf, True
+        ejection.reported, ejection.report_at, self.urgent = True, math.inf, True
 
-    def draw(self, spread: float) -> float:
+    def random_delay(self, spread: float) -> float:
         """Returns a random delay in seconds.
 
         Of n members, about e^(delay / spread) have waited for theirs before the first one's report arrives.
         """
-        return spread * max(0.0, math.log(max(self.host.size(), 1) * (1.0 - self.chance.random())))
+        return spread * max(0.0, math.log(max(self.host.size(), 1) * (1.0 - self.rng.random())))
 
     # Reports of other members.
 
@@ -237,149 +250,161 @@
 
         A report counts as older if the reporter's clock says so, but never as younger than its arrival.
         """
-        if told.version < 1 or (owner not in self.by_owner and len(self.by_owner) >= MOST_OWNERS):
+        if told.version < 1 or (owner not in self.reporters and len(self.reporters) >= MAX_REPORTERS):
             self.counts["refused"] += 1
             return
-        before = self.by_owner.get(owner)
+        before = self.reporters.get(owner)
         written = now - max(0.0, self.host.wall(now) - told.wall)
-        items = {out.mark: out for out in told.out[:MOST_OUT]}
-        teller = self.by_owner[owner] = Teller(
+        items = {out.mark: out for out in told.out[:MAX_ENDPOINTS]}
+        reporter = self.reporters[owner] = Reporter(
             told.zone,
             max(told.outs, sum(out.served < 0 for out in items.values())),
             written,
             frozenset(items),
             max(0, told.total),
-            sound(told),
-            told.held[:MOST_HELD],
+            bounded_keys(told),
+            told.held[:MAX_HELD],
         )
         self.counts["words"] += 1
-        self.counts["discounted"] += self.odd(owner)
-        self.keys_news = self.keys_news or bool(teller.keys) or bool(before and before.keys)
-        for mark in before.marks - teller.marks if before else ():
-            self.drop(mark, owner)
+        self.counts["discounted"] += self.is_implausible(owner)
+        self.keys_changed = self.keys_changed or bool(reporter.keys) or bool(before and before.keys)
+        for mark in before.marks - reporter.marks if before else ():
+            self.drop_report(mark, owner)
             if mark in self.warned:
-                self.weigh_warning(now, mark)
+                self.update_warning(now, mark)
         for mark, out in items.items():
-            known = self.by_mark.setdefault(mark, {})
+            known = self.reports.setdefault(mark, {})
             old = known.get(owner)
-            known[owner] = Heard(
+            known[owner] = PeerReport(
                 out.start,
                 written - max(0.0, out.tried),
                 out.hard,
                 written - out.served if out.served >= 0 else -math.inf,
                 out.trying,
             )
-            self.weigh(now, mark, owner, old.tried if old else -math.inf, old.served if old else -math.inf)
+            self.weigh_report(
+                now, mark, owner, old.tried if old else -math.inf, old.served if old else -math.inf
+            )
 
-    def drop(self, mark: int, owner: str) -> None:
+    def drop_report(self, mark: int, owner: str) -> None:
         """Removes a member's report of one endpoint."""
-        known = self.by_mark.get(mark, {})
+        known = self.reports.get(mark, {})
         known.pop(owner, None)
         if not known:
-            self.by_mark.pop(mark, None)
+            self.reports.pop(mark, None)
 
     def forget(self, now: float, owner: str) -> None:
         """Forgets all reports of a member that is gone for good."""
-        teller = self.by_owner.pop(owner, None)
-        for mark in teller.marks if teller else ():
-            self.drop(mark, owner)
+        reporter = self.reporters.pop(owner, None)
+        for mark in reporter.marks if reporter else ():
+            self.drop_report(mark, owner)
             if mark in self.warned:
-                self.weigh_warning(now, mark)
+                self.update_warning(now, mark)
 
-    def odd(self, owner: str) -> bool:
+    def is_implausible(self, owner: str) -> bool:
         """Returns whether the member's reports are implausible.
 
         Guards against a member whose own network is bad and that ejects most endpoints. Too strict for a
         member that is the first to see a failure of very many endpoints.
         """
-        more = self.by_owner[owner].outs - len(self.own)
-        return more > max(ODD_LEAST, ODD_PART * self.host.ready())
+        excess = self.reporters[owner].outs - len(self.ejections)
+        return excess > max(IMPLAUSIBLE_EXCESS, IMPLAUSIBLE_FRACTION * self.host.ready())
 
-    def counts_for(self, now: float, owner: str, heard: Heard, start: int) -> bool:
+    def is_credible(self, now: float, owner: str, report: PeerReport, start: int) -> bool:
         """Returns whether this is a fresh and plausible report that this start of the endpoint is ejected."""
-        if heard.start != start or now - heard.tried > self.lasts or heard.served >= heard.tried:
+        if report.start != start or now - report.tried > self.lasts or report.served >= report.tried:
             return False
-        return not self.odd(owner)
+        return not self.is_implausible(owner)
 
-    def weigh(self, now: float, mark: int, owner: str, tried: float, served: float) -> None:
+    def weigh_report(self, now: float, mark: int, owner: str, tried: float, served: float) -> None:
         """Acts on one member's report of one endpoint, of which it reported `tried` and `served` before."""
-        own, heard = self.own.get(mark), self.by_mark[mark][owner]
-        if own is None:
-            self.weigh_warning(now, mark)
+        ejection, report = self.ejections.get(mark), self.reports[mark][owner]
+        if ejection is None:
+            self.update_warning(now, mark)
         elif (
-            heard.start == own.start and heard.served >= heard.tried and heard.served > max(served, own.tried)
+            report.start == ejection.start
+            and report.served >= report.tried
+            and report.served > max(served, ejection.tried)
         ):
-            self.hasten(now, mark, own, owner)
-        elif heard.tried > max(tried + 1e-3, own.base - TRIAL_DELAY) and self.counts_for(
-            now, owner, heard, own.start
+            self.advance_trial(now, mark, ejection, owner)
+        elif report.tried > max(tried + 1e-3, ejection.delay_from - TRIAL_DELAY) and self.is_credible(
+            now, owner, report, ejection.start
         ):
-            self.spare(now, mark, own, owner, heard)
+            self.postpone_trial(now, mark, ejection, owner, report)
 
-    def spare(self, now: float, mark: int, own: Own, owner: str, heard: Heard) -> None:
+    def postpone_trial(
+        self, now: float, mark: int, ejection: Ejection, owner: str, report: PeerReport
+    ) -> None:
         """Postpones the own trial, as another member's trial has just shown what the own one would.
 
         Guards against a number of trials that grows with the fleet. One reporter can postpone only so many
         times. An endpoint that recovers between the other's trial and the own one is readmitted later.
         """
-        tried = heard.tried
-        if (tried <= own.base and own.draw) or own.spared.get(owner, 0) >= SPARED_BY_ONE:
+        tried = report.tried
+        if (tried <= ejection.delay_from and ejection.extra_delay) or ejection.postponed.get(
+            owner, 0
+        ) >= MAX_POSTPONED_BY_ONE:
             return
-        if own.answered > -math.inf and (heard.trying or tried <= own.answered):
+        if ejection.answered_at > -math.inf and (report.trying or tried <= ejection.answered_at):
             return
-        own.answered = -math.inf
-        if tried - own.round > WRITE_GAP or not own.draw:  # a new round of trials
-            own.spared[owner] = own.spared.get(owner, 0) + 1
-            own.draw, own.round = self.draw(TRIAL_DRAW) or 1e-6, tried
-        own.base = max(own.base, tried)
-        due = own.base + TRIAL_DELAY + own.draw
-        if due > own.due:
-            own.due = due
+        ejection.answered_at = -math.inf
+        if tried - ejection.round_at > WRITE_GAP or not ejection.extra_delay:  # a new round of trials
+            ejection.postponed[owner] = ejection.postponed.get(owner, 0) + 1
+            ejection.extra_delay, ejection.round_at = self.random_delay(TRIAL_SPREAD) or 1e-6, tried
+        ejection.delay_from = max(ejection.delay_from, tried)
+        due = ejection.delay_from + TRIAL_DELAY + ejection.extra_delay
+        if due > ejection.due:
+            ejection.due = due
             self.counts["spared"] += 1
             self.host.plan(now, mark, due)
 
-    def hasten(self, now: float, mark: int, own: Own, owner: str) -> None:
+    def advance_trial(self, now: float, mark: int, ejection: Ejection, owner: str) -> None:
         """Brings the own trial forward to a random time, as another member's trial was answered.
 
         The random time lets few members go first. Guards against an endpoint that has recovered long ago and
         is still waited for. If it is reachable for the other member only, this costs one trial per reporter
         and ejection.
         """
-        if own.believed.get(owner, 0) >= BELIEVED or self.odd(owner):
+        if ejection.advanced.get(owner, 0) >= MAX_ADVANCED_BY_ONE or self.is_implausible(owner):
             return
-        own.believed[owner] = own.believed.get(owner, 0) + 1
-        due = now + self.draw(BACK_DRAW)
-        if due < own.due:
-            own.due, own.draw, own.answered = due, 0.0, self.by_mark[mark][owner].served
+        ejection.advanced[owner] = ejection.advanced.get(owner, 0) + 1
+        due = now + self.random_delay(RECOVERY_SPREAD)
+        if due < ejection.due:
+            ejection.due, ejection.extra_delay, ejection.answered_at = (
+                due,
+                0.0,
+                self.reports[mark][owner].served,
+            )
             self.counts["hastened"] += 1
             self.host.plan(now, mark, due)
 
-    def votes(self, now: float, mark: int, start: int) -> int:
+    def independent_paths(self, now: float, mark: int, start: int) -> int:
         """Returns how many independent network paths the reports come from.
 
         Each member of the own zone counts as one, another zone as one in total. Guards against a network
         partition between two zones, which all members of one of them report alike.
         """
         near, far = 0, set[int]()
-        for owner, heard in self.by_mark.get(mark, {}).items():
-            if heard.hard and self.counts_for(now, owner, heard, start):
-                zone = self.by_owner[owner].zone
+        for owner, report in self.reports.get(mark, {}).items():
+            if report.hard and self.is_credible(now, owner, report, start):
+                zone = self.reporters[owner].zone
                 near += zone == self.zone
                 if zone != self.zone:
                     far.add(zone)
         return near + len(far)
 
-    def weigh_warning(self, now: float, mark: int) -> None:
+    def update_warning(self, now: float, mark: int) -> None:
         """Sets or clears the warning of an endpoint by the reports of it."""
-        start = None if mark in self.own else self.host.start_of(mark)
-        if start is None or self.votes(now, mark, start) < self.tellers:
-            self.unwarn(now, mark)
+        start = None if mark in self.ejections else self.host.start_of(mark)
+        if start is None or self.independent_paths(now, mark, start) < self.tellers:
+            self.clear_warning(now, mark)
         # Guards against reports that declare all endpoints dead: they warn of a limited part of them.
-        elif mark not in self.warned and len(self.warned) < max(1, WARNED_PART * self.host.ready()):
+        elif mark not in self.warned and len(self.warned) < max(1, MAX_WARNED_FRACTION * self.host.ready()):
             self.warned.add(mark)
             self.counts["warnings"] += 1
             self.host.warn(now, mark, True)
 
-    def unwarn(self, now: float, mark: int) -> None:
+    def clear_warning(self, now: float, mark: int) -> None:
         """Clears the warning of an endpoint."""
         if mark in self.warned:
             self.warned.remove(mark)
@@ -387,33 +412,37 @@
 
     # Keys.
 
-    def sum_keys(self, now: float) -> None:
+    def update_hot_keys(self, now: float) -> None:
         """Computes the hot keys' shares of the traffic from all fresh reports.
 
         Guards against one reporter with a very large total: its counts are limited by the median, and a key
         is hot only by the reports of several members.
         """
-        fresh = [t for t in self.by_owner.values() if t.total > 0 and now - t.written <= KEY_LASTS]
-        totals = sorted(t.total for t in fresh)
-        most = KEY_MOST * totals[len(totals) // 2] if totals else 0.0
-        sums, tellers, all_of_them = dict[int, float](), dict[int, int](), 0.0
-        for t in fresh:
-            part = min(1.0, most / t.total)
-            all_of_them += t.total * part
-            for key, count in t.keys:
-                sums[key] = sums.get(key, 0.0) + count * part
-                tellers[key] = tellers.get(key, 0) + 1
-        self.shares = {
+        fresh = [
+            reporter
+            for reporter in self.reporters.values()
+            if reporter.total > 0 and now - reporter.written <= KEY_REPORT_LIFETIME
+        ]
+        totals = sorted(reporter.total for reporter in fresh)
+        weight_limit = MAX_KEY_WEIGHT * totals[len(totals) // 2] if totals else 0.0
+        sums, reporter_counts, weighted_total = dict[int, float](), dict[int, int](), 0.0
+        for reporter in fresh:
+            weight = min(1.0, weight_limit / reporter.total)
+            weighted_total += reporter.total * weight
+            for key, count in reporter.keys:
+                sums[key] = sums.get(key, 0.0) + count * weight
+                reporter_counts[key] = reporter_counts.get(key, 0) + 1
+        self.hot_key_shares = {
             key: share
             for key, n in sums.items()
-            if tellers[key] >= self.tellers and (share := (n - 1) / all_of_them) >= KEY_LEAST
+            if reporter_counts[key] >= self.tellers and (share := (n - 1) / weighted_total) >= MIN_HOT_SHARE
         }
 
-    def summed_held(self, now: float) -> dict[int, int]:
+    def reported_attempts(self, now: float) -> dict[int, int]:
         """Returns attempts in flight by endpoint, as far as members report them."""
         found: dict[int, int] = {}
-        for teller in self.by_owner.values():
-            for mark, count in teller.held if now - teller.written <= self.lasts else ():
+        for reporter in self.reporters.values():
+            for mark, count in reporter.held if now - reporter.written <= self.lasts else ():
                 found[mark] = found.get(mark, 0) + max(0, count)
         return found
 
@@ -421,62 +450,62 @@
 
     def tick(self, now: float) -> float:
         """Does what is due and returns when to be called next at the latest."""
-        for mark in [mark for mark, (_, at) in self.back.items() if now - at > BACK_TOLD]:
-            del self.back[mark]
-            self.changed = True
+        for mark in [mark for mark, (_, at) in self.readmitted.items() if now - at > READMISSION_REPORT_TIME]:
+            del self.readmitted[mark]
+            self.has_changes = True
         for mark in list(self.warned):
-            self.weigh_warning(now, mark)
-        for mark, own in self.own.items():
-            if now >= own.tell_at:
-                own.tell_at = math.inf
+            self.update_warning(now, mark)
+        for mark, ejection in self.ejections.items():
+            if now >= ejection.report_at:
+                ejection.report_at = math.inf
                 others = sum(
-                    self.counts_for(now, owner, heard, own.start)
-                    for owner, heard in self.by_mark.get(mark, {}).items()
+                    self.is_credible(now, owner, report, ejection.start)
+                    for owner, report in self.reports.get(mark, {}).items()
                 )
                 # Guards against a register write by each of thousands of members for one failure.
-                if others >= QUIET:
+                if others >= ENOUGH_REPORTERS:
                     self.counts["kept_quiet"] += 1
                 else:
-                    self.say(own)
-        sum_gap = min(KEY_GAP / 2, max(KEY_FIRST, KEY_MORE / 2 * (now - self.began)))
-        if self.keys_news and now - self.summed_at >= sum_gap:
-            self.sum_keys(now)
-            self.summed_at, self.keys_news = now, bool(self.shares)
-        keyed = now >= self.keys_at
-        if keyed:
+                    self.report_ejection(ejection)
+        sum_gap = min(MAX_KEY_GAP / 2, max(FIRST_KEY_GAP, KEY_GAP_GROWTH / 2 * (now - self.started_at)))
+        if self.keys_changed and now - self.summed_at >= sum_gap:
+            self.update_hot_keys(now)
+            self.summed_at, self.keys_changed = now, bool(self.hot_key_shares)
+        keys_due = now >= self.next_keys_at
+        if keys_due:
             # Guards against hot keys that a newly started fleet learns late: keys are reported often at
             # first, then rarely. Also guards against reporters that started together and would go on writing
             # at the same time.
-            keys_gap = min(KEY_GAP, max(KEY_FIRST, KEY_MORE * (now - self.began)))
-            keyed = self.host.rank() < KEY_TELLERS
-            apart = self.chance.uniform(-KEY_APART, KEY_APART) if keyed else 0.0
-            self.keys_at = now + keys_gap * (1 + apart)
-        gap = now - self.wrote_at
-        if (self.urgent and gap >= URGENT_GAP) or ((keyed or self.changed) and gap >= WRITE_GAP):
+            keys_gap = min(MAX_KEY_GAP, max(FIRST_KEY_GAP, KEY_GAP_GROWTH * (now - self.started_at)))
+            keys_due = self.host.rank() < KEY_REPORTERS
+            jitter = self.rng.uniform(-KEY_GAP_JITTER, KEY_GAP_JITTER) if keys_due else 0.0
+            self.next_keys_at = now + keys_gap * (1 + jitter)
+        gap = now - self.written_at
+        if (self.urgent and gap >= URGENT_GAP) or ((keys_due or self.has_changes) and gap >= WRITE_GAP):
             self.write(now)
-        later = [own.tell_at for own in self.own.values()]
+        due_times = [ejection.report_at for ejection in self.ejections.values()]
         if self.urgent:
-            later.append(self.wrote_at + URGENT_GAP)
-        return min([now + WRITE_GAP, *later])
+            due_times.append(self.written_at + URGENT_GAP)
+        return min([now + WRITE_GAP, *due_times])
 
     def write(self, now: float) -> None:
         """Writes the own register: ejected and recently readmitted endpoints, keys, attempts in flight."""
-        told = [
-            Out(mark, own.start, round(now - own.tried, 3), own.hard, trying=own.trying)
-            for mark, own in sorted(self.own.items(), key=lambda pair: -pair[1].tried)
-            if own.told
+        entries = [
+            Out(mark, ejection.start, round(now - ejection.tried, 3), ejection.hard, trying=ejection.trying)
+            for mark, ejection in sorted(self.ejections.items(), key=lambda pair: -pair[1].tried)
+            if ejection.reported
         ]
-        told += [
+        entries += [
             Out(mark, start, round(now - at, 3), False, round(now - at, 3))
-            for mark, (start, at) in self.back.items()
+            for mark, (start, at) in self.readmitted.items()
         ]
         # The register's size is limited, so the latest news come first, whatever they are.
-        told.sort(key=lambda out: out.tried)
+        entries.sort(key=lambda out: out.tried)
         keys: Iterable[tuple[int, int]] = ()
         total = 0
-        if self.host.rank() < KEY_TELLERS:
+        if self.host.rank() < KEY_REPORTERS:
             total, keys = self.host.counted()
-        self.wrote_at, self.urgent, self.changed = now, False, False
+        self.written_at, self.urgent, self.has_changes = now, False, False
         self.counts["told"] += 1
         self.host.tell(
             now,
@@ -484,31 +513,35 @@
                 VERSION,
                 self.host.wall(now),
                 self.zone,
-                len(self.own),
-                told[:MOST_OUT],
+                len(self.ejections),
+                entries[:MAX_ENDPOINTS],
                 total,
-                list(keys)[:MOST_KEYS],
-                self.host.held()[:MOST_HELD],
+                list(keys)[:MAX_KEYS],
+                self.host.held()[:MAX_HELD],
             ),
         )
 
     def report(self, now: float) -> dict[str, object]:
         """Returns the figures for operators."""
-        fresh = [t for t in self.by_owner.values() if now - t.written <= max(self.lasts, KEY_LASTS)]
+        fresh = [
+            reporter
+            for reporter in self.reporters.values()
+            if now - reporter.written <= max(self.lasts, KEY_REPORT_LIFETIME)
+        ]
         return {
-            "out": len(self.own),
+            "out": len(self.ejections),
             "warned": len(self.warned),
             "tellers": len(fresh),
-            "odd": sum(self.odd(owner) for owner in self.by_owner),
-            "hot_keys": len(self.shares),
+            "odd": sum(self.is_implausible(owner) for owner in self.reporters),
+            "hot_keys": len(self.hot_key_shares),
             **self.counts,
         }
 
 
-def sound(told: Told) -> list[tuple[int, int]]:
+def bounded_keys(told: Told) -> list[tuple[int, int]]:
     """Returns the reported keys with their counts, which together are limited to the reported total."""
     left, keys = max(0, told.total), list[tuple[int, int]]()
-    for key, count in told.keys[:MOST_KEYS]:
+    for key, count in told.keys[:MAX_KEYS]:
         keys.append((key, min(max(count, 0), left)))
         left -= keys[-1][1]
     return keys
--- a/rainspindle/decisions/evidence/watch.py
+++ b/rainspindle/decisions/evidence/watch.py
@@ -13,24 +13,24 @@
 from ...balancer.balancer import Balancer
 from ...balancer.endpoint import EndpointState
 from ...balancer.failover import CircuitBreaker, FailoverTable
-from ...protocol.evidence import MOST_HELD, MOST_KEYS, mark_of
+from ...protocol.evidence import MAX_HELD, MAX_KEYS, mark_of
 from .evidence import Evidence
 
-# factor on a reported share if the balancer has less than one attempt in flight and so sees no load itself
-WIDER = 2.0
-# seconds; an ejection that is older when it is first seen was not made by this process, as checks are closer
-MET = 2.0
-HARD_ROW = 2  # consecutive failures from which on an ejection is reported as that of a dead endpoint
+# Factor on a reported share if the balancer has less than one attempt in flight and so sees no load itself
+UNLOADED_FACTOR = 2.0
+# Seconds; an ejection that is older when it is first seen was not made by this process, as checks are closer
+NEW_EJECTION_AGE = 2.0
+DEAD_FAILURES = 2  # consecutive failures from which on an ejection is reported as that of a dead endpoint
 
 
 @dataclass(slots=True)
-class Seen:
+class EjectedEndpoint:
     """An endpoint that was ejected at the last check."""
 
     breaker: CircuitBreaker
     mark: int
     start: int
-    at: float  # time of its ejection
+    ejected_at: float
     since: float
     on_trial: bool
 
@@ -41,74 +41,92 @@
     def __init__(self, balancer: Balancer, evidence: Evidence, offset: float) -> None:
         """`offset` is what was added to the list's Unix times to give the balancer's."""
         self.balancer, self.evidence, self.offset = balancer, evidence, offset
-        self.marks: dict[int, EndpointState] = {}
-        self.known: dict[str, EndpointState] = {}
+        self.endpoints_by_mark: dict[int, EndpointState] = {}
+        self.endpoints_by_id: dict[str, EndpointState] = {}
         self.mark_by_id: dict[str, int] = {}
-        self.out: dict[EndpointState, Seen] = {}
+        self.ejected: dict[EndpointState, EjectedEndpoint] = {}
         balancer.popularity.adjust_share = self.shared_key_share
 
     def endpoints(self) -> dict[int, EndpointState]:
         """Returns the listed endpoints by their mark."""
-        if self.known is not self.balancer.registry.by_id:
-            self.known = self.balancer.registry.by_id
-            self.mark_by_id = {id: self.mark_by_id.get(id) or mark_of(id) for id in self.known}
-            self.marks = {self.mark_by_id[id]: e for id, e in self.known.items()}
-        return self.marks
-
-    def start(self, e: EndpointState) -> int:
+        if self.endpoints_by_id is not self.balancer.registry.by_id:
+            self.endpoints_by_id = self.balancer.registry.by_id
+            self.mark_by_id = {
+                endpoint_id: self.mark_by_id.get(endpoint_id) or mark_of(endpoint_id)
+                for endpoint_id in self.endpoints_by_id
+            }
+            self.endpoints_by_mark = {
+                self.mark_by_id[endpoint_id]: endpoint
+                for endpoint_id, endpoint in self.endpoints_by_id.items()
+            }
+        return self.endpoints_by_mark
+
+    def start(self, endpoint: EndpointState) -> int:
         """Returns the endpoint's start in milliseconds of Unix time, 0 if the list has none."""
-        return round((e.listed.started_at - self.offset) * 1000) if e.listed.started_at is not None else 0
+        return (
+            round((endpoint.listed.started_at - self.offset) * 1000)
+            if endpoint.listed.started_at is not None
+            else 0
+        )
 
     # Observations of the balancer.
 
     def look(self, now: float) -> bool:
         """Reports changes since the last check; returns whether any endpoint is ejected."""
         self.endpoints()
-        for e in self.balancer.registry.active:
-            b = e.breaker
-            if b is not None:
-                self.look_at(now, e, b)
-        for e, seen in list(self.out.items()):
-            if e.breaker is None or self.known.get(e.id) is not e:
-                del self.out[e]
-                if e.breaker is None and self.start(e) == seen.start and e.readmitted_at >= seen.at:
-                    self.evidence.served(now, seen.mark)
+        for endpoint in self.balancer.registry.active:
+            breaker = endpoint.breaker
+            if breaker is not None:
+                self.check_endpoint(now, endpoint, breaker)
+        for endpoint, seen in list(self.ejected.items()):
+            if endpoint.breaker is None or self.endpoints_by_id.get(endpoint.id) is not endpoint:
+                del self.ejected[endpoint]
+                if (
+                    endpoint.breaker is None
+                    and self.start(endpoint) == seen.start
+                    and endpoint.readmitted_at >= seen.ejected_at
+                ):
+                    self.evidence.on_trial_answered(now, seen.mark)
                 else:
-                    self.evidence.gone(now, seen.mark)
-        return bool(self.out)
+                    self.evidence.on_endpoint_gone(now, seen.mark)
+        return bool(self.ejected)
 
-    def look_at(self, now: float, e: EndpointState, b: CircuitBreaker) -> None:
+    def check_endpoint(self, now: float, endpoint: EndpointState, breaker: CircuitBreaker) -> None:
         """Reports what changed at one ejected endpoint."""
-        seen = self.out.get(e)
-        if seen is None or seen.breaker is not b:
-            mark = self.mark_by_id.get(e.id)
+        seen = self.ejected.get(endpoint)
+        if seen is None or seen.breaker is not breaker:
+            mark = self.mark_by_id.get(endpoint.id)
             if mark is None:
                 return
-            seen = self.out[e] = Seen(b, mark, self.start(e), b.failing_since, b.failing_since, False)
-            if b.trial_due or now - b.failing_since > MET:
-                due = now if b.trial_due else b.failing_since + FailoverTable.TRIAL_DELAY
-                self.evidence.inherited(now, mark, seen.start, b.failing_since, due)
+            seen = self.ejected[endpoint] = EjectedEndpoint(
+                breaker, mark, self.start(endpoint), breaker.failing_since, breaker.failing_since, False
+            )
+            if breaker.trial_due or now - breaker.failing_since > NEW_EJECTION_AGE:
+                due = now if breaker.trial_due else breaker.failing_since + FailoverTable.TRIAL_DELAY
+                self.evidence.on_inherited_ejection(now, mark, seen.start, breaker.failing_since, due)
             else:
-                self.evidence.tripped(now, mark, seen.start, e.consecutive_failures >= HARD_ROW)
-        if b.in_trial and not seen.on_trial:
-            self.evidence.trying(now, seen.mark)
-        elif not b.in_trial and b.failing_since != seen.since:
-            self.evidence.failed(now, seen.mark)
-        seen.since, seen.on_trial = b.failing_since, b.in_trial
+                self.evidence.on_ejected(
+                    now, mark, seen.start, endpoint.consecutive_failures >= DEAD_FAILURES
+                )
+        if breaker.in_trial and not seen.on_trial:
+            self.evidence.on_trial_sent(now, seen.mark)
+        elif not breaker.in_trial and breaker.failing_since != seen.since:
+            self.evidence.on_trial_failed(now, seen.mark)
+        seen.since, seen.on_trial = breaker.failing_since, breaker.in_trial
 
     # Decisions of the evidence.
 
-    def plan(self, now: float, e: EndpointState, due: float) -> None:
+    def plan(self, now: float, endpoint: EndpointState, due: float) -> None:
         """Sets when the next trial of an ejected endpoint is due, unless one is under way."""
-        b = e.breaker
-        if b is not None and not b.in_trial:
-            b.failing_since, b.trial_due = due - FailoverTable.TRIAL_DELAY, now > due
-            if e in self.out:
-                self.out[e].since = b.failing_since
+        breaker = endpoint.breaker
+        if breaker is not None and not breaker.in_trial:
+            breaker.failing_since, breaker.trial_due = due - FailoverTable.TRIAL_DELAY, now > due
+            if endpoint in self.ejected:
+                self.ejected[endpoint].since = breaker.failing_since
 
-    def warn(self, e: EndpointState, on: bool) -> None:
+    def warn(self, endpoint: EndpointState, on: bool) -> None:
         """Sets whether one failure is enough to eject the endpoint."""
-        e.is_suspected = on
+        endpoint.is_suspected = on
 
     def shared_key_share(self, key: str, own_share: float) -> float:
         """Returns the share of the traffic that a key counts with.
@@ -116,13 +134,13 @@
         Guards against a key that is hot in the fleet while no sidecar sees it twice. Unsuitable if the
         reporters' traffic is unlike that of this sidecar.
         """
-        shares = self.evidence.shares
-        told = shares.get(mark_of(key), 0.0) if shares else 0.0
-        if told <= own_share:
+        shares = self.evidence.hot_key_shares
+        reported_share = shares.get(mark_of(key), 0.0) if shares else 0.0
+        if reported_share <= own_share:
             return own_share
         if self.balancer.request_rate * self.balancer.latency.median < 1.0:
-            told *= WIDER
-        return min(told, 1.0)
+            reported_share *= UNLOADED_FACTOR
+        return min(reported_share, 1.0)
 
 
 class Watches:
@@ -137,11 +155,18 @@
 
     def find(self, mark: int) -> tuple[Watch, EndpointState] | None:
         """Returns the endpoint and its balancer's watch, None if it is not listed."""
-        return next(((w, e) for w in self.all if (e := w.endpoints().get(mark)) is not None), None)
+        return next(
+            (
+                (watch, endpoint)
+                for watch in self.all
+                if (endpoint := watch.endpoints().get(mark)) is not None
+            ),
+            None,
+        )
 
     def ready(self) -> int:
         """Returns the number of ready endpoints."""
-        return sum(len(w.balancer.registry.ready) for w in self.all)
+        return sum(len(watch.balancer.registry.ready) for watch in self.all)
 
     def start_of(self, mark: int) -> int | None:
         """Returns the endpoint's start in milliseconds, None if it is not listed."""
@@ -161,14 +186,19 @@
     def counted(self) -> tuple[int, list[tuple[int, int]]]:
         """Returns the number of recent requests, and the busiest keys among them with their counts."""
         counts: dict[str, float] = {}
-        for w in self.all:
-            for key, n in w.balancer.popularity.counts.items():
+        for watch in self.all:
+            for key, n in watch.balancer.popularity.counts.items():
                 counts[key] = counts.get(key, 0.0) + n
-        busiest = sorted(counts, key=lambda key: (-counts[key], key))[:MOST_KEYS]
-        total = round(sum(w.balancer.popularity.total for w in self.all))
+        busiest = sorted(counts, key=lambda key: (-counts[key], key))[:MAX_KEYS]
+        total = round(sum(watch.balancer.popularity.total for watch in self.all))
         return total, [(mark_of(key), round(counts[key])) for key in busiest]
 
     def held(self) -> list[tuple[int, int]]:
         """Returns attempts in flight by endpoint, the largest numbers first."""
-        out = [(len(e.in_flight), e.id) for w in self.all for e in w.balancer.registry.active if e.in_flight]
-        return [(mark_of(id), n) for n, id in sorted(out, reverse=True)[:MOST_HELD]]
+        out = [
+            (len(endpoint.in_flight), endpoint.id)
+            for watch in self.all
+            for endpoint in watch.balancer.registry.active
+            if endpoint.in_flight
+        ]
+        return [(mark_of(endpoint_id), n) for n, endpoint_id in sorted(out, reverse=True)[:MAX_HELD]]
--- a/rainspindle/decisions/listing/relay.py
+++ b/rainspindle/decisions/listing/relay.py
@@ -37,7 +37,7 @@
 FIRST_CALL_FRACTION, LAST_CALL_FRACTION = 0.62, 0.78
 # Replaces FIRST_CALL_FRACTION while two members report failing calls: a longer interval spreads own calls.
 FAILING_CALL_FRACTION = 0.3
-# seconds; in a shorter asking period two watches and their delivery take up too much of it
+# Seconds; in a shorter asking period two watches and their delivery take up too much of it
 MIN_ASK_WITHIN = 5.0
 # A newer list that two members report must be available here within NEWER_LIST_LIMIT seconds plus a random
 # part of NEWER_LIST_FRACTION of the asking period.
@@ -52,17 +52,17 @@
 # of other members, if it has some but knows no member yet, and if it knows one.
 STARTUP_FRACTIONS = ((0.03, 0.33), (0.4, 0.7), (0.4, 0.78))
 STARTUP_FRACTIONS_NO_LIST = ((0.03, 0.13), (0.35, 0.6), (0.35, 0.7))
-# seconds; upper limit of the asking period without a list, as the listener does not open before it has one
+# Seconds; upper limit of the asking period without a list, as the listener does not open before it has one
 MAX_NO_LIST_PERIOD = 10.0
 ROLE_DELAY = 1.0  # seconds from when a new member first knows of others until it may become an asker
 # Fraction of the usable endpoints: if a list removes more of them since three members agreed, two votes
 # are not enough.
 LARGE_LOSS = 0.5
-# audit calls a second over the whole fleet; minimum seconds between two audits at one sidecar
+# Audit calls a second over the whole fleet; minimum seconds between two audits at one sidecar
 AUDIT_RATE, MIN_AUDIT_GAP = 1.0, 60.0
-# calls a second over the whole fleet by members whose own call fails while askers' calls fail too
+# Calls a second over the whole fleet by members whose own call fails while askers' calls fail too
 RETRY_RATE = 25.0
-# seconds for which a member with an implausible report is distrusted; doubled each time up to the maximum
+# Seconds for which a member with an implausible report is distrusted; doubled each time up to the maximum
 DISTRUST_TIME, MAX_DISTRUST_TIME = 60.0, 3600.0
 # MIN_STOP: seconds between two checks that mean that this process was stopped.
 # STOP_GRACE: seconds after a stop in which received reports may be old.
@@ -108,7 +108,7 @@
     """The latest head of one asker."""
 
     head: Head
-    # when it arrived or was last known to be held by a member that passed it on; it was written before
+    # When it arrived or was last known to be held by a member that passed it on; it was written before
     held_at: float
     confirmed: float  # when the service had no later version than this; -inf if unknown
     ahead: int = 0  # the first version it reported that is still later than the one here
@@ -154,7 +154,7 @@
         )
         self.published_digest, self.published_chunks = b"", list[bytes]()
         self.confirmed = -math.inf  # when two members reported that the service had the list that is here
-        # of the last answered and failed own call, and of the last change of the list here
+        # Of the last answered and failed own call, and of the last change of the list here
         self.answered_at = self.failed_at = self.changed_at = -math.inf
         self.newer_at = math.inf  # since when any member reports a newer list
         self.agreed_newer_at = math.inf  # since when two members report the same newer list
@@ -575,12 +575,12 @@
             if (
                 published is None
                 or published.at != self.service
-                or not 1 <= published.chunks <= codec.MOST_CHUNKS
+                or not 1 <= published.chunks <= codec.MAX_CHUNKS
                 or published.version > version
             ):
                 return None
             chunks = [self.host.cell(owner, codec.chunk_name(n)) for n in range(published.chunks)]
-            lines = codec.joined(published, chunks)
+            lines = codec.join_chunks(published, chunks)
         except UnreadableList:
             return None
         return None if lines is None else (published.version, lines)
@@ -605,7 +605,7 @@
             self.note_version(now, peer)
 
     def publish(self, now: float) -> None:
-        """Writes the head if it is due, and as a carrier the whole list."""
+        """Writes the head if it is due, and as a publisher the whole list."""
         failing = self.failures_in_row >= REPORTED_FAILURES
         if self.version is None or self.version >= 2**63:
             return
@@ -617,9 +617,8 @@
             self.recent_changes.popleft()
         since, delta = self.recent_delta()
         if self.is_publisher and self.published_digest != self.digest:
-            in_head = (
-                not self.recent_changes or since <= self.recent_changes[-1][1]
-            )  # the change is in the head
+            # Whether the head holds the whole change.
+            in_head = not self.recent_changes or since <= self.recent_changes[-1][1]
             if now - self.list_written_at >= (WHOLE_LIST_GAP if in_head else MIN_HEAD_GAP):
                 self.publish_whole(now)
         if not self.head_due or now - self.head_written_at < MIN_HEAD_GAP or self.too_large:
@@ -632,7 +631,9 @@
         )
         since_answer = now - self.answered_at
         age = min(int(since_answer * 1000) + 1, codec.NEVER) if since_answer < math.inf else codec.NEVER
-        past = [(before, digest) for _, before, digest, _ in list(self.recent_changes)[-codec.MOST_PAST :]]
+        past = [
+            (before, digest) for _, before, digest, _ in list(self.recent_changes)[-codec.MAX_PAST_VERSIONS :]
+        ]
         self.host.write(
             now,
             codec.HEAD,
@@ -656,7 +657,7 @@
     def recent_delta(self) -> tuple[int, list[tuple[str, bytes]]]:
         """Returns the latest changes that fit into a head, and the version after which they begin."""
         assert self.version is not None
-        since, found, room = self.version, dict[str, bytes](), codec.MOST_DELTA
+        since, found, room = self.version, dict[str, bytes](), codec.MAX_DELTA_BYTES
         for _, before, _, ids in reversed(self.recent_changes):
             new = {
                 endpoint_id: self.lines.get(endpoint_id, b"")
@@ -673,7 +674,7 @@
     def publish_whole(self, now: float) -> None:
         """Publishes the whole list in chunks; chunks that are the same as before are not written."""
         try:
-            chunks = codec.split(self.lines)
+            chunks = codec.split_chunks(self.lines)
         except TooLarge as fault:
             self.disable(str(fault))
             self.withdraw(now)
--- a/rainspindle/program/fleet/evidence.py
+++ b/rainspindle/program/fleet/evidence.py
@@ -24,10 +24,10 @@
 
 log = logging.getLogger("rainspindle.evidence")
 
-# seconds between two checks of the balancers: normally, and while any endpoint is ejected
-LOOK, LOOK_OUT = 0.25, 0.1
+# Seconds between two checks of the balancers: normally, and while any endpoint is ejected
+CHECK_GAP, CHECK_GAP_EJECTED = 0.25, 0.1
 COUNT_GAP = 5.0  # seconds between two counts of the members
-MOST_SHOWN = 50  # maximum endpoints in an answer to an operator
+MAX_SHOWN = 50  # maximum endpoints in an answer to an operator
 
 
 class EvidencePart(msgspec.Struct, forbid_unknown_fields=True):
@@ -53,8 +53,8 @@
     def __init__(self, ground: Ground, table: EvidencePart, wall: Callable[[], float] = time.time) -> None:
         super().__init__()
         self.ground, self.table, self.clock = ground, table, wall
-        self.members, self.place, self.counted_at = 1, 0, -COUNT_GAP
-        self.unread = 0
+        self.member_count, self.own_rank, self.counted_at = 1, 0, -COUNT_GAP
+        self.undecodable = 0
         self.evidence = Evidence(
             ground.loop.now(),
             ground.config.raw_settings["zone"],
@@ -79,22 +79,23 @@
         """Returns `inner`: requests are not changed."""
         return inner
 
-    def heard(self, now: float, cell: Register) -> None:
+    def heard(self, now: float, register: Register) -> None:
         """Handles a changed register of evidence."""
-        if cell.name != CELL or cell.owner == self.ground.members.own_name:
+        if register.name != CELL or register.owner == self.ground.members.own_name:
             return
-        if not cell.value:
-            self.evidence.forget(now, cell.owner)
+        if not register.value:
+            self.evidence.forget(now, register.owner)
             return
         try:
-            told = decode_told(cell.value)
+            told = decode_told(register.value)
         except UnreadableEvidence as fault:
-            self.unread += 1
+            self.undecodable += 1
             log.debug(
-                "evidence register cannot be decoded", extra={"fields": {"from": cell.owner, "why": fault}}
+                "evidence register cannot be decoded",
+                extra={"fields": {"from": register.owner, "why": fault}},
             )
         else:
-            self.evidence.heard(now, cell.owner, told)
+            self.evidence.heard(now, register.owner, told)
 
     def tick(self, now: float) -> float:
         """Does what is due and returns when to be called next at the latest."""
@@ -102,14 +103,14 @@
             self.counted_at = now
             own = self.ground.members.own_name
             names = [
-                m.name
-                for m in self.ground.members.members()
-                if m.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT) or m.name == own
+                member.name
+                for member in self.ground.members.members()
+                if member.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT) or member.name == own
             ]
-            first = chance_of(own)
-            self.members, self.place = len(names), sum(chance_of(name) < first for name in names)
-        out = self.look(now)
-        return min(self.evidence.tick(now), now + (LOOK_OUT if out else LOOK))
+            first = order_hash(own)
+            self.member_count, self.own_rank = len(names), sum(order_hash(name) < first for name in names)
+        any_ejected = self.look(now)
+        return min(self.evidence.tick(now), now + (CHECK_GAP_EJECTED if any_ejected else CHECK_GAP))
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
         """Forgets the reports of a member that is dead or has left."""
@@ -124,25 +125,33 @@
             return Answer(404, {"error": "no such call", "remedy": "ask GET /-/evidence"})
         if method not in ("GET", "HEAD"):
             return Answer(405, {"error": f"/-/evidence wants GET, not {method}", "remedy": "ask with GET"})
-        return Answer(200, {**self.evidence.report(now), "unread": self.unread, "endpoints": self.shown(now)})
+        return Answer(
+            200,
+            {**self.evidence.report(now), "unread": self.undecodable, "endpoints": self.shown_endpoints(now)},
+        )
 
-    def shown(self, now: float) -> list[dict[str, object]]:
+    def shown_endpoints(self, now: float) -> list[dict[str, object]]:
         """Returns the endpoints that are ejected here or reported by any member, for operators."""
         evidence, found = self.evidence, list[dict[str, object]]()
-        held = evidence.summed_held(now)
-        for mark in [*evidence.own, *(m for m in evidence.by_mark if m not in evidence.own)]:
-            where, own = self.find(mark), evidence.own.get(mark)
-            if where is None or len(found) >= MOST_SHOWN:
+        held = evidence.reported_attempts(now)
+        for mark in [
+            *evidence.ejections,
+            *(reported_mark for reported_mark in evidence.reports if reported_mark not in evidence.ejections),
+        ]:
+            match, own = self.find(mark), evidence.ejections.get(mark)
+            if match is None or len(found) >= MAX_SHOWN:
                 continue
-            watched, e = where
-            start, words = watched.start(e), evidence.by_mark.get(mark, {})
+            watched, endpoint = match
+            start, reports = watched.start(endpoint), evidence.reports.get(mark, {})
             found.append(
                 {
-                    "id": e.id,
+                    "id": endpoint.id,
                     "out": own is not None,
                     "warned": mark in evidence.warned,
                     "trial_in_s": round(max(0.0, own.due - now), 1) if own else None,
-                    "told_by": sum(evidence.counts_for(now, o, h, start) for o, h in words.items()),
+                    "told_by": sum(
+                        evidence.is_credible(now, owner, report, start) for owner, report in reports.items()
+                    ),
                     "held_elsewhere": held.get(mark, 0),
                 }
             )
@@ -177,27 +186,27 @@
     def warn(self, now: float, mark: int, on: bool) -> None:
         """Sets whether one own failure is enough to eject the endpoint, and logs it."""
         super().warn(now, mark, on)
-        where = self.find(mark)
+        match = self.find(mark)
         log.info(
             "endpoint reported dead by other members" if on else "endpoint no longer reported dead",
             extra={
-                "fields": {"endpoint": where[1].id if where else mark, "warned": len(self.evidence.warned)}
+                "fields": {"endpoint": match[1].id if match else mark, "warned": len(self.evidence.warned)}
             },
         )
 
     def size(self) -> int:
         """Returns the number of members at the last count."""
-        return self.members
+        return self.member_count
 
     def rank(self) -> int:
         """Returns the own position in a pseudo-random order of the members, 0 for the first."""
-        return self.place
+        return self.own_rank
 
     def tell(self, now: float, told: Told) -> None:
         """Writes the own register."""
         self.ground.cells.write(now, CELL, encode_told(told))
 
 
-def chance_of(name: str) -> int:
+def order_hash(name: str) -> int:
     """Returns the hash by which members are ordered, the same at all members."""
     return zlib.crc32(name.encode())
--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -29,9 +29,9 @@
 T = TypeVar("T")
 log = logging.getLogger("rainspindle.list")
 
-LEAST_ASKERS, MOST_ASKERS = 2, 16
-SAME_START = 0.002  # seconds; reported starts of one process differ by less than this
-WARNED = {
+MIN_ASKERS, MAX_ASKERS = 2, 16
+START_TOLERANCE = 0.002  # seconds; reported starts of one process differ by less than this
+WARNING_EVENTS = {
     "list: implausible report, member not believed",
     "list: too large to relay, each sidecar polls for itself",
     "list: unreadable report",
@@ -46,8 +46,8 @@
 
 def unfit(table: ListPart, config: Config) -> Iterator[str]:
     """Yields each value that is well formed but out of range, with its path."""
-    if not LEAST_ASKERS <= table.askers <= MOST_ASKERS:
-        yield f"list.askers: is {table.askers}; expected {LEAST_ASKERS} to {MOST_ASKERS}"
+    if not MIN_ASKERS <= table.askers <= MAX_ASKERS:
+        yield f"list.askers: is {table.askers}; expected {MIN_ASKERS} to {MAX_ASKERS}"
 
 
 class ListRun:
@@ -61,18 +61,18 @@
         self.run = ground.members.own_incarnation
         self.follower: Follower | None = None
         self.core: Core | None = None
-        self.known: dict[str, tuple[ListedEndpoint, Address | None]] = {}
+        self.known_lines: dict[str, tuple[ListedEndpoint, Address | None]] = {}
         self.address = self.config.discovery
-        self.usual = 0.0  # seconds that the follower's watch waits in a sidecar on its own
-        self.unread = 0
-        self.tell_others: Callable[[ListChange], None] = lambda change: None
+        self.usual_wait = 0.0  # seconds that the follower's watch waits in a sidecar on its own
+        self.undecodable = 0
+        self.notify_others: Callable[[ListChange], None] = lambda change: None
         terms = Terms(table.askers, within, seeded)
         self.relay = Relay(
             ground.loop.now(),
             ground.members.own_name,
             self.run,
             terms,
-            self.mark(),
+            self.service_digest(),
             self,
             random.Random(secrets.randbits(64)),
         )
@@ -88,7 +88,7 @@
                 },
             )
 
-    def mark(self) -> bytes:
+    def service_digest(self) -> bytes:
         """Returns the digest that identifies the service and the settings by which its lines are read.
 
         Reports with another digest are ignored.
@@ -102,22 +102,27 @@
         """Connects the relay with the core and the follower; does nothing if the relay is off."""
         if not self.relay.enabled:
             return
-        self.core, self.follower, self.usual = core, follower, follower.wait
+        self.core, self.follower, self.usual_wait = core, follower, follower.wait
         known = self.config.known
         self.address = follower.address
         if known.lines:
-            lines = self.noted(known)
+            lines = self.encode_changes(known)
             if lines is not None:
-                self.relay.start(known.version, {id: data for id, data in lines.items() if data})
-        before = self.tell_others = follower.heard
+                self.relay.start(
+                    known.version, {endpoint_id: data for endpoint_id, data in lines.items() if data}
+                )
+        before = self.notify_others = follower.heard
 
-        def heard(change: ListChange) -> None:
+        def on_change(change: ListChange) -> None:
             before(change)
-            self.sound(partial(self.told, change), None)
+            self.guarded(partial(self.on_answer, change), None)
 
-        follower.heard, follower.spared = heard, lambda: self.sound(self.spared, -math.inf)
-        follower.failed = lambda: self.sound(self.failed, None)
-        self.ground.cells.on_change("list/", self.heard)
+        follower.heard, follower.deferred_until = (
+            on_change,
+            lambda: self.guarded(self.deferred_until, -math.inf),
+        )
+        follower.failed = lambda: self.guarded(self.on_failure, None)
+        self.ground.cells.on_change("list/", self.on_register_changed)
 
     def ready_from(self, now: float) -> float:
         """Returns `now`: the listener does not wait for this part."""
@@ -131,7 +136,7 @@
         """Does what is due and returns when to be called next at the latest."""
         if self.follower is None:
             return now + 1.0
-        self.look_at_address(now)
+        self.check_address(now)
         return self.relay.tick(now)
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
@@ -152,8 +157,8 @@
         """Returns the relay's state for operators."""
         relay = self.relay
 
-        def ago(at: float) -> float | None:
-            return round(max(now - at, 0.0), 3) if at > float("-inf") else None
+        def ago(moment: float) -> float | None:
+            return round(max(now - moment, 0.0), 3) if moment > float("-inf") else None
 
         return {
             "mode": relay.mode or "alone",
@@ -164,13 +169,13 @@
             "own": {"calls": relay.calls, "failed": relay.failures, "last": ago(relay.answered_at)},
             "askers": {
                 name: {
-                    "version": word.head.version,
-                    "heard": ago(word.held_at),
-                    "failing": word.head.failing,
+                    "version": head.head.version,
+                    "heard": ago(head.held_at),
+                    "failing": head.head.failing,
                     "believed": not relay.is_distrusted(now, name),
-                    "same_service": word.head.at == relay.service,
+                    "same_service": head.head.at == relay.service,
                 }
-                for name, word in sorted(relay.heads.items())[:64]
+                for name, head in sorted(relay.heads.items())[:64]
             },
         }
 
@@ -201,63 +206,63 @@
 
     # The follower.
 
-    def sound(self, do: Callable[[], T], otherwise: T) -> T:
+    def guarded(self, action: Callable[[], T], fallback: T) -> T:
         """Calls `do` and returns `otherwise` if it raises.
 
         Guards against a fault here that would stop the list itself, or the members' gossip.
         """
         try:
-            return do()
+            return action()
         except Exception as fault:
             self.ground.loop.on_fault(fault)
-            return otherwise
+            return fallback
 
-    def look_at_address(self, now: float) -> None:
+    def check_address(self, now: float) -> None:
         """Resets the relay if the follower polls another service."""
         assert self.follower is not None
         if self.follower.address != self.address:
             self.address = self.follower.address
-            self.known.clear()
-            self.relay.service_changed(now, self.mark())
+            self.known_lines.clear()
+            self.relay.service_changed(now, self.service_digest())
 
-    def spared(self) -> float:
+    def deferred_until(self) -> float:
         """Returns until when the next call may wait, and sets the follower's watch time."""
         now = self.ground.loop.now()
-        self.look_at_address(now)
+        self.check_address(now)
         assert self.follower is not None
-        self.follower.wait = self.relay.period if self.relay.asker else self.usual
+        self.follower.wait = self.relay.period if self.relay.asker else self.usual_wait
         self.follower.draws_wait = not self.relay.asker  # the relay spreads its members' calls itself
         return self.relay.spared(now)
 
-    def told(self, change: ListChange) -> None:
+    def on_answer(self, change: ListChange) -> None:
         """Handles an answer of the service itself to this member."""
         now = self.ground.loop.now()
-        self.look_at_address(now)
+        self.check_address(now)
         if change.whole:
-            self.known.clear()
-        lines = self.noted(change)
+            self.known_lines.clear()
+        lines = self.encode_changes(change)
         if lines is not None:
             self.relay.told(now, change.version, change.whole, lines)
 
-    def noted(self, change: ListChange) -> dict[str, bytes] | None:
+    def encode_changes(self, change: ListChange) -> dict[str, bytes] | None:
         """Returns the changed lines as they are relayed, None if they do not fit into registers."""
         lines: dict[str, bytes] = {}
         try:
             for line in change.lines:
-                before = self.known.get(line.id)
-                at = change.addresses.get(line.id) or (before[1] if before else None)
+                before = self.known_lines.get(line.id)
+                address = change.addresses.get(line.id) or (before[1] if before else None)
                 if line.status is EndpointStatus.GONE:
-                    self.known.pop(line.id, None)
+                    self.known_lines.pop(line.id, None)
                     lines[line.id] = b""
                 else:
-                    self.known[line.id] = line, at
-                    lines[line.id] = codec.encode_line(line, at, self.config.decoder.clock_offset)
+                    self.known_lines[line.id] = line, address
+                    lines[line.id] = codec.encode_line(line, address, self.config.decoder.clock_offset)
         except TooLarge as fault:
             self.relay.disable(str(fault))
             return None
         return lines
 
-    def failed(self) -> None:
+    def on_failure(self) -> None:
         """Handles a failed call of this member."""
         self.relay.failed(self.ground.loop.now())
 
@@ -265,7 +270,9 @@
 
     def alive(self) -> Sequence[str]:
         """Returns the names of the live members."""
-        return [m.name for m in self.ground.members.members() if m.status is MemberStatus.ALIVE]
+        return [
+            member.name for member in self.ground.members.members() if member.status is MemberStatus.ALIVE
+        ]
 
     def write(self, now: float, name: str, value: bytes) -> None:
         """Writes a register of this member; an empty value deletes it."""
@@ -279,26 +286,28 @@
         seen = self.ground.cells.read(owner, name)
         return seen.register.value if seen is not None else b""
 
-    def heard(self, now: float, cell: Register) -> None:
+    def on_register_changed(self, now: float, register: Register) -> None:
         """Handles a changed register of the list."""
-        if cell.name == codec.HEAD and cell.owner != self.ground.members.own_name:
-            self.sound(partial(self.heard_head, now, cell), None)
+        if register.name == codec.HEAD and register.owner != self.ground.members.own_name:
+            self.guarded(partial(self.on_head_changed, now, register), None)
 
-    def heard_head(self, now: float, cell: Register) -> None:
+    def on_head_changed(self, now: float, register: Register) -> None:
         """Handles a changed head of another member."""
-        if not cell.value:
-            self.relay.gone(now, cell.owner)
+        if not register.value:
+            self.relay.gone(now, register.owner)
             return
-        seen = self.ground.cells.read(cell.owner, cell.name)
+        seen = self.ground.cells.read(register.owner, register.name)
         try:
-            head = codec.decode(cell.value, Head)
+            head = codec.decode(register.value, Head)
         except UnreadableList as fault:
-            self.unread += 1
-            if self.unread == 1:
-                self.log("list: unreadable report", member=cell.owner, why=str(fault), remedy=fault.remedy)
+            self.undecodable += 1
+            if self.undecodable == 1:
+                self.log(
+                    "list: unreadable report", member=register.owner, why=str(fault), remedy=fault.remedy
+                )
             return
-        self.look_at_address(now)
-        self.relay.heard(now, cell.owner, head, seen.heard_at if seen is not None else now)
+        self.check_address(now)
+        self.relay.heard(now, register.owner, head, seen.heard_at if seen is not None else now)
 
     def take(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
         """Applies a relayed list to the core; returns False if a line cannot be decoded."""
@@ -306,27 +315,27 @@
         changed: list[ListedEndpoint] = []
         addresses: dict[str, Address] = {}
         try:
-            for id, data in delta.items():
-                before = self.known.get(id)
+            for endpoint_id, data in delta.items():
+                before = self.known_lines.get(endpoint_id)
                 if not data:
                     if before is not None:
                         changed.append(replace(before[0], status=EndpointStatus.GONE))
                     continue
-                line, at = codec.decode_line(id, data, self.config.decoder.clock_offset)
+                line, address = codec.decode_line(endpoint_id, data, self.config.decoder.clock_offset)
                 changed.append(line if before is None else kept(line, before[0]))
-                if at is not None:
-                    addresses[id] = at
+                if address is not None:
+                    addresses[endpoint_id] = address
         except UnreadableList as fault:
             self.log("list: unreadable report", why=str(fault), remedy=fault.remedy)
             return False
         for line in changed:
             if line.status is EndpointStatus.GONE:
-                self.known.pop(line.id, None)
+                self.known_lines.pop(line.id, None)
             else:
-                self.known[line.id] = line, addresses.get(line.id)
+                self.known_lines[line.id] = line, addresses.get(line.id)
         change = ListChange(version, False, tuple(changed), addresses)
-        self.tell_others(change)
-        self.follower.take(change)
+        self.notify_others(change)
+        self.follower.apply_report(change)
         return True
 
     def urge(self) -> None:
@@ -336,13 +345,13 @@
         relay = self.relay
         # Guards against a new asker that reports nothing until its earlier, longer watch ends.
         if relay.asker and relay.mode == "alone" and relay.answered_at > relay.failed_at:
-            self.follower.anew()
+            self.follower.restart_call()
         else:
             self.follower.task.wake()
 
     def log(self, event: str, **fields: object) -> None:
         """Writes a log line, as a warning if operators should act on it."""
-        log.log(logging.WARNING if event in WARNED else logging.INFO, event, extra={"fields": fields})
+        log.log(logging.WARNING if event in WARNING_EVENTS else logging.INFO, event, extra={"fields": fields})
 
 
 def kept(line: ListedEndpoint, before: ListedEndpoint) -> ListedEndpoint:
@@ -352,7 +361,7 @@
     start with other last digits, which would make it count as cold.
     """
     if before.started_at is not None and (
-        line.started_at is None or line.started_at < before.started_at + SAME_START
+        line.started_at is None or line.started_at < before.started_at + START_TOLERANCE
     ):
         return replace(line, started_at=before.started_at)
     return line
--- a/rainspindle/protocol/discovery.py
+++ b/rainspindle/protocol/discovery.py
@@ -13,8 +13,8 @@
 from ..transport.address import Address, parse_address
 from .client import Call, Unreadable
 
-MOST_LIST = 4 * 1024 * 1024
-STATES = {
+MAX_LIST_BYTES = 4 * 1024 * 1024
+STATUS_BY_LIFECYCLE = {
     "SERVING": EndpointStatus.READY,
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.GONE,
@@ -49,8 +49,12 @@
             return ListChange(
                 int(message["generation"]),
                 bool(message["reset"]),
-                tuple(self.line(e) for e in entries),
-                {e["instanceId"]: parse_address(e["hostPort"]) for e in entries if e.get("hostPort")},
+                tuple(self.line(entry) for entry in entries),
+                {
+                    entry["instanceId"]: parse_address(entry["hostPort"])
+                    for entry in entries
+                    if entry.get("hostPort")
+                },
             )
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as fault:
             raise Unreadable(f"answer is no endpoint list: {type(fault).__name__} {fault}") from None
@@ -64,17 +68,17 @@
         """
         return self.zones.get(name, -1 - zlib.crc32(name.encode()))
 
-    def line(self, e: dict[str, Any]) -> ListedEndpoint:
+    def line(self, entry: dict[str, Any]) -> ListedEndpoint:
         """Decodes one endpoint."""
-        weight, started = e.get("weight"), e.get("startedAtMs")
+        weight, started = entry.get("weight"), entry.get("startedAtMs")
         return ListedEndpoint(
-            str(e["instanceId"]),
-            int(e.get("cell") or 0),
-            self.zone(e.get("zone") or ""),
+            str(entry["instanceId"]),
+            int(entry.get("cell") or 0),
+            self.zone(entry.get("zone") or ""),
             1.0 if weight is None else float(weight),
-            STATES[e["lifecycle"]],
+            STATUS_BY_LIFECYCLE[entry["lifecycle"]],
             started / 1000 + self.clock_offset if started else None,
-            self.kinds.get(e.get("machineType") or "", len(self.kinds)),
+            self.kinds.get(entry.get("machineType") or "", len(self.kinds)),
         )
 
 
@@ -82,7 +86,7 @@
     """One call to discovery."""
 
     def __init__(self, decoder: ListDecoder) -> None:
-        self.decoder, self.call = decoder, Call(MOST_LIST)
+        self.decoder, self.call = decoder, Call(MAX_LIST_BYTES)
 
     def whole(self, host: bytes) -> bytes:
         """Returns the request for the whole list."""
--- a/rainspindle/protocol/evidence.py
+++ b/rainspindle/protocol/evidence.py
@@ -13,7 +13,7 @@
 from ..errors import Trouble
 
 VERSION, CELL = 1, "evidence"
-MOST_BYTES, MOST_OUT, MOST_KEYS, MOST_HELD = 900, 16, 12, 4  # limits of one register
+MAX_BYTES, MAX_ENDPOINTS, MAX_KEYS, MAX_HELD = 900, 16, 12, 4  # limits of one register
 
 
 class UnreadableEvidence(Trouble):
@@ -43,11 +43,11 @@
     out: list[Out] = []
     total: int = 0  # requests that `keys` are counted among; 0 if it reports no keys
     keys: list[tuple[int, int]] = []  # 64-bit hashes of the busiest keys, and their counts within `total`
-    # endpoints' marks and the reporter's attempts in flight there, the largest numbers
+    # Endpoints' marks and the reporter's attempts in flight there, the largest numbers
     held: list[tuple[int, int]] = []
 
 
-told_of = msgspec.msgpack.Decoder(Told)
+decoder = msgspec.msgpack.Decoder(Told)
 encoder = msgspec.msgpack.Encoder()
 
 
@@ -59,7 +59,7 @@
 def encode_told(told: Told) -> bytes:
     """Encodes a report in at most MOST_BYTES; the least important entries are dropped first."""
     value = encoder.encode(told)
-    while len(value) > MOST_BYTES and (told.held or told.keys or told.out):
+    while len(value) > MAX_BYTES and (told.held or told.keys or told.out):
         told = msgspec.structs.replace(
             told, held=[], **({"keys": told.keys[:-2]} if told.keys else {"out": told.out[:-1]})
         )
@@ -70,6 +70,6 @@
 def decode_told(value: bytes) -> Told:
     """Decodes a report. Raises UnreadableEvidence."""
     try:
-        return told_of.decode(value)
+        return decoder.decode(value)
     except msgspec.MsgspecError as fault:
         raise UnreadableEvidence(f"evidence register cannot be decoded: {fault}") from None
--- a/rainspindle/protocol/listing.py
+++ b/rainspindle/protocol/listing.py
@@ -22,19 +22,20 @@
 
 VERSION = 1
 HEAD, SET = "list/HEAD", "list/SET"
-MOST_CHUNKS, CHUNK = 256, 850  # maximum registers that one member writes for a whole list, and bytes in each
-MOST_LINE = 400  # maximum bytes of one line
-MOST_DELTA = 560  # maximum bytes of changes in a head
-MOST_PAST = 6  # maximum earlier versions that a head names
-MARK = 12  # bytes of a digest
+# Maximum registers that one member writes for a whole list, and maximum bytes in each.
+MAX_CHUNKS, MAX_CHUNK_BYTES = 256, 850
+MAX_LINE_BYTES = 400
+MAX_DELTA_BYTES = 560  # of all changes in a head
+MAX_PAST_VERSIONS = 6  # earlier versions that a head names
+DIGEST_BYTES = 12
 NEVER = 2**31 - 1  # milliseconds; stands for an age that is unknown or too large
-STATES = {EndpointStatus.READY: "r", EndpointStatus.DRAINING: "d"}
-READ = {text: state for state, text in STATES.items()}
+STATE_CODES = {EndpointStatus.READY: "r", EndpointStatus.DRAINING: "d"}
+STATUS_BY_CODE = {code: status for status, code in STATE_CODES.items()}
 
 Lines = Mapping[str, bytes]  # encoded lines by endpoint id; b"" for an endpoint that is gone
-Mark = Annotated[bytes, msgspec.Meta(max_length=MARK)]
-Id = Annotated[str, msgspec.Meta(max_length=MOST_LINE)]
-Text = Annotated[bytes, msgspec.Meta(max_length=MOST_LINE)]
+Digest = Annotated[bytes, msgspec.Meta(max_length=DIGEST_BYTES)]
+EndpointId = Annotated[str, msgspec.Meta(max_length=MAX_LINE_BYTES)]
+LineBytes = Annotated[bytes, msgspec.Meta(max_length=MAX_LINE_BYTES)]
 T = TypeVar("T")
 
 
@@ -54,26 +55,26 @@
     """Value of `list/HEAD`: what a member that polls the service last received."""
 
     form: int
-    at: Mark  # identifies the service and the settings by which its lines are read
+    at: Digest  # identifies the service and the settings by which its lines are read
     run: int  # identifies the process
     beat: int  # increases with each head of a run
     version: int
-    digest: Mark
-    # milliseconds from the service's last answer with this version to this head; NEVER if there was none
+    digest: Digest
+    # Milliseconds from the service's last answer with this version to this head; NEVER if there was none
     age: int
     failing: bool = False  # whether its last calls failed
-    past: Annotated[list[tuple[int, Mark]], msgspec.Meta(max_length=64)] = []
+    past: Annotated[list[tuple[int, Digest]], msgspec.Meta(max_length=64)] = []
     since: int = 0  # `delta` holds all changes after this version
-    delta: Annotated[list[tuple[Id, Text]], msgspec.Meta(max_length=256)] = []
+    delta: Annotated[list[tuple[EndpointId, LineBytes]], msgspec.Meta(max_length=256)] = []
 
 
 class Set(msgspec.Struct, array_like=True, frozen=True):
     """Value of `list/SET`: the whole list that this member's chunks `list/0`, `list/1` ... make up."""
 
     form: int
-    at: Mark
+    at: Digest
     version: int
-    digest: Mark
+    digest: Digest
     chunks: int
 
 
@@ -82,7 +83,7 @@
 
     form: int
     chunks: int
-    lines: Annotated[list[tuple[Id, Text]], msgspec.Meta(max_length=256)]
+    lines: Annotated[list[tuple[EndpointId, LineBytes]], msgspec.Meta(max_length=256)]
 
 
 class Line(msgspec.Struct, array_like=True, frozen=True):
@@ -97,22 +98,22 @@
     kind: int = 0
 
 
-def encode(word: Head | Set | Chunk) -> bytes:
+def encode(value: Head | Set | Chunk) -> bytes:
     """Encodes a register's value."""
-    return msgspec.msgpack.encode(word)
+    return msgspec.msgpack.encode(value)
 
 
 def decode(value: bytes, kind: type[T]) -> T:
     """Decodes a register's value. Raises UnreadableList."""
     try:
-        word = msgspec.msgpack.decode(value, type=kind)
+        decoded = msgspec.msgpack.decode(value, type=kind)
     except (msgspec.DecodeError, OverflowError, RecursionError) as fault:
         raise UnreadableList(f"list {kind.__name__.lower()} cannot be decoded: {fault}") from None
-    if getattr(word, "form", VERSION) < VERSION:
+    if getattr(decoded, "form", VERSION) < VERSION:
         raise UnreadableList(
-            f"list {kind.__name__.lower()} has format {getattr(word, 'form', 0)}; expected {VERSION} or later"
+            f"list {kind.__name__.lower()}: format {getattr(decoded, 'form', 0)}; expected {VERSION} or later"
         )
-    return word
+    return decoded
 
 
 # Lines.
@@ -125,7 +126,7 @@
     """
     started = None if line.started_at is None else line.started_at - clock_offset
     if started is not None and abs(started - round(started, 3)) < 1e-5:
-        # as the service reported it: subtracting the offset changes its last digits
+        # As the service reported it: subtracting the offset changes its last digits
         started = round(started, 3)
     data = msgspec.msgpack.encode(
         Line(
@@ -133,28 +134,28 @@
             line.cell,
             line.zone,
             line.weight,
-            STATES[line.status],
+            STATE_CODES[line.status],
             started,
             line.machine_kind,
         )
     )
-    if len(data) + len(line.id.encode()) > MOST_LINE:
-        raise TooLarge(f"list line of endpoint {line.id!r:.40} exceeds {MOST_LINE} bytes")
+    if len(data) + len(line.id.encode()) > MAX_LINE_BYTES:
+        raise TooLarge(f"list line of endpoint {line.id!r:.40} exceeds {MAX_LINE_BYTES} bytes")
     return data
 
 
-def decode_line(id: str, data: bytes, clock_offset: float) -> tuple[ListedEndpoint, Address | None]:
+def decode_line(endpoint_id: str, data: bytes, clock_offset: float) -> tuple[ListedEndpoint, Address | None]:
     """Decodes an endpoint; see `encode_line` for the offset. Raises UnreadableList."""
     line = decode(data, Line)
     try:
         if not math.isfinite(line.share) or not math.isfinite(line.started or 0.0):
             raise ValueError(f"share {line.share} and start {line.started} must be finite")
         return ListedEndpoint(
-            id,
+            endpoint_id,
             line.cell,
             line.zone,
             line.share,
-            READ[line.state],
+            STATUS_BY_CODE[line.state],
             None if line.started is None else line.started + clock_offset,
             line.kind,
         ), parse_address(line.address) if line.address else None
@@ -167,7 +168,7 @@
     count = 0
     for data in lines.values():
         with contextlib.suppress(UnreadableList):
-            count += decode(data, Line).state == STATES[EndpointStatus.READY]
+            count += decode(data, Line).state == STATE_CODES[EndpointStatus.READY]
     return count
 
 
@@ -176,42 +177,44 @@
 
 def mark(*parts: object) -> bytes:
     """Returns a digest that identifies these values."""
-    return hashlib.blake2b(repr(parts).encode(), digest_size=MARK).digest()
+    return hashlib.blake2b(repr(parts).encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def digest(lines: Lines) -> bytes:
     """Returns the digest of a list, the same at all members."""
-    found = hashlib.blake2b(digest_size=MARK)
-    for id in sorted(lines):
-        found.update(id.encode() + b"\0%d:" % len(lines[id]) + lines[id])
-    return found.digest()
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    for endpoint_id in sorted(lines):
+        hasher.update(endpoint_id.encode() + b"\0%d:" % len(lines[endpoint_id]) + lines[endpoint_id])
+    return hasher.digest()
 
 
-def split(lines: Lines) -> list[bytes]:
+def split_chunks(lines: Lines) -> list[bytes]:
     """Encodes a list in chunks. Raises TooLarge.
 
     Their number is the smallest power of two that fits. Each line's chunk is chosen by the hash of its id, so
     that a change affects one chunk only.
     """
-    places = {id: zlib.crc32(id.encode()) for id in lines}
-    needs = {id: len(data) + len(id.encode()) + 9 for id, data in lines.items()}
+    line_hashes = {endpoint_id: zlib.crc32(endpoint_id.encode()) for endpoint_id in lines}
+    line_sizes = {
+        endpoint_id: len(data) + len(endpoint_id.encode()) + 9 for endpoint_id, data in lines.items()
+    }
     count = 1
     while True:
         sizes = [16] * count
-        for id, place in places.items():
-            sizes[place % count] += needs[id]
-        if max(sizes) <= CHUNK:
+        for endpoint_id, line_hash in line_hashes.items():
+            sizes[line_hash % count] += line_sizes[endpoint_id]
+        if max(sizes) <= MAX_CHUNK_BYTES:
             break
         count *= 2
-        if count > MOST_CHUNKS:
-            raise TooLarge(f"list of {len(lines)} lines needs over {MOST_CHUNKS} registers")
+        if count > MAX_CHUNKS:
+            raise TooLarge(f"list of {len(lines)} lines needs over {MAX_CHUNKS} registers")
     parts: list[list[tuple[str, bytes]]] = [[] for _ in range(count)]
-    for id in sorted(lines):
-        parts[places[id] % count].append((id, lines[id]))
+    for endpoint_id in sorted(lines):
+        parts[line_hashes[endpoint_id] % count].append((endpoint_id, lines[endpoint_id]))
     return [encode(Chunk(VERSION, count, part)) for part in parts]
 
 
-def joined(told: Set, chunks: Sequence[bytes]) -> dict[str, bytes] | None:
+def join_chunks(told: Set, chunks: Sequence[bytes]) -> dict[str, bytes] | None:
     """Returns the list in these chunks, None if its digest is not the reported one. Raises UnreadableList."""
     lines: dict[str, bytes] = {}
     for value in chunks:
@@ -226,8 +229,8 @@
 
 def changed(lines: Lines, delta: Sequence[tuple[str, bytes]]) -> dict[str, bytes]:
     """Returns the list after these changes."""
-    new = {**lines, **dict(delta)}
-    return {id: data for id, data in new.items() if data}
+    updated = {**lines, **dict(delta)}
+    return {endpoint_id: data for endpoint_id, data in updated.items() if data}
 
 
 def chunk_name(number: int) -> str:
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -15,12 +15,12 @@
 from rainspindle.balancer.host import AttemptOutcome
 from rainspindle.balancer.key_popularity import own_share
 from rainspindle.decisions.evidence.evidence import (
-    KEY_APART,
-    KEY_GAP,
-    QUIET,
-    SPARED_BY_ONE,
+    ENOUGH_REPORTERS,
+    KEY_GAP_JITTER,
+    MAX_KEY_GAP,
+    MAX_POSTPONED_BY_ONE,
     TRIAL_DELAY,
-    TRIAL_DRAW,
+    TRIAL_SPREAD,
     Evidence,
 )
 from rainspindle.decisions.evidence.watch import Watch, Watches
@@ -29,7 +29,7 @@
 from rainspindle.lab.word_bytes import cost
 from rainspindle.program.fleet.config import unfit
 from rainspindle.protocol.evidence import (
-    MOST_BYTES,
+    MAX_BYTES,
     Out,
     Told,
     UnreadableEvidence,
@@ -81,7 +81,7 @@
         return [(MARK, 2)]
 
     def tell(self, now: float, told: Told) -> None:
-        assert len(encode_told(told)) <= MOST_BYTES
+        assert len(encode_told(told)) <= MAX_BYTES
         self.written.append(told)
 
     def hear(
@@ -126,7 +126,7 @@
         stage.hear(1.0, who + "old", dead(tried=20.0))
         stage.hear(1.0, who + "late", dead(), wall=-20.0)  # written long ago, and only now here
     assert not stage.warned
-    stage.evidence.tripped(1.0, MARK, START, True)
+    stage.evidence.on_ejected(1.0, MARK, START, True)
     assert not stage.plans
 
 
@@ -146,7 +146,7 @@
     assert not stage.warned
     # But where this one holds them out as well, they are heard: it is no worse a way than its own.
     for mark in range(100, 116):
-        stage.evidence.tripped(1.0, mark, START, True)
+        stage.evidence.on_ejected(1.0, mark, START, True)
     for who in "abc":
         stage.hear(1.1, who, *(Out(mark, START, 0.0, True) for mark in range(16)), outs=20)
     assert sum(stage.warned.values()) == 5, "a quarter of the endpoints at most"
@@ -157,7 +157,7 @@
 
 def test_anothers_failed_trial_puts_the_own_one_off_and_an_answered_one_hastens_it() -> None:
     stage = Stage()
-    stage.evidence.tripped(0.0, MARK, START, True)
+    stage.evidence.on_ejected(0.0, MARK, START, True)
     stage.hear(4.0, "b", dead(trying=True))
     assert stage.plans[-1][1] >= 4.0 + TRIAL_DELAY
     stage.hear(4.3, "b", dead())
@@ -188,33 +188,35 @@
 ) -> None:
     """Whatever one member tells, and however often: no warning, a bounded delay, one trial more in a trip."""
     stage = Stage(members)
-    stage.evidence.tripped(0.0, MARK, START, True)
+    stage.evidence.on_ejected(0.0, MARK, START, True)
     now = 0.0
     for gap, tried, served, trying, outs in lies:
         now += gap
-        if now >= stage.evidence.own[MARK].due:
+        if now >= stage.evidence.ejections[MARK].due:
             break  # the module sends it with the next exchange
         stage.hear(now, "liar", dead(tried, served=tried if served else -1.0, trying=trying), outs=outs)
         stage.evidence.tick(now)
-    draw = TRIAL_DRAW * 8.3  # ln(4000)
+    draw = TRIAL_SPREAD * 8.3  # ln(4000)
     assert not any(stage.warned.values())
-    assert stage.evidence.own[MARK].due <= TRIAL_DELAY + SPARED_BY_ONE * (TRIAL_DELAY + 1.0 + draw)
+    assert stage.evidence.ejections[MARK].due <= TRIAL_DELAY + MAX_POSTPONED_BY_ONE * (
+        TRIAL_DELAY + 1.0 + draw
+    )
     assert stage.evidence.counts["hastened"] <= 1
 
 
 @pytest.mark.parametrize("gap", [0.3, 0.99, 1.01, 4.0])
 def test_a_liar_that_never_rests_keeps_no_endpoint_out(gap: float) -> None:
     stage, now = Stage(members=2000), 0.0
-    stage.evidence.tripped(0.0, MARK, START, True)
-    while now < min(stage.evidence.own[MARK].due, 200.0):
+    stage.evidence.on_ejected(0.0, MARK, START, True)
+    while now < min(stage.evidence.ejections[MARK].due, 200.0):
         now += gap
         stage.hear(now, "liar", dead())
-    assert now < TRIAL_DELAY + SPARED_BY_ONE * (TRIAL_DELAY + 1.0 + TRIAL_DRAW * 7.7)
+    assert now < TRIAL_DELAY + MAX_POSTPONED_BY_ONE * (TRIAL_DELAY + 1.0 + TRIAL_SPREAD * 7.7)
     for turn in range(8):  # nor has it tried for ever: the second time it is not believed
         now += 2.0
         stage.hear(now, "liar", dead(served=0.0))
-        stage.evidence.trying(now, MARK)
-        stage.evidence.failed(now + 0.1, MARK)
+        stage.evidence.on_trial_sent(now, MARK)
+        stage.evidence.on_trial_failed(now + 0.1, MARK)
         assert stage.evidence.counts["hastened"] <= 1, turn
 
 
@@ -222,12 +224,12 @@
     later = 0
     for seed in range(20):
         stage = Stage(members=100, seed=seed)
-        stage.evidence.tripped(0.0, MARK, START, True)
-        stage.evidence.failed(6.0, MARK)
+        stage.evidence.on_ejected(0.0, MARK, START, True)
+        stage.evidence.on_trial_failed(6.0, MARK)
         assert not stage.plans, "alone: as the module has it"
         stage.hear(6.5, "b", dead())
         stage.plans.clear()
-        stage.evidence.failed(12.0, MARK)
+        stage.evidence.on_trial_failed(12.0, MARK)
         later += any(due > 12.0 + TRIAL_DELAY + 0.5 for _, due in stage.plans)
     assert later >= 15
 
@@ -237,7 +239,7 @@
     stages = [Stage(members, seed=n) for n in range(members)]
     due: list[float] = []
     for n, stage in enumerate(stages):
-        stage.evidence.tripped(n / members, MARK, START, True)
+        stage.evidence.on_ejected(n / members, MARK, START, True)
         due.append(n / members + TRIAL_DELAY)
     coming: list[tuple[float, int, Told]] = []
     trials = cells = 0
@@ -254,8 +256,8 @@
                 stage.plans.clear()
             if now >= due[n]:
                 trials += 1
-                stage.evidence.trying(now, MARK)
-                stage.evidence.failed(now, MARK)
+                stage.evidence.on_trial_sent(now, MARK)
+                stage.evidence.on_trial_failed(now, MARK)
                 due[n] = stage.plans.pop()[1] if stage.plans else now + TRIAL_DELAY
                 stage.plans.clear()
             stage.evidence.tick(now)
@@ -278,12 +280,12 @@
 
 def test_what_enough_have_told_is_told_no_more() -> None:
     stage = Stage(members=1)
-    for n in range(QUIET):
+    for n in range(ENOUGH_REPORTERS):
         stage.hear(1.0, f"m{n}", dead())
-    stage.evidence.tripped(1.1, MARK, START, True)
+    stage.evidence.on_ejected(1.1, MARK, START, True)
     stage.evidence.tick(1.1)
     assert not stage.written and stage.evidence.counts["kept_quiet"] == 1
-    stage.evidence.failed(7.0, MARK)  # an own trial is news
+    stage.evidence.on_trial_failed(7.0, MARK)  # an own trial is news
     stage.evidence.tick(7.0)
     assert [out.mark for out in stage.written[-1].out] == [MARK]
 
@@ -297,10 +299,10 @@
         stage.hear(0.5, f"m{n}", total=5, keys=[(1, 1), (100 + n, 1)])
     stage.hear(0.5, "liar", total=10**9, keys=[(2, 10**9), (1, -5)])
     stage.evidence.tick(1.2)
-    assert set(stage.evidence.shares) == {1}
-    assert 0.14 < stage.evidence.shares[1] <= 0.2, "the liar weighs as three do"
+    assert set(stage.evidence.hot_key_shares) == {1}
+    assert 0.14 < stage.evidence.hot_key_shares[1] <= 0.2, "the liar weighs as three do"
     stage.evidence.tick(40.0)
-    assert not stage.evidence.shares, "old counts tell nothing"
+    assert not stage.evidence.hot_key_shares, "old counts tell nothing"
 
 
 def test_only_the_first_tell_keys_and_the_more_seldom_the_longer() -> None:
@@ -315,7 +317,7 @@
             stage.written.clear()
             now += 0.25
         assert wrote[0] <= 1.5 and len(wrote) < 25
-        assert wrote[-1] - wrote[-2] >= (1 - KEY_APART) * KEY_GAP - 0.5
+        assert wrote[-1] - wrote[-2] >= (1 - KEY_GAP_JITTER) * MAX_KEY_GAP - 0.5
         last.append(int(wrote[-1]))
     assert max(last.count(second) for second in last) <= 8
     stage.place = 5000
@@ -400,7 +402,7 @@
     for who, n, served, trying, outs in words:
         side.hear((who, item(f"e{n}", served=0.0 if served else -1.0, trying=trying)), outs=outs)
         side.ask(2, 0.3)
-    assert not side.out() and not side.evidence.own
+    assert not side.out() and not side.evidence.ejections
 
 
 def test_a_warned_endpoint_is_out_by_one_own_failure_and_all_wrong_at_once_heal() -> None:
@@ -417,7 +419,7 @@
         side.ask(200, 0.1)
     side.ask(200, 0.1)
     assert not side.out(), "the trials go on, and one that is answered brings it back"
-    assert not side.evidence.own and side.written[-1].outs == 0
+    assert not side.evidence.ejections and side.written[-1].outs == 0
 
 
 def test_without_word_the_same_failures_leave_the_module_as_it_was() -> None:
@@ -465,7 +467,7 @@
     side.fleet.tell([line(1, started=side.fleet.now, zone=0)])
     side.hear(*((who, item("e1")) for who in "abcd"))
     side.ask(1)
-    assert not side.out() and not side.evidence.own and not side.evidence.warned
+    assert not side.out() and not side.evidence.ejections and not side.evidence.warned
     assert side.fleet.balancer.registry.by_id["e1"].is_suspected is False
 
 
@@ -476,7 +478,7 @@
     told.breaker.trial_due = True
     side.fleet.balancer.registry.active.update({kept: None, told: None})
     side.look(side.fleet.now)
-    assert len(side.evidence.own) == 2
+    assert len(side.evidence.ejections) == 2
     side.evidence.tick(side.fleet.now + 1.0)
     assert not any(word.out for word in side.written)
     side.fails = {"e1"}
@@ -522,7 +524,7 @@
         [(2**64 - n, 9) for n in range(1, 90)],
         [(MARK, 1)],
     )
-    assert len(encode_told(full)) <= MOST_BYTES
+    assert len(encode_told(full)) <= MAX_BYTES
     with pytest.raises(UnreadableEvidence):
         decode_told(b"\x91\x01")
 
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("moved_at", [3.0, 8.53, 8.56, 8.6])
 def test_a_move_ends_what_spares_a_call(followed: Followed, moved_at: float) -> None:
     """Also in the rest after an answer with nothing: the watch of 8.5 s is answered at 8.53 s."""
-    followed.follower.spared = lambda: START + (100.0 if followed.loop.time > START + 1.0 else 0.0)
+    followed.follower.deferred_until = lambda: START + (100.0 if followed.loop.time > START + 1.0 else 0.0)
     followed.new.draining = True
     followed.at(moved_at, followed.move)
     followed.run(moved_at + 0.06)
@@ -183,7 +183,7 @@
     followed.callers.descriptors = True
     back_at = followed.loop.time
     followed.run(free_at + 6.0)
-    assert followed.keeper.told_at - back_at < Follower.PAUSE + 0.1
+    assert followed.keeper.told_at - back_at < Follower.MAX_PAUSE + 0.1
 
 
 # Lists.
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -143,7 +143,7 @@
                 "too high": {"version": far, "delta": gone},
                 "one ahead": {"version": far, "delta": gone},
                 "wrong changes": {"delta": gone},
-                "wrong digest": {"digest": b"x" * codec.MARK},
+                "wrong digest": {"digest": b"x" * codec.DIGEST_BYTES},
                 "never old": {"age": 0, "failing": False},
                 "unreadable": {},
                 "wrong chunk": {},
@@ -438,7 +438,10 @@
         relay.heard(now, owner, head, now if came < stop_until else min(held, now))
         assert before is not None and relay.version is not None and relay.version >= before
         after_three = relay.failed_at > relay.answered_at and relay.failing_at < math.inf
-        if relay.spared(now) > max(now, relay.startup_wait_until(), LAST_CALL_FRACTION * WITHIN) and not after_three:
+        if (
+            relay.spared(now) > max(now, relay.startup_wait_until(), LAST_CALL_FRACTION * WITHIN)
+            and not after_three
+        ):
             assert relay.version >= at_service(relay.spared(now) - LAST_CALL_FRACTION * WITHIN - 0.01)
             assert relay.spared(now) <= relay.confirmed + LAST_CALL_FRACTION * WITHIN
         if chance.random() < 0.02:
@@ -475,14 +478,14 @@
 def test_a_list_is_the_same_from_its_chunks_and_nothing_else_is(
     lines: dict[str, bytes], chance: random.Random
 ) -> None:
-    chunks = codec.split(lines)
+    chunks = codec.split_chunks(lines)
     told = codec.Set(1, AT, 3, codec.digest(lines), len(chunks))
-    assert codec.joined(told, chunks) == lines
+    assert codec.join_chunks(told, chunks) == lines
     assert all(len(chunk) <= 900 for chunk in chunks)
     if lines:
         id = chance.choice(sorted(lines))
-        assert codec.joined(told, codec.split({**lines, id: lines[id] + b"x"})) is None
-        moved = codec.split(dict(lines) | {id: lines[id][:-1] or b"y"})
+        assert codec.join_chunks(told, codec.split_chunks({**lines, id: lines[id] + b"x"})) is None
+        moved = codec.split_chunks(dict(lines) | {id: lines[id][:-1] or b"y"})
         assert len(moved) != len(chunks) or sum(a != b for a, b in zip(moved, chunks, strict=True)) <= 1
 
 
@@ -537,7 +540,7 @@
         rig.decoder.decode({"generation": 41, "reset": True, "instances": [entry("e0", rig.stands[0].port)]}),
     )
     until, failed = [rig.loop.now() + 5.0], list[float]()
-    follower.spared, follower.failed = lambda: until[0], lambda: failed.append(rig.loop.now())
+    follower.deferred_until, follower.failed = lambda: until[0], lambda: failed.append(rig.loop.now())
     follower.core = rig.core
     follower.want()
     rig.wait(4.0)
@@ -545,7 +548,7 @@
     drains = rig.decoder.decode(
         {"generation": 43, "reset": False, "instances": [entry("e0", rig.stands[0].port, "DRAINING")]}
     )
-    follower.take(drains)
+    follower.apply_report(drains)
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
     rig.wait(1.1)
     call = only(rig.got())
@@ -557,7 +560,7 @@
     )
     again.tell(44, True, entry("e0", rig.stands[0].port, "DRAINING"), entry("e9", 9))
     assert "index=44" in only(rig.got()).target and "e9" in rig.balancer.registry.by_id
-    follower.anew()
+    follower.restart_call()
     call = only(rig.got())
     assert "index=44" in call.target, "asked anew, as it was asked"
     call.reset()
--- a/tests/test_told_within.py
+++ b/tests/test_told_within.py
@@ -86,7 +86,9 @@
         follower, _ = callers.follower(HERE, ask_within)
         callers.loop.end()
     assert (
-        max(Follower.RETRY_PERIOD, Follower.CONNECT + Follower.PAUSE) + Follower.AGAIN + Follower.CONNECT
+        max(Follower.RETRY_PERIOD, Follower.CONNECT_TIMEOUT + Follower.MAX_PAUSE)
+        + Follower.AGAIN
+        + Follower.CONNECT_TIMEOUT
         == Follower.UNREACHED
     )
     assert Follower.UNREACHED + Follower.ANSWER_TIME == Follower.TOLD_WITHIN == TOLD_WITHIN
@@ -126,7 +128,7 @@
     check(
         Outage(away, gone_at, seconds, anew=True, connecting=connecting)
         for gone_at in (1.005, 2.5)
-        for connecting in (LATENCY, 0.95 * Follower.CONNECT)
+        for connecting in (LATENCY, 0.95 * Follower.CONNECT_TIMEOUT)
         for seconds in steps(0.1, 14.0)
     )
 
