--- a/rainspindle/balancer/attempt_recorder.py
+++ b/rainspindle/balancer/attempt_recorder.py
@@ -63,9 +63,8 @@
             self.latency.overall.add(attempt.request.traffic_class.latency_objective)
         elif outcome is AttemptOutcome.TIMED_OUT and not self._was_overtaken(attempt):
             endpoint.shrink_window(now, attempt.sent_at)
-            self._record_time(
-                endpoint, now - attempt.sent_at, now
-            )  # else only fast responses would be counted
+            # Else only fast responses would be counted.
+            self._record_time(endpoint, now - attempt.sent_at, now)
         # A time-out of a long request does not count against an endpoint that has answered others since.
         is_healthy = outcome is AttemptOutcome.TIMED_OUT and endpoint.last_response_at > attempt.sent_at
         if attempt.trial:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""What all sidecars together send a cold endpoint stays within N + 2 x root of N + 2, at fixed seeds."""
+"""All sidecars together send a warming endpoint at most N + 2 * sqrt(N) + 2 attempts, at fixed seeds."""
 
 from __future__ import annotations
 
@@ -31,32 +31,34 @@
 
 @pytest.mark.parametrize("sidecars", [2, 5, 20, 30])
 @pytest.mark.parametrize("name", CASES)
-def test_all_sidecars_together_keep_the_bound_of_a_cold_endpoint(name: str, sidecars: int) -> None:
+def test_all_sidecars_together_keep_the_limit_of_a_warming_endpoint(name: str, sidecars: int) -> None:
     peak = play(replace(CASES[name], sidecars=sidecars), 1)
-    assert peak.used > 0.02, "the endpoints were not used: nothing is shown"
+    assert peak.used > 0.02, "the endpoints were not used: the test shows nothing"
     assert peak.over_bound <= 1.0 and not peak.passed, peak
 
 
 @pytest.mark.parametrize("sidecars", [5, 30])
-def test_a_large_budget_is_kept_too(sidecars: int) -> None:
+def test_a_large_limit_is_kept_too(sidecars: int) -> None:
     peak = play(replace(LARGE, sidecars=sidecars, burst=3.0, speed=0.6, known_gain=0.75), 1)
     assert peak.used > 0.1 and peak.over_bound <= 1.0, peak
 
 
 @pytest.mark.parametrize("sidecars", [2, 5, 20, 30])
-def test_an_endpoint_that_returns_cold_under_its_id_falls_by_none_that_were_told(sidecars: int) -> None:
-    """Sidecars that have not been told take it for a warm one: what they send may pass the bound."""
+def test_sidecars_that_know_of_a_restart_under_the_same_id_do_not_overload_the_endpoint(
+    sidecars: int,
+) -> None:
+    """Sidecars that do not know of the restart take the endpoint for warm: they may exceed the limit."""
     peak = play(replace(MIDDLE, sidecars=sidecars, returning=True, told_within=6.0, burst=3.0), 1)
     assert peak.used > 0.02 and not peak.broken, peak
 
 
-# All that raises the count at once: known keys make warm ones answer more, and the starting ones are slow.
+# All that raises the count at once: warm endpoints answer known keys faster, and starting ones are slow.
 TIGHT = replace(SMALL, burst=5.0, speed=0.6, known_gain=0.9, lengths=0.2)
 
 
 @pytest.mark.parametrize("sidecars, seed", [(2, 2), (20, 3), (30, 1)])
 @pytest.mark.parametrize("planted", [None, 1.0])
-def test_the_margin_keeps_the_bound_where_it_is_tight_and_a_larger_one_does_not(
+def test_the_safety_margin_keeps_a_tight_limit_and_a_larger_one_does_not(
     planted: float | None, sidecars: int, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if planted:
@@ -69,10 +71,10 @@
 @pytest.mark.parametrize(
     "name, seed", [("threefold burst, known keys, slow endpoints", 4), ("silence, then a threefold burst", 4)]
 )
-def test_a_restarted_sidecar_begins_with_nothing_learnt(
+def test_a_restarted_sidecar_starts_without_a_warm_rate(
     name: str, seed: int, planted: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The planted fault: a new process takes all that an endpoint can answer for its own part of that."""
+    """The planted fault: a new process takes the whole rate of an endpoint for its own share of it."""
     start = Sidecar.start
 
     def start_with_the_whole_rate(self: Sidecar, now: float) -> None:
@@ -86,5 +88,5 @@
     assert (peak.broken > 0) == planted, peak
 
 
-def test_one_seed_gives_one_play() -> None:
+def test_the_same_seed_gives_the_same_result() -> None:
     assert play(SMALL, 1) == play(SMALL, 1) != play(SMALL, 2)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,8 +1,8 @@
-"""Histories from fixed seeds are the same, act by act, as before the code was renamed and cut into modules.
+"""Runs from fixed seeds are the same, action by action, as before the code was renamed and split.
 
-Each test plays a model in virtual time and compares a digest of all that its parts did with a recorded one.
-Log lines are left out, since their wording may change. A digest changes only together with a decision: then
-the new one is recorded in the commit that changes it, with the reason.
+Each test runs a model in virtual time and compares a digest of all actions with a recorded one. Log lines
+are excluded, since their wording may change. A digest changes only with a decision: then the commit that
+changes it records the new one, with the reason.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Digest:
-    """A digest of values in the order in which they come."""
+    """A digest of values in the order in which they are added."""
 
     def __init__(self) -> None:
         self.hash = hashlib.sha256()
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def written(monkeypatch: pytest.MonkeyPatch) -> Iterator[Digest]:
-    """A digest of every register value that any member writes."""
+    """Returns a digest of every register value that any member writes."""
     digest, write = Digest(), RegisterStore.write
 
     def recorded(self: RegisterStore, now: float, name: str, value: bytes, *args: Any, **named: Any) -> Any:
@@ -60,7 +60,7 @@
     yield digest
 
 
-# The decision module, through the simulator's wire.
+# The balancer, through the simulator's protocol.
 
 READY, DRAINING, GONE = 2, 1, 0
 FULL_LIST, FAILED_LIST, CHANGED_LIST = 2, 1, 3
@@ -93,14 +93,14 @@
 
 
 class DecisionWorld:
-    """Three sidecars, the endpoints, clients and list that they meet, in milliseconds of virtual time."""
+    """Three sidecars with their endpoints, clients and endpoint list, in milliseconds of virtual time."""
 
     ENDPOINTS, END = 12, 90_000.0
 
     def __init__(self, settings: Message, seed: int, gap: float) -> None:
         self.settings, self.random, self.gap = settings, random.Random(seed), gap
-        self.adapter, self.digest, self.acts = Adapter(), Digest(), Counter[str]()
-        self.now, self.order = 0.0, itertools.count()
+        self.adapter, self.digest, self.actions = Adapter(), Digest(), Counter[str]()
+        self.now, self.serial = 0.0, itertools.count()
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.names = ["s0", "s1", "s2"]
         self.attempts: dict[tuple[str, int, int], str] = {}
@@ -120,56 +120,56 @@
             for n in range(self.ENDPOINTS)
         ]
 
-    def after(self, delay: float, do: Callable[[], None]) -> None:
-        heapq.heappush(self.due, (self.now + delay, next(self.order), do))
+    def schedule(self, delay: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.due, (self.now + delay, next(self.serial), callback))
 
-    def play(self) -> str:
+    def run(self) -> str:
         for name in self.names:
             self.send("Hello", name, salt=7 + int(name[1]), settings=self.settings)
-            self.list_told(name)
-            self.after(self.random.random() * 50, lambda name=name: self.arrive(name))  # type: ignore[misc]
+            self.send_list(name)
+            self.schedule(self.random.random() * 50, lambda name=name: self.arrive(name))  # type: ignore[misc]
         for at, change in (
             (12_000, self.restart),
             (25_000, self.drain),
             (40_000, self.replace),
-            (60_000, self.lose_list),
+            (60_000, self.fail_list),
             (70_000, self.restart),
         ):
-            self.after(at, change)
+            self.schedule(at, change)
         while self.due and self.due[0][0] <= self.END:
-            self.now, _, do = heapq.heappop(self.due)
-            do()
+            self.now, _, callback = heapq.heappop(self.due)
+            callback()
         return str(self.digest)
 
     def send(self, event: str, name: str = "", **fields: Any) -> None:
         message = {"event_type": event, **({"sidecar-id": name} if name else {}), **fields}
-        for act in orjson.loads(self.adapter.batch(orjson.dumps({"now": self.now, "msgs": [message]})))[
+        for action in orjson.loads(self.adapter.batch(orjson.dumps({"now": self.now, "msgs": [message]})))[
             "outbox"
         ]:
-            self.acts[act["event_type"]] += 1
-            if act["event_type"] != "Log":
-                self.digest.add(self.now, sorted(act.items()))
-                self.act(act["sidecar-id"], act)
+            self.actions[action["event_type"]] += 1
+            if action["event_type"] != "Log":
+                self.digest.add(self.now, sorted(action.items()))
+                self.handle_action(action["sidecar-id"], action)
 
-    def act(self, name: str, act: Message) -> None:
-        match act["event_type"]:
+    def handle_action(self, name: str, action: Message) -> None:
+        match action["event_type"]:
             case "Try":
-                self.attempt(name, act)
+                self.attempt(name, action)
             case "Bounce" | "FinishError":
-                self.open.discard((name, act["corr"]))
+                self.open.discard((name, action["corr"]))
             case "Retract":
-                self.after(0.5, lambda: self.end(name, act["corr"], act["try"], "X"))
+                self.schedule(0.5, lambda: self.end(name, action["corr"], action["try"], "X"))
             case "NotifyMe":
-                self.after(act["wait"], lambda: self.send("DeadlineHit", name, ctx=act["ctx"]))
+                self.schedule(action["wait"], lambda: self.send("DeadlineHit", name, ctx=action["ctx"]))
             case "Tail" if self.now > 0:
-                self.after(200.0, lambda: self.list_told(name))
+                self.schedule(200.0, lambda: self.send_list(name))
             case "Share":
                 for other in self.names:
                     if other != name and self.random.random() > 0.05:
-                        self.after(
+                        self.schedule(
                             1.0,
                             lambda other=other: self.send(  # type: ignore[misc]
-                                "Memo", other, who=name, payload=act["payload"]
+                                "Memo", other, who=name, payload=action["payload"]
                             ),
                         )
 
@@ -177,7 +177,7 @@
 
     def arrive(self, name: str) -> None:
         burst = 0.4 if 30_000 < self.now < 36_000 else 1.0
-        self.after(self.random.expovariate(1 / (self.gap * burst)), lambda: self.arrive(name))
+        self.schedule(self.random.expovariate(1 / (self.gap * burst)), lambda: self.arrive(name))
         request, draw = next(self.requests), self.random.random
         key = f"k{min(int(self.random.paretovariate(0.9)), 60)}" if draw() < 0.9 else None
         lane = self.random.choice([0, 0, 0, 1, 2, 2])
@@ -192,7 +192,7 @@
             billing=self.random.choice([0, 0, 1, None]),
         )
         if draw() < 0.03:
-            self.after(draw() * 200, lambda: self.leave(name, request))
+            self.schedule(draw() * 200, lambda: self.leave(name, request))
 
     def leave(self, name: str, request: int) -> None:
         if (name, request) in self.open:
@@ -201,60 +201,60 @@
 
     # Endpoints.
 
-    def attempt(self, name: str, act: Message) -> None:
-        request, endpoint = act["corr"], act["endpoint"]
+    def attempt(self, name: str, action: Message) -> None:
+        request, endpoint = action["corr"], action["endpoint"]
         number = self.counts.get((name, request), 0)
         self.counts[name, request] = number + 1
         self.attempts[name, request, number] = endpoint
         self.load[endpoint] += 1
-        bad = endpoint in ("e3", "e7") and 5_000 < self.now % 30_000 < 14_000
-        silent = endpoint == "e5" and 18_000 < self.now < 24_000
-        took = (
+        is_failing = endpoint in ("e3", "e7") and 5_000 < self.now % 30_000 < 14_000
+        is_silent = endpoint == "e5" and 18_000 < self.now < 24_000
+        duration = (
             self.random.lognormvariate(3.4, 0.5)
             * (1 + int(endpoint[1:]) % 3)
             * (1 + 0.25 * self.load[endpoint])
         )
-        how = self.random.choice("EFCRN") if self.random.random() < (0.7 if bad else 0.01) else "S"
-        if silent or took > act["patience"]:
-            took, how = act["patience"], "T"
-        if how == "S" and self.random.random() < 0.05:
-            self.after(took, lambda: self.flow(name, request, number, took))
-            took += 80.0
-        self.after(took, lambda: self.end(name, request, number, how))
-
-    def flow(self, name: str, request: int, number: int, took: float) -> None:
+        outcome = self.random.choice("EFCRN") if self.random.random() < (0.7 if is_failing else 0.01) else "S"
+        if is_silent or duration > action["patience"]:
+            duration, outcome = action["patience"], "T"
+        if outcome == "S" and self.random.random() < 0.05:
+            self.schedule(duration, lambda: self.start_response(name, request, number, duration))
+            duration += 80.0
+        self.schedule(duration, lambda: self.end(name, request, number, outcome))
+
+    def start_response(self, name: str, request: int, number: int, duration: float) -> None:
         if (name, request, number) in self.attempts:
-            self.send("Flowing", name, corr=request, duration=took, **{"try": number})
+            self.send("Flowing", name, corr=request, duration=duration, **{"try": number})
 
-    def end(self, name: str, request: int, number: int, how: str) -> None:
+    def end(self, name: str, request: int, number: int, outcome: str) -> None:
         endpoint = self.attempts.pop((name, request, number), None)
         if endpoint is None:
             return
         self.load[endpoint] -= 1
-        if how == "S":
+        if outcome == "S":
             self.open.discard((name, request))
-        over = (name, request) not in self.open
-        self.send("Verdict", name, corr=request, over=over, how=how, **{"try": number})
+        is_closed = (name, request) not in self.open
+        self.send("Verdict", name, corr=request, over=is_closed, how=outcome, **{"try": number})
 
     # The list.
 
-    def list_told(self, name: str, mode: int = FULL_LIST) -> None:
+    def send_list(self, name: str, mode: int = FULL_LIST) -> None:
         self.send("Roster", page=1, lines=self.lines)
         self.send("RosterChange", name, mode=mode, page=1)
 
-    def changed(self) -> None:
+    def send_list_to_all(self) -> None:
         for name in self.names:
-            self.list_told(name)
+            self.send_list(name)
 
     def restart(self) -> None:
         for line in self.lines[1:4]:
             line.update({"start-time": self.now, "mode": READY})
-        self.changed()
+        self.send_list_to_all()
 
     def drain(self) -> None:
         self.lines[8]["mode"] = DRAINING
         self.lines[9]["mode"] = GONE
-        self.changed()
+        self.send_list_to_all()
 
     def replace(self) -> None:
         self.lines[6:] = [
@@ -271,9 +271,9 @@
         ]
         for line in self.lines[6:]:
             line["endpoint"] = f"e{int(line['endpoint'][1:]) + 20}"
-        self.changed()
+        self.send_list_to_all()
 
-    def lose_list(self) -> None:
+    def fail_list(self) -> None:
         for name in self.names:
             self.send("RosterChange", name, mode=FAILED_LIST, page=1)
 
@@ -287,10 +287,12 @@
         pytest.param(PLAIN, 3, 60.0, "7764 9fdc0b1d649681e0", id="plain"),
     ],
 )
-def test_decisions_are_the_same(settings: Message, seed: int, gap: float, recorded: str) -> None:
+def test_balancer_decisions_are_the_same(settings: Message, seed: int, gap: float, recorded: str) -> None:
     world = DecisionWorld(settings, seed, gap)
-    assert world.play() == recorded
-    assert min(world.acts[act] for act in ("Try", "Bounce", "FinishError", "NotifyMe", "Log")) > 3, world.acts
+    assert world.run() == recorded
+    assert min(world.actions[action] for action in ("Try", "Bounce", "FinishError", "NotifyMe", "Log")) > 3, (
+        world.actions
+    )
 
 
 # Members, registers, wallets, canaries and the list, in the lab's virtual time.
@@ -325,7 +327,7 @@
 
 
 def test_a_mass_failure_among_members_is_the_same() -> None:
-    """Suspicions by hearsay run out where those who had them first are killed too."""
+    """Suspicions from gossip expire though the members that had them first are killed too."""
     world, digest = World(8), Digest()
     carry = world.carry
 
--- a/tests/test_peer_load.py
+++ b/tests/test_peer_load.py
@@ -1,4 +1,4 @@
-"""Sidecars of a pool: what they tell one another, and what each makes of it."""
+"""Sidecars that share their load: the messages between them, their use, and the migration of settings."""
 
 from __future__ import annotations
 
@@ -25,25 +25,26 @@
 POOL: dict[str, Any] = {"share_load": True, "shares": False, "cross_price": 0.0}
 
 
-def home(fleet: Fleet, key: str = "k") -> str:
+def first_endpoint(fleet: Fleet, key: str = "k") -> str:
     return fleet.balancer.ranking.order(key)[0].id
 
 
-def mark(fleet: Fleet, id: str) -> int:
-    return fleet.balancer.registry.by_id[id].mark
+def mark(fleet: Fleet, endpoint_id: str) -> int:
+    return fleet.balancer.registry.by_id[endpoint_id].mark
 
 
-def served(fleet: Fleet, count: int, took: float = 0.05, first: int = 0, **arrival: Any) -> None:
-    for id in range(first, first + count):
-        held = fleet.arrive(id, key=f"key{id}", **arrival)
+def serve_requests(fleet: Fleet, count: int, took: float = 0.05, first: int = 0, **arrival: Any) -> None:
+    for request_id in range(first, first + count):
+        request = fleet.arrive(request_id, key=f"key{request_id}", **arrival)
         fleet.wait(took)
-        if held.sent:
-            fleet.end(id, 0, AttemptOutcome.SERVED)
+        if request.sent:
+            fleet.end(request_id, 0, AttemptOutcome.SERVED)
 
 
-def test_what_peers_have_in_flight_passes_an_endpoint_over_until_their_report_is_old() -> None:
-    fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)  # a sidecar sees a part of the load
-    first = home(fleet)
+def test_an_endpoint_is_skipped_by_what_peers_have_in_flight_until_their_report_expires() -> None:
+    # One sidecar alone sees only a part of the load.
+    fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)
+    first = first_endpoint(fleet)
     fleet.balancer.peer_load.on_load_report(fleet.now, "2", [mark(fleet, first)] * 9, (), True)
     assert fleet.arrive(1).sent[0].endpoint != first
     fleet.balancer.peer_load.on_load_report(fleet.now, "2", [], (), True)
@@ -53,81 +54,88 @@
     assert fleet.balancer.peer_load.total == 0 and fleet.arrive(3).sent[0].endpoint == first
 
 
-def test_a_load_report_has_what_changed_and_now_and_then_everything() -> None:
+def test_load_reports_have_the_changes_and_regularly_all_attempts() -> None:
     fleet = Fleet([kind(Idempotency.NON_IDEMPOTENT)], [line(n, zone=0) for n in range(4)], **POOL)
     other = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)
-    for id in range(30):
-        fleet.arrive(id, key=f"key{id}", wait=2.0)
+    for request_id in range(30):
+        fleet.arrive(request_id, key=f"key{request_id}", wait=2.0)
         fleet.wait(0.04)
-        if id % 3 == 0:
-            fleet.end(id, 0, AttemptOutcome.SERVED)
+        if request_id % 3 == 0:
+            fleet.end(request_id, 0, AttemptOutcome.SERVED)
         fleet.wait(0.04)
-        for told in fleet.told_peers:
-            if not isinstance(told, LearnedState):
-                peers.receive(other.balancer.peer_load, other.now, "2", peers.encode_load(*told))
+        for message in fleet.told_peers:
+            if not isinstance(message, LearnedState):
+                peers.receive(other.balancer.peer_load, other.now, "2", peers.encode_load(*message))
         fleet.told_peers.clear()
-        out = Counter(e.mark for e in fleet.balancer.registry.by_id.values() for _ in e.in_flight)
-        assert +other.balancer.peer_load.in_flight == out and other.balancer.peer_load.total == out.total()
+        in_flight = Counter(
+            endpoint.mark for endpoint in fleet.balancer.registry.by_id.values() for _ in endpoint.in_flight
+        )
+        assert (
+            +other.balancer.peer_load.in_flight == in_flight
+            and other.balancer.peer_load.total == in_flight.total()
+        )
     fleet.wait(0.3)
-    words = [told for told in fleet.told_peers if not isinstance(told, LearnedState)]
-    assert 1 <= len(words) <= 4 and any(complete for *_, complete in words), "little has changed since"
-
-
-def test_changes_count_only_on_top_of_a_whole_that_is_not_old() -> None:
-    pool = (
-        PeerLoad()
-    )  # a sidecar that tells changes alone, or whose whole was lost, must not make counts grow
-    pool.on_load_report(0.0, "2", [7], [], False)
-    assert (pool.total, dict(pool.in_flight)) == (0, {})
-    pool.on_load_report(1.0, "2", [7, 7, 8], [], True)
-    pool.on_load_report(1.1, "2", [9], [7], False)
-    assert (pool.total, +pool.in_flight) == (3, Counter({7: 1, 8: 1, 9: 1}))
+    messages = [message for message in fleet.told_peers if not isinstance(message, LearnedState)]
+    assert 1 <= len(messages) <= 4 and any(complete for *_, complete in messages), (
+        "few reports are due without changes, one of them complete"
+    )
+
+
+def test_changes_count_only_with_a_recent_complete_report() -> None:
+    # Changes without a complete report, for example when that was lost, must not make counts grow.
+    peer_load = PeerLoad()
+    peer_load.on_load_report(0.0, "2", [7], [], False)
+    assert (peer_load.total, dict(peer_load.in_flight)) == (0, {})
+    peer_load.on_load_report(1.0, "2", [7, 7, 8], [], True)
+    peer_load.on_load_report(1.1, "2", [9], [7], False)
+    assert (peer_load.total, +peer_load.in_flight) == (3, Counter({7: 1, 8: 1, 9: 1}))
     for n in range(100):
-        pool.on_load_report(1.2 + n / 100, "2", [100 + n], [], False)
-    pool.sweep(2.2)
-    assert pool.total == 0 and not pool.in_flight and not pool.reports
+        peer_load.on_load_report(1.2 + n / 100, "2", [100 + n], [], False)
+    peer_load.sweep(2.2)
+    assert peer_load.total == 0 and not peer_load.in_flight and not peer_load.reports
 
 
-def test_load_reports_keep_to_their_price() -> None:
-    def bytes_told(price: float) -> float:
+def test_load_reports_stay_within_their_cost() -> None:
+    def messages_per_request(price: float) -> float:
         fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, message_price=price, **POOL)
-        served(fleet, 400, took=0.02)
-        words = [told for told in fleet.told_peers if not isinstance(told, LearnedState)]
-        return 19 * sum(len(peers.encode_load(*word)) for word in words) / 256 / 400
+        serve_requests(fleet, 400, took=0.02)
+        messages = [message for message in fleet.told_peers if not isinstance(message, LearnedState)]
+        return 19 * sum(len(peers.encode_load(*load_message)) for load_message in messages) / 256 / 400
 
-    free, dear = bytes_told(0.0), bytes_told(0.1)
-    assert dear < 0.7 * free
+    free, costly = messages_per_request(0.0), messages_per_request(0.1)
+    assert costly < 0.7 * free
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(8)], peers=20, message_price=99.0, **POOL)
-    served(fleet, 10, took=0.1)  # before a rate was known the price kept word back for seconds
-    assert sum(not isinstance(told, LearnedState) for told in fleet.told_peers) >= 4
+    # The cost once delayed reports for seconds before a request rate was known.
+    serve_requests(fleet, 10, took=0.1)
+    assert sum(not isinstance(message, LearnedState) for message in fleet.told_peers) >= 4
 
 
-def test_a_slow_kind_gets_fewer_keys_once_its_times_are_known() -> None:
+def test_a_slow_machine_kind_gets_fewer_keys_once_its_times_are_known() -> None:
     fleet = Fleet([kind()], [line(n, zone=0, machine=n % 2) for n in range(8)], **POOL)
-    for id in range(400):
-        held = fleet.arrive(id, key=f"key{id}")
-        fleet.wait(0.09 if int(held.sent[0].endpoint[1:]) % 2 else 0.03)
-        fleet.end(id, 0, AttemptOutcome.SERVED)
-    slow = sum(int(home(fleet, f"new{n}")[1:]) % 2 for n in range(400))
-    assert 4 < slow < 40, "a third of the speed, and speeds weigh by their cubes"
+    for request_id in range(400):
+        request = fleet.arrive(request_id, key=f"key{request_id}")
+        fleet.wait(0.09 if int(request.sent[0].endpoint[1:]) % 2 else 0.03)
+        fleet.end(request_id, 0, AttemptOutcome.SERVED)
+    slow = sum(int(first_endpoint(fleet, f"new{n}")[1:]) % 2 for n in range(400))
+    assert 4 < slow < 40, "a third of the speed, and the weight is the cube of the speed"
 
 
-def test_free_places_come_from_a_list_whose_weights_move_with_load() -> None:
+def test_concurrency_is_learned_from_listed_weights_that_fall_with_load() -> None:
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], live_weights=True, **POOL)
-    served(fleet, 40)
+    serve_requests(fleet, 40)
     for _ in range(20):
-        held = [mark(fleet, f"e{n}") for n in range(4) for _ in range(6)]
-        fleet.balancer.peer_load.on_load_report(fleet.now, "2", held, (), True)
-        fleet.tell([line(n, zone=0, share=0.5) for n in range(4)])  # one held by each core
-        served(fleet, 2, first=int(fleet.now * 100))
+        marks = [mark(fleet, f"e{n}") for n in range(4) for _ in range(6)]
+        fleet.balancer.peer_load.on_load_report(fleet.now, "2", marks, (), True)
+        fleet.tell([line(n, zone=0, share=0.5) for n in range(4)])  # one request in flight per core
+        serve_requests(fleet, 2, first=int(fleet.now * 100))
     assert fleet.balancer.service_times.models[0].concurrency == pytest.approx(6, rel=0.2)
 
 
-def test_a_restarted_sidecar_goes_by_what_the_others_learnt() -> None:
+def test_a_restarted_sidecar_uses_what_its_peers_learned() -> None:
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], **POOL)
-    for who, free in ("2", 3.0), ("3", 5.0), ("4", 40.0):
+    for peer, concurrency in ("2", 3.0), ("3", 5.0), ("4", 40.0):
         fleet.balancer.peer_load.on_learned_state(
-            fleet.now, who, LearnedState((), {0: KindEstimate(0.04, free)})
+            fleet.now, peer, LearnedState((), {0: KindEstimate(0.04, concurrency)})
         )
     fleet.arrive(1)
     fleet.wait(1.2)
@@ -137,56 +145,60 @@
     ) == (5.0, 0.04)
 
 
-def test_the_least_priority_weight_is_shed_first_and_what_exceeds_a_quota_weighs_less() -> None:
-    types = [kind(value=1.0), kind(value=8.0)]
-    fleet = Fleet(types, [line(0, zone=0)], tenant_allowances=(5.0, 100.0), excess_weight=0.2, **POOL)
-    for id in range(400):
-        fleet.arrive(id, id % 2, key=None, tenant=0 if id % 4 else 1)
+def test_the_lowest_priority_weight_is_shed_first_and_requests_over_quota_weigh_less() -> None:
+    classes = [kind(value=1.0), kind(value=8.0)]
+    fleet = Fleet(classes, [line(0, zone=0)], tenant_allowances=(5.0, 100.0), excess_weight=0.2, **POOL)
+    for request_id in range(400):
+        fleet.arrive(request_id, request_id % 2, key=None, tenant=0 if request_id % 4 else 1)
         fleet.wait(0.02)
-        fleet.end(id, 0, AttemptOutcome.SERVED) if fleet.held[id].sent else None
+        fleet.end(request_id, 0, AttemptOutcome.SERVED) if fleet.held[request_id].sent else None
     fleet.balancer.peer_load.on_learned_state(fleet.now, "2", LearnedState((30.0, 10.0), {}))
     fleet.wait(1.2)
     assert fleet.balancer.quotas.excess[0] > 0.8 and fleet.balancer.quotas.excess[1] == 0.0
     fleet.arrive(1000, 0, tenant=0)
     assert 0.2 in fleet.balancer.weights.counts
     fleet.balancer.weights.counts = {0.2: 100.0, 1.0: 100.0, 8.0: 100.0}
-    places = [fleet.balancer.weights.position(worth) for worth in (0.2, 1.0, 8.0)]
-    assert places[0] < 0.34 < places[1] < 0.68 < places[2]
+    positions = [fleet.balancer.weights.position(weight) for weight in (0.2, 1.0, 8.0)]
+    assert positions[0] < 0.34 < positions[1] < 0.68 < positions[2]
 
 
-def test_load_at_peers_sheds_the_least_weight_and_no_attempt_times_out_early() -> None:
+def test_load_of_peers_sheds_the_lowest_weight_and_no_attempt_times_out_early() -> None:
     fleet = Fleet([kind(value=1.0), kind(value=8.0)], [line(n, zone=0) for n in range(4)], **POOL)
-    for id in range(100):  # in turn, so that the sidecar knows what is asked
-        fleet.arrive(id, id % 2, f"key{id}")
+    for request_id in range(100):  # both classes by turns, so that the sidecar learns their weights
+        fleet.arrive(request_id, request_id % 2, f"key{request_id}")
         fleet.wait(0.02)
-        fleet.end(id, 0, AttemptOutcome.SERVED)
+        fleet.end(request_id, 0, AttemptOutcome.SERVED)
     sent = [0, 0]
-    for id in range(1000, 1200):
-        for who in "23":
+    for request_id in range(1000, 1200):
+        for peer in "23":
             fleet.balancer.peer_load.on_learned_state(
-                fleet.now, who, LearnedState((), {0: KindEstimate(0.1, 1.3)})
+                fleet.now, peer, LearnedState((), {0: KindEstimate(0.1, 1.3)})
             )
         fleet.balancer.peer_load.on_load_report(
-            fleet.now, "2", [e.mark for e in fleet.balancer.registry.ready], [], True
+            fleet.now, "2", [endpoint.mark for endpoint in fleet.balancer.registry.ready], [], True
         )
-        held = fleet.arrive(id, id % 2, f"key{id}")
-        assert all(s.patience == pytest.approx(2.0) for s in held.sent)  # promised is 0.6 s
-        sent[id % 2] += bool(held.sent)
+        request = fleet.arrive(request_id, request_id % 2, f"key{request_id}")
+        # The attempts have the timeout of 2 s, though the latency objective is 0.6 s.
+        assert all(attempt.patience == pytest.approx(2.0) for attempt in request.sent)
+        sent[request_id % 2] += bool(request.sent)
         fleet.wait(0.02)
-        fleet.end(id, 0, AttemptOutcome.SERVED) if held.sent else None
+        fleet.end(request_id, 0, AttemptOutcome.SERVED) if request.sent else None
     assert sent[0] < 0.3 * sent[1] and sent[1] > 70
-    for id in range(2000, 2200):
+    for request_id in range(2000, 2200):
         fleet.balancer.peer_load.on_load_report(
-            fleet.now, "2", [e.mark for e in fleet.balancer.registry.ready] * 4, [], True
+            fleet.now, "2", [endpoint.mark for endpoint in fleet.balancer.registry.ready] * 4, [], True
+        )
+        assert not fleet.arrive(request_id, 1, f"key{request_id}").sent, (
+            "the attempts in flight are three times the concurrency"
         )
-        assert not fleet.arrive(id, 1, f"key{id}").sent, "three times what is free is held"
 
 
-def test_ranks_stay_while_a_list_changes_nothing_that_they_go_by() -> None:
+def test_rankings_are_kept_while_the_list_changes_nothing_that_they_depend_on() -> None:
     fleet = Fleet([kind()], [line(n, zone=0) for n in range(4)], live_weights=True, **POOL)
-    ranked = fleet.balancer.ranking.order("k")
+    ranking = fleet.balancer.ranking.order("k")
     fleet.tell([line(n, zone=0, share=0.7) for n in range(4)], whole=True)
-    assert fleet.balancer.ranking.order("k") is ranked  # sorted anew for each key, twice a second
+    # The endpoints were once sorted again for each key, twice a second.
+    assert fleet.balancer.ranking.order("k") is ranking
     fleet.tell([line(0, EndpointStatus.GONE)])
     assert len(fleet.balancer.ranking.order("k")) == 3
 
@@ -199,31 +211,35 @@
         st.integers(0, 9), st.tuples(st.floats(0.001, 9.0), st.floats(1.0, 40.0)), max_size=4
     ),
 )
-def test_messages_come_back_as_they_went_and_fit(marks, rates, kinds):  # type: ignore[no-untyped-def]
-    for whole in (True, False):
-        word = peers.encode_load(marks, marks[:9], whole)
-        told = peers.decode(word)
-        assert len(word) <= 256 and isinstance(told, peers.LoadMessage)
-        assert (told.started, told.complete) == (marks[:63], whole)
-        assert told.ended == ([] if whole else marks[: min(9, 63 - len(told.started))])
-    text = peers.encode_learned_state(
-        LearnedState(tuple(map(float, rates)), {k: KindEstimate(*v) for k, v in kinds.items()})
+def test_messages_are_decoded_as_encoded_and_fit(marks, rates, kinds):  # type: ignore[no-untyped-def]
+    for complete in (True, False):
+        encoded = peers.encode_load(marks, marks[:9], complete)
+        decoded = peers.decode(encoded)
+        assert len(encoded) <= 256 and isinstance(decoded, peers.LoadMessage)
+        assert (decoded.started, decoded.complete) == (marks[:63], complete)
+        assert decoded.ended == ([] if complete else marks[: min(9, 63 - len(decoded.started))])
+    encoded_state = peers.encode_learned_state(
+        LearnedState(
+            tuple(map(float, rates)),
+            {machine_kind: KindEstimate(*values) for machine_kind, values in kinds.items()},
+        )
     )
-    facts = peers.decode(text)
+    decoded_state = peers.decode(encoded_state)
     assert (
-        len(text) <= 256
-        and isinstance(facts, LearnedState)
-        and facts.request_rates == tuple(map(float, rates))
+        len(encoded_state) <= 256
+        and isinstance(decoded_state, LearnedState)
+        and decoded_state.request_rates == tuple(map(float, rates))
     )
     assert all(
-        (facts.kinds[k].unloaded_time, facts.kinds[k].concurrency) == pytest.approx(v, abs=0.06)
-        for k, v in kinds.items()
+        (decoded_state.kinds[machine_kind].unloaded_time, decoded_state.kinds[machine_kind].concurrency)
+        == pytest.approx(values, abs=0.06)
+        for machine_kind, values in kinds.items()
     )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(text=st.one_of(st.text(max_size=300), st.text("=,;:.-_0123456789naief", max_size=60).map("=".__add__)))
-def test_any_text_is_a_message_or_is_refused(text: str) -> None:
+def test_any_text_is_a_message_or_is_rejected(text: str) -> None:
     fleet = Fleet([kind()], [line(0)], **POOL)
     try:
         peers.receive(fleet.balancer.peer_load, fleet.now, "2", text)
@@ -233,31 +249,46 @@
     assert fleet.arrive(1).sent
 
 
-def test_the_kind_of_a_machine_is_read_by_its_name() -> None:
+def test_the_machine_kind_is_decoded_by_its_name() -> None:
     decoder = ListDecoder(("north",), 0.0, ("fast", "small"))
     entries = [{**entry(f"e{n}", 1), "machineType": name} for n, name in enumerate(("small", "odd", "fast"))]
     change = decoder.decode({"generation": 1, "reset": True, "instances": entries})
-    assert [told.machine_kind for told in change.lines] == [1, 2, 0]
+    assert [listed.machine_kind for listed in change.lines] == [1, 2, 0]
 
 
-def pooled(**changes: Any) -> dict[str, Any]:
+def shared_load_settings(**changes: Any) -> dict[str, Any]:
     limits = {**SETTINGS["policy-limits"], "peers": True}
     return {**CALM, "discovery": "pushed", "weight-kind": "off", "policy-limits": limits, **changes}
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "expected_error"),
     [
-        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1"}}, "peers has no 'listen'"),
+        ({"settings": shared_load_settings(), "peers": {"listen": "127.0.0.1:1"}}, "peers has no 'listen'"),
         (
-            {"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["127.0.0.1:1"]}},
+            {
+                "settings": shared_load_settings(),
+                "peers": {"listen": "127.0.0.1:1", "others": ["127.0.0.1:1"]},
+            },
             "its own addr",
         ),
-        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["[::1]:1"]}}, "IPv4 and IPv6"),
+        (
+            {"settings": shared_load_settings(), "peers": {"listen": "127.0.0.1:1", "others": ["[::1]:1"]}},
+            "IPv4 and IPv6",
+        ),
         ({"settings": {**SETTINGS, "kinds": "fast"}}, "kinds is no list"),
         ({"peers": {"listen": "127.0.0.1:1", "others": []}}, "policy-limits.peers is not true"),
-        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": ["there:1"]}}, "not a numeric"),
-        ({"settings": pooled(), "peers": {"listen": "127.0.0.1:1", "others": [], "otters": 1}}, "'otters'"),
+        (
+            {"settings": shared_load_settings(), "peers": {"listen": "127.0.0.1:1", "others": ["there:1"]}},
+            "not a numeric",
+        ),
+        (
+            {
+                "settings": shared_load_settings(),
+                "peers": {"listen": "127.0.0.1:1", "others": [], "otters": 1},
+            },
+            "'otters'",
+        ),
         ({"settings": {**SETTINGS, "weight-kind": "heavy"}}, "weight-kind is none of"),
         ({"settings": {**SETTINGS, "discovery": "guessed"}}, "discovery is none of"),
         ({"settings": {**SETTINGS, "tenants": [{"allowance-per-s": -1}]}}, "allowance-per-s"),
@@ -265,50 +296,54 @@
         ({"settings": {**SETTINGS, "prices": {"peer": -1}}}, "peer is no number"),
     ],
 )
-def test_a_bad_setting_is_named_in_one_line(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
+def test_an_invalid_setting_is_reported_in_one_line(
+    tmp_path: Path, changes: dict[str, Any], expected_error: str
+) -> None:
     (tmp_path / "config.json").write_text(json.dumps(config(**changes)))
     done = run("check", "--config", str(tmp_path / "config.json"))
-    assert done.returncode == 2 and named in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and expected_error in done.stderr and done.stderr.count("\n") == 1
 
 
 def test_a_sidecar_reports_its_load_to_another_on_sockets(tmp_path: Path) -> None:
-    """A stand-in for another sidecar: it hears the word, and its own turns a key away from its endpoint."""
+    """A socket stands in for a peer: it receives load reports, and its own reports cause rejections."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
         other.bind(("127.0.0.1", 0))
         other.settimeout(0.02)
-        here = "127.0.0.1", reserve_port()
+        address = "127.0.0.1", reserve_port()
         service = Service(
             tmp_path,
-            settings=pooled(),
-            peers={"listen": f"127.0.0.1:{here[1]}", "others": [f"127.0.0.1:{other.getsockname()[1]}"]},
+            settings=shared_load_settings(),
+            peers={"listen": f"127.0.0.1:{address[1]}", "others": [f"127.0.0.1:{other.getsockname()[1]}"]},
         )
-        assert "index=41" in service.watch().target  # pushed, yet on sockets it comes by a watch
+        assert "index=41" in service.watch().target  # set to pushed, yet on sockets the list is watched
         client = service.asked(ask("x"))
         got = service.got()
-        words: set[bytes] = set()
+        received: set[bytes] = set()
 
-        def heard() -> bool:
+        def load_received() -> bool:
             try:
-                words.add(other.recv(512))
+                received.add(other.recv(512))
             except TimeoutError:
                 return False
-            return any(word.startswith(b".") and len(word) > 1 for word in words)
+            return any(payload.startswith(b".") and len(payload) > 1 for payload in received)
 
-        service.until(heard)
+        service.until(load_received)
         got.answer(200)
         assert service.answer(client)[0] == 200
-        told = next(word for word in words if word.startswith(b".") and len(word) > 1)[1:5]
+        endpoint_mark = next(
+            payload for payload in received if payload.startswith(b".") and len(payload) > 1
+        )[1:5]
 
-        def refused() -> bool:
-            other.sendto(b"." + told * 60, here)
-            other.sendto(b"\xff nonsense", here)
+        def rejected() -> bool:
+            other.sendto(b"." + endpoint_mark * 60, address)
+            other.sendto(b"\xff nonsense", address)
             again = service.asked(ask("y"))
             service.endpoint.look()
             while service.endpoint.unread:
                 service.endpoint.unread.pop().answer(200)
             return service.answer(again)[0] == 503
 
-        service.until(refused)
+        service.until(rejected)
 
 
 OLD: dict[str, Any] = {
@@ -319,21 +354,21 @@
 PEERS = ("--peer-listen", "127.0.0.1:7400", "--peer", "127.0.0.1:7401", "--kinds", "fast, small")
 
 
-def migrated(folder: Path, *further: str, old: object = None) -> tuple[int, str, Path]:
+def migrated(folder: Path, *arguments: str, old: object = None) -> tuple[int, str, Path]:
     source, target = folder / "old.json", folder / "new.json"
     if not source.exists():
         source.write_text(json.dumps(config(**OLD) if old is None else old))
         source.chmod(0o640)
-    done = run("migrate", str(source), "--output", str(target), *further)
+    done = run("migrate", str(source), "--output", str(target), *arguments)
     return done.returncode, done.stdout + done.stderr, target
 
 
-def test_a_migrated_file_serves_beside_the_old_one_and_all_that_changed_is_listed(tmp_path: Path) -> None:
-    status, said, target = migrated(tmp_path, *PEERS)
+def test_a_migrated_file_serves_as_the_old_one_does_and_all_changes_are_listed(tmp_path: Path) -> None:
+    status, output, target = migrated(tmp_path, *PEERS)
     new = json.loads(target.read_text())
     assert status == 0 and new["peers"] == {"listen": "127.0.0.1:7400", "others": ["127.0.0.1:7401"]}
     assert target.stat().st_mode & 0o777 == 0o640 and len(list(tmp_path.iterdir())) == 2
-    for told in (
+    for expected in (
         "not carried over: colour",
         "not carried over: settings.weight-kind nominal",
         "not carried over: settings.traffic-types[2].overdue-value 0.4",
@@ -342,18 +377,20 @@
         "carried: settings.contract\n",
         'changed: settings.discovery: "on_request" -> "pushed"',
     ):
-        assert told in said
+        assert expected in output
     for file in ("new.json", "old.json"):
-        place = tmp_path / f"run-{file}"
-        place.mkdir()
-        whole = json.loads((tmp_path / file).read_text())
-        service = Service(place, **{key: whole[key] for key in ("settings", "peers") if key in whole})
+        directory = tmp_path / f"run-{file}"
+        directory.mkdir()
+        raw_config = json.loads((tmp_path / file).read_text())
+        service = Service(
+            directory, **{key: raw_config[key] for key in ("settings", "peers") if key in raw_config}
+        )
         client = service.asked(ask("x"))
         service.got().answer(200)
         assert service.answer(client)[0] == 200
 
 
-def test_a_file_that_is_there_stays_and_a_dry_run_changes_nothing(tmp_path: Path) -> None:
+def test_an_existing_file_is_kept_and_a_dry_run_changes_nothing(tmp_path: Path) -> None:
     assert migrated(tmp_path, *PEERS, "--dry-run")[:1] == (0,) and not (tmp_path / "new.json").exists()
     listed = [migrated(tmp_path, *PEERS, *flags)[1].partition("\n")[2] for flags in (("--dry-run",), ())]
     before = (tmp_path / "new.json").read_bytes()
@@ -367,21 +404,21 @@
     with (tmp_path / "new.json").open() as file:
         again = json.load(file)
     (tmp_path / "old.json").write_text(json.dumps(again))
-    status, said, _ = migrated(tmp_path, "--json")
-    assert status == 0 and "already" in json.loads(said)["result"]
+    status, output, _ = migrated(tmp_path, "--json")
+    assert status == 0 and "already" in json.loads(output)["result"]
 
 
 @pytest.mark.parametrize("old", [{}, [], {**config(), "settings": 3}, {**config(), "listen": "there"}])
-def test_what_cannot_be_migrated_is_one_line_and_no_file(tmp_path: Path, old: object) -> None:
-    status, said, target = migrated(tmp_path, old=old)
-    assert status == 2 and said.count("\n") == 1 and "old.json" in said and not target.exists()
+def test_a_failed_migration_reports_one_line_and_writes_no_file(tmp_path: Path, old: object) -> None:
+    status, output, target = migrated(tmp_path, old=old)
+    assert status == 2 and output.count("\n") == 1 and "old.json" in output and not target.exists()
 
 
-def test_a_full_disk_leaves_no_part_of_a_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def full(fd: int, mode: int) -> None:
+def test_a_full_disk_leaves_no_partial_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def fchmod(fd: int, mode: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("os.fchmod", full)
+    monkeypatch.setattr("os.fchmod", fchmod)
     with pytest.raises(OSError, match="No space"):
         migrate.write(tmp_path / "new.json", b"{}", 0o600, force=False)
     assert not list(tmp_path.iterdir())
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Rule 2, no effect twice: when an attempt may follow one that may have run, and what answers tell."""
+"""No request has its effect twice: when a retry is permitted, and which responses prove no execution."""
 
 from __future__ import annotations
 
@@ -21,50 +21,50 @@
 
 from .fleet import SETTINGS, Client, Fleet, Got, Rig, ask, entry, line, only
 
-SPAN = 0.25  # seconds for which a group drops repeats; all times here are sums of powers of two
-JUST = 1 / 1024  # seconds
+WINDOW = 0.25  # seconds of the deduplication window; all times here are sums of powers of two
+INSTANT = 1 / 1024  # seconds
 
 
-def keyed(scope: str = "all", span: float = SPAN, **other: Any) -> dict[str, Any]:
-    """A class with an idempotency key, and time enough to connect late."""
+def deduplicated_class(scope: str = "all", window: float = WINDOW, **other: Any) -> dict[str, Any]:
+    """Returns a traffic class with an idempotency key and time enough to connect late."""
     return {
         "name": "note",
         "effect": "idempotency_key",
         "dedup-scope": scope,
-        "memory-span": span * 1000,
+        "memory-span": window * 1000,
         "promised-time": 4000.0,
         "expiry": 8000.0,
         **other,
     }
 
 
-def settings(*types: dict[str, Any], **limits: Any) -> dict[str, Any]:
+def settings(*classes: dict[str, Any], **limits: Any) -> dict[str, Any]:
     return {
         **SETTINGS,
-        "traffic-types": list(types),
+        "traffic-types": list(classes),
         "policy-limits": {**SETTINGS["policy-limits"], "connect-timeout": 2000.0, **limits},
     }
 
 
 class Gate:
-    """Holds back what comes up: connections that are made while it is shut wait until it opens."""
+    """Delays connections: those that are established while it is shut wait until it opens."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.shut, self.waiting = False, list[Connection]()
+        self.is_shut, self.waiting = False, list[Connection]()
         establish = Connection.establish
 
-        def held(connection: Connection, until: float, unless: Unless = None) -> Coroutine[None]:
-            if self.shut:
+        def delayed_establish(connection: Connection, until: float, unless: Unless = None) -> Coroutine[None]:
+            if self.is_shut:
                 self.waiting.append(connection)
             connection.mine()
             while connection in self.waiting:
                 yield from connection.await_it(until, unless)
             yield from establish(connection, until, unless)
 
-        monkeypatch.setattr(Connection, "establish", held)
+        monkeypatch.setattr(Connection, "establish", delayed_establish)
 
     def open(self) -> None:
-        self.shut = False
+        self.is_shut = False
         while self.waiting:
             self.waiting.pop().wake()
 
@@ -74,46 +74,46 @@
     return Gate(monkeypatch)
 
 
-def first_attempt(rig: Rig, id: str = "x", body: bytes = b"") -> tuple[Client, Got]:
+def first_attempt(rig: Rig, request_id: str = "x", body: bytes = b"") -> tuple[Client, Got]:
     client = rig.client()
-    client.send(ask(id, "note", body, wait=8000))
-    for _ in range(200):  # a long body comes in many pieces
+    client.send(ask(request_id, "note", body, wait=8000))
+    for _ in range(200):  # a long body is received in many pieces
         if got := rig.got():
             return client, only(got)
-    raise AssertionError("the first attempt did not come")
+    raise AssertionError("the first attempt was not received")
 
 
-# The window, counted from before the first byte of the first attempt that may have run.
+# The deduplication window starts before the first byte of the first attempt that may have been executed.
 
 
 @pytest.mark.parametrize("scope, answer", [("all", 503), ("zone", 502)])
-@pytest.mark.parametrize("late", [-JUST, 0.0, JUST])
-def test_a_repeat_whose_connection_comes_up_late_is_sent_inside_the_window_only(
+@pytest.mark.parametrize("late", [-INSTANT, 0.0, INSTANT])
+def test_a_retry_whose_connection_is_established_late_is_sent_only_within_the_window(
     gate: Gate, late: float, scope: str, answer: int
 ) -> None:
-    """Guards against a repeat that was decided in time and is written when the group has forgotten."""
-    rig = Rig(settings=settings(keyed(scope)))
+    """A retry that was decided in time must not be written when its key is no longer remembered."""
+    rig = Rig(settings=settings(deduplicated_class(scope)))
     client, first = first_attempt(rig)
-    rig.wait(SPAN / 2)
-    gate.shut = True
+    rig.wait(WINDOW / 2)
+    gate.is_shut = True
     first.answer(500)
-    assert rig.got() == [] and len(gate.waiting) == 1, "the repeat is decided, and connects"
-    rig.wait(SPAN / 2 + late)
+    assert rig.got() == [] and len(gate.waiting) == 1, "the retry is decided, and connects"
+    rig.wait(WINDOW / 2 + late)
     gate.open()
-    again = rig.got()
+    retries = rig.got()
     if late < 0:
-        assert again[0].id == "x" and again[0].stand is not first.stand
-        again[0].answer(200, b"done")
+        assert retries[0].id == "x" and retries[0].stand is not first.stand
+        retries[0].answer(200, b"done")
         rig.settle()
         assert client.status() == 200
     else:
-        assert not again, "written past the window"
+        assert not retries, "written after the window"
         assert client.status() == answer
     assert rig.facade.in_flight() == 0 and not rig.core.held
 
 
 class Throttle:
-    """The kernel takes no more than `room` bytes of what goes to an endpoint, until that is set anew."""
+    """Lets the kernel accept at most `room` bytes sent to endpoints, until `give` sets a new limit."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, rig: Rig) -> None:
         self.room, self.stalled = 1 << 30, list[Connection]()
@@ -123,12 +123,12 @@
         def limited(connection: Connection, view: memoryview) -> int:
             if connection.sock.getpeername()[1] not in ports:
                 return send_some(connection, view)
-            taken = send_some(connection, view[: self.room]) if self.room else 0
-            self.room -= taken
-            if taken < len(view):
+            accepted = send_some(connection, view[: self.room]) if self.room else 0
+            self.room -= accepted
+            if accepted < len(view):
                 connection.writable = False
                 self.stalled.append(connection)
-            return taken
+            return accepted
 
         monkeypatch.setattr(Connection, "send_some", limited)
 
@@ -140,101 +140,113 @@
             connection.wake()
 
 
-@pytest.mark.parametrize("late", [-JUST, 0.0, JUST])
-def test_a_repeat_that_is_written_slowly_becomes_whole_inside_the_window_only(
+@pytest.mark.parametrize("late", [-INSTANT, 0.0, INSTANT])
+def test_a_retry_that_is_written_slowly_is_completed_only_within_the_window(
     monkeypatch: pytest.MonkeyPatch, late: float
 ) -> None:
-    rig = Rig(settings=settings(keyed()))
+    rig = Rig(settings=settings(deduplicated_class()))
     throttle = Throttle(monkeypatch, rig)
     client, first = first_attempt(rig, body=b"y" * 30_000)
-    rig.wait(SPAN / 2)
+    rig.wait(WINDOW / 2)
     throttle.room = 20_000
     first.answer(500)
-    assert rig.got() == [] and len(throttle.stalled) == 1, "a part of the repeat is written"
-    rig.wait(SPAN / 2 + late)
-    throttle.give(1 << 30)  # room for all that is left, in the turn that first sees the end of the window
-    again = rig.got()
-    assert bool(again) is (late < 0), "whole at the endpoint past the window"
-    if again:
-        again[0].answer(200)
+    assert rig.got() == [] and len(throttle.stalled) == 1, "a part of the retry is written"
+    rig.wait(WINDOW / 2 + late)
+    throttle.give(1 << 30)  # room for the rest, in the event loop turn that first sees the end of the window
+    retries = rig.got()
+    assert bool(retries) is (late < 0), "complete at the endpoint after the window"
+    if retries:
+        retries[0].answer(200)
         rig.settle()
     assert client.status() == (200 if late < 0 else 503)
     assert rig.facade.in_flight() == 0 and not rig.core.held
 
 
-# Where a repeat may go, and which attempt begins the window: the module alone.
+# Where a retry may go, and which attempt starts the window: the balancer alone.
 
 
-def fleet_of(group: DeduplicationScope, span: float = SPAN, endpoints: int = 8, **other: Any) -> Fleet:
-    """Endpoints two to a cell, zones by turns."""
-    kind = TrafficClass(Idempotency.DEDUPLICATED, group, 4.0, 8.0, span)
-    return Fleet([kind], [line(n) for n in range(endpoints)], **other)
+def fleet_of(scope: DeduplicationScope, window: float = WINDOW, endpoints: int = 8, **other: Any) -> Fleet:
+    """Makes a fleet with two endpoints per cell, in alternating zones."""
+    traffic_class = TrafficClass(Idempotency.DEDUPLICATED, scope, 4.0, 8.0, window)
+    return Fleet([traffic_class], [line(n) for n in range(endpoints)], **other)
 
 
-@pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
-def test_the_group_is_that_of_the_endpoint_when_the_attempt_was_sent(group: DeduplicationScope) -> None:
-    """Guards against word that the endpoint is gone, or has another place, which comes while it works: the
-    group that may drop the repeat is the old one."""
-    repeats = 0
+@pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
+def test_the_deduplication_scope_is_that_of_the_endpoint_when_the_attempt_was_sent(
+    scope: DeduplicationScope,
+) -> None:
+    """The retry must stay within the zone or cell that the endpoint had when the attempt was sent.
+
+    The list may drop or move the endpoint while it works.
+    """
+    retry_count = 0
     for n in range(16):
-        fleet = fleet_of(group)
-        held = fleet.arrive(1, key=f"key{n}", wait=8.0)
-        first = fleet.told[held.sent[0].endpoint]
-        gone = replace(
-            first, status=EndpointStatus.GONE, zone=-1, cell=0
-        )  # as decoded where an entry lacks them
+        fleet = fleet_of(scope)
+        request = fleet.arrive(1, key=f"key{n}", wait=8.0)
+        first = fleet.told[request.sent[0].endpoint]
+        # Zone and cell are as decoded if the entry lacks them.
+        gone = replace(first, status=EndpointStatus.GONE, zone=-1, cell=0)
         fleet.balancer.on_list_changed(fleet.now, EndpointListUpdate([gone], complete=False))
         fleet.end(1, 0, AttemptOutcome.ERROR)
-        for sent in held.sent[1:]:
-            to = fleet.told[sent.endpoint]
-            assert to.zone == first.zone if group is DeduplicationScope.ZONE else to.cell == first.cell
-            repeats += 1
-    assert repeats >= 8, "the group has one more that is ready"
-
-
-@pytest.mark.parametrize("late", [-JUST, 0.0, JUST])
-def test_the_window_begins_with_the_first_attempt_that_may_have_run(late: float) -> None:
-    """Not with one that never ran, and not with a later one; a time-out counts from its sending too."""
+        for sent in request.sent[1:]:
+            endpoint = fleet.told[sent.endpoint]
+            assert (
+                endpoint.zone == first.zone
+                if scope is DeduplicationScope.ZONE
+                else endpoint.cell == first.cell
+            )
+            retry_count += 1
+    assert retry_count >= 8, "the scope has one more ready endpoint"
+
+
+@pytest.mark.parametrize("late", [-INSTANT, 0.0, INSTANT])
+def test_the_window_starts_with_the_first_attempt_that_may_have_been_executed(late: float) -> None:
+    """An attempt that was never executed does not start it; a time-out counts from its sending."""
     fleet = fleet_of(DeduplicationScope.ALL)
-    held = fleet.arrive(1, wait=8.0)
-    fleet.wait(SPAN * 2)
-    fleet.end(1, 0, AttemptOutcome.OVERLOADED)  # never ran: nothing to be dropped, the window is not yet open
-    fleet.wait(SPAN / 2)
-    fleet.end(1, 1, AttemptOutcome.RESET)  # may have run
-    fleet.wait(SPAN / 2 + late)
+    request = fleet.arrive(1, wait=8.0)
+    fleet.wait(WINDOW * 2)
+    fleet.end(1, 0, AttemptOutcome.OVERLOADED)  # never executed: the window has not started
+    fleet.wait(WINDOW / 2)
+    fleet.end(1, 1, AttemptOutcome.RESET)  # may have been executed
+    fleet.wait(WINDOW / 2 + late)
     fleet.end(1, 2, AttemptOutcome.RESET)
-    assert len(held.sent) == (4 if late < 0 else 3)
-    assert held.answer == (None if late < 0 else "rejected")
+    assert len(request.sent) == (4 if late < 0 else 3)
+    assert request.answer == (None if late < 0 else "rejected")
 
 
-@pytest.mark.parametrize("span, again", [(0.0, False), (JUST, True), (4.0, True), (8.0, True), (60.0, True)])
-def test_windows_shorter_and_longer_than_the_deadline_and_none(span: float, again: bool) -> None:
-    fleet = fleet_of(DeduplicationScope.CELL, span)
-    held = fleet.arrive(1, wait=8.0)
+@pytest.mark.parametrize(
+    "window, is_retried", [(0.0, False), (INSTANT, True), (4.0, True), (8.0, True), (60.0, True)]
+)
+def test_windows_of_zero_and_shorter_and_longer_than_the_deadline(window: float, is_retried: bool) -> None:
+    fleet = fleet_of(DeduplicationScope.CELL, window)
+    request = fleet.arrive(1, wait=8.0)
     fleet.end(1, 0, AttemptOutcome.ERROR)  # at once
-    assert (len(held.sent) == 2) is again and held.answer == (None if again else "terminated")
-    late = fleet.arrive(2, key="other", wait=8.0)
-    fleet.wait(7.0)  # the first attempt times out at the promised time of 4 s
-    assert (len(late.sent) == 2) is (span > 4.0)
+    assert (len(request.sent) == 2) is is_retried and request.answer == (None if is_retried else "terminated")
+    late_request = fleet.arrive(2, key="other", wait=8.0)
+    fleet.wait(7.0)  # the first attempt times out at the latency objective of 4 s
+    assert (len(late_request.sent) == 2) is (window > 4.0)
 
 
-def test_a_window_that_is_not_stated_allows_no_repeat() -> None:
-    kind = keyed()
-    del kind["memory-span"]
-    rig = Rig(settings=settings(kind))
+def test_a_window_that_is_not_configured_permits_no_retry() -> None:
+    traffic_class = deduplicated_class()
+    del traffic_class["memory-span"]
+    rig = Rig(settings=settings(traffic_class))
     client, first = first_attempt(rig)
     first.answer(500)
     assert rig.got() == [] and client.status() == 503
 
 
-# The same id again, from a client.
+# A client sends the same id again.
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_an_id_goes_out_once_at_a_time_also_when_its_client_has_left(cancel: bool) -> None:
-    """409 is `failed`, which promises nothing: the first may run. Where attempts may be given up the first
-    ends with its client, and the endpoint sees that before anything else is sent."""
-    rig = Rig(settings=settings(keyed("cell"), cancel=cancel))
+def test_an_id_is_in_flight_only_once_even_when_its_client_has_disconnected(cancel: bool) -> None:
+    """The status 409 means failed: the first request may still be executed.
+
+    Where attempts may be cancelled, the first ends with its client, and the endpoint sees that before
+    anything else is sent.
+    """
+    rig = Rig(settings=settings(deduplicated_class("cell"), cancel=cancel))
     client, first = first_attempt(rig)
     assert rig.asked(ask("x", "note")).status() == 409 and rig.got() == []
     client.close()
@@ -244,7 +256,7 @@
     if cancel:
         only(rig.got()).answer(200, b"again")
     else:
-        assert second.status() == 409 and rig.got() == [], "the abandoned attempt may still run"
+        assert second.status() == 409 and rig.got() == [], "the abandoned attempt may still be executed"
         first.answer(200, b"once")
         rig.settle()
         second = rig.asked(ask("x", "note"))
@@ -254,22 +266,29 @@
     assert answer and answer[:2] == (200, b"again") and not rig.core.held
 
 
-# Answers that do not fit.
+# Malformed responses.
 
 
-@pytest.mark.parametrize("said", [70_000, 200_000])
-def test_a_long_answer_with_a_length_and_chunks_is_passed_on_by_its_chunks(said: int) -> None:
-    """Guards against a body that ends elsewhere than its head tells the client: it would take a part for the
-    whole, and the rest for the next answer on its connection."""
+@pytest.mark.parametrize("content_length", [70_000, 200_000])
+def test_a_long_response_with_content_length_and_chunks_is_forwarded_by_its_chunks(
+    content_length: int,
+) -> None:
+    """The body must end where its head says.
+
+    Else the client would take a part for the whole, and the rest for the next response on its connection.
+    """
     rig = Rig(1)
     client = rig.asked(ask("x"))
     got = only(rig.got())
-    part = b"%x\r\n%b\r\n" % (50_000, b"y" * 50_000)
-    got.raw(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % said + part)
+    chunk = b"%x\r\n%b\r\n" % (50_000, b"y" * 50_000)
+    got.raw(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % content_length
+        + chunk
+    )
     rig.settle()
     answer = client.answer()
     for _ in range(2):
-        got.raw(part)
+        got.raw(chunk)
         for _ in range(20):
             rig.settle()
             answer = answer or client.answer()
@@ -278,11 +297,11 @@
         rig.settle()
         answer = answer or client.answer()
     assert answer and answer[0] == 200 and answer[1] == b"y" * 150_000
-    assert rig.pool.open == 0, "where its next answer begins is not sure"
+    assert rig.pool.open == 0, "the start of the next response is uncertain"
 
 
 MARK = b"X-Not-Processed: 1\r\n"
-SPOILT = {
+MALFORMED_RESPONSES = {
     "turned away, but its body breaks off": b"HTTP/1.1 503 X\r\n" + MARK + b"Content-Length: 9\r\n\r\nhalf",
     "turned away, but its chunks break off": b"HTTP/1.1 503 X\r\n"
     + MARK
@@ -301,11 +320,11 @@
 }
 
 
-@pytest.mark.parametrize("how", list(SPOILT))
-def test_what_does_not_prove_that_it_never_ran_is_not_sent_again(rig: Rig, how: str) -> None:
+@pytest.mark.parametrize("how", list(MALFORMED_RESPONSES))
+def test_a_request_is_not_retried_without_proof_that_it_was_not_executed(rig: Rig, how: str) -> None:
     client = rig.asked(ask("x", "book"))
     got = only(rig.got())
-    got.raw(SPOILT[how])
+    got.raw(MALFORMED_RESPONSES[how])
     rig.settle()
     got.close()
     assert rig.got() == [] and client.status() == 502 and rig.pool.open == 0
@@ -321,7 +340,9 @@
         + b"Content-Length: 4\r\n\r\nbusy",
     ],
 )
-def test_what_is_turned_away_goes_again_in_whatever_form_it_is_told(rig: Rig, answer: bytes) -> None:
+def test_a_request_rejected_as_overload_is_retried_whatever_the_form_of_the_response(
+    rig: Rig, answer: bytes
+) -> None:
     client = rig.asked(ask("x", "book"))
     first = only(rig.got())
     for n in range(len(answer)):
@@ -329,7 +350,7 @@
         rig.settle()
     second = only(rig.got())
     assert second.stand is not first.stand
-    second.raw(b"HTTP/1.0 200 X\r\n\r\nof x")  # an end tells that it is whole
+    second.raw(b"HTTP/1.0 200 X\r\n\r\nof x")  # the end of the connection completes the body
     rig.settle()
     second.close()
     rig.settle()
@@ -339,30 +360,30 @@
 
 @pytest.mark.parametrize("stray", [b"HTTP/1.1 2", b"HTTP/1.1 200 OK\r\n", b"H", b"\r\n", b"5\r\n"])
 @pytest.mark.parametrize("name", ["book", "look"])
-def test_half_a_line_that_comes_when_a_connection_is_taken_is_no_part_of_the_answer(
+def test_a_partial_line_on_an_idle_connection_is_no_part_of_the_response(
     rig: Rig, monkeypatch: pytest.MonkeyPatch, stray: bytes, name: str
 ) -> None:
-    """It comes behind the last look at the connection and before the request's first byte."""
+    """It arrives after the last check of the connection and before the first byte of the request."""
     warm = rig.asked(ask("warm", "look", headers="Cookie: user=k\r\n"))
     first = rig.serve()
     assert warm.status() == 200
     rig.wait(1.0)
     take = rig.pool.take
 
-    def taken(*of: Any) -> Connection | None:
-        connection = take(*of)
+    def take_with_stray(*arguments: Any) -> Connection | None:
+        connection = take(*arguments)
         if connection is not None:
             first.raw(stray)
         return connection
 
-    monkeypatch.setattr(rig.pool, "take", taken)
+    monkeypatch.setattr(rig.pool, "take", take_with_stray)
     for stand in rig.stands:
         if stand is not first.stand:
             rig.tell(entry(f"e{rig.stands.index(stand)}", stand.port, "DRAINING"))
     client = rig.asked(ask("x", name))
     got = only(rig.got())
     assert got.stand is first.stand and rig.pool.reused == 1
-    with contextlib.suppress(OSError):  # what can't begin an answer has ended the connection already
+    with contextlib.suppress(OSError):  # a line that can't start a response has already closed the connection
         got.answer(200, b"of x")
-    assert rig.got() == [] and rig.pool.open == 0, "the connection is of no further use"
+    assert rig.got() == [] and rig.pool.open == 0, "the connection is not reused"
     assert client.status() == (502 if name == "book" else 503)  # no other endpoint is ready
--- a/tests/test_sites_settings.py
+++ b/tests/test_sites_settings.py
@@ -1,4 +1,4 @@
-"""Any deployment: classes, tenants, zones and limits come from the settings, and stay those of the start."""
+"""Classes, tenants, zones and limits come from the settings, and some changes need a restart."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def settings_of(site: dict[str, Any]) -> dict[str, Any]:
-    """What a sidecar of that site is told, as docs and README name it."""
+    """Returns the settings of a sidecar of that site."""
     rules, allow, tier = site["rules"], site["allow"], site["tier"][0]
     contract = {
         "answer-slack": 20.0,
@@ -43,8 +43,8 @@
         "fall-multiple": rules["fall_multiple"],
         "tip-after": rules["fall_ms"],
         "stop-sending-within": rules["drain_grace_ms"],
-        "cold-from": min(k["cold_from"][0] for k in tier["kind"]),
-        "cold": max(k["cold_s"][1] for k in tier["kind"]) * 1000,
+        "cold-from": min(machine_kind["cold_from"][0] for machine_kind in tier["kind"]),
+        "cold": max(machine_kind["cold_s"][1] for machine_kind in tier["kind"]) * 1000,
     }
     if "budget_ms" in rules:
         contract |= {
@@ -71,24 +71,24 @@
         },
         "prices": {"cross-zone": site["prices"]["cross_zone"], "peer": site["prices"]["peer"]},
         "weight-kind": tier["weights"],
-        "kinds": [k["name"] for k in tier["kind"]],
+        "kinds": [machine_kind["name"] for machine_kind in tier["kind"]],
         "tenants": [
-            {"name": t["name"], "share": t["share"], "allowance-per-s": 100 * t["share"]}
-            for t in site.get("tenant", [])
+            {"name": tenant["name"], "share": tenant["share"], "allowance-per-s": 100 * tenant["share"]}
+            for tenant in site.get("tenant", [])
         ],
         "excess-value": site["load"].get("over_share_worth", 1.0),
         "traffic-types": [
             {
-                "name": c["name"],
-                "effect": EFFECTS[c["effect"]],
-                "dedup-scope": c.get("group", "all"),
-                "memory-span": c.get("window_ms", 5000),
-                "promised-time": c["aim_ms"],
-                "expiry": c["deadline_ms"],
-                "value": c["worth"],
-                "overdue-value": c["late_worth"],
+                "name": traffic_class["name"],
+                "effect": EFFECTS[traffic_class["effect"]],
+                "dedup-scope": traffic_class.get("group", "all"),
+                "memory-span": traffic_class.get("window_ms", 5000),
+                "promised-time": traffic_class["aim_ms"],
+                "expiry": traffic_class["deadline_ms"],
+                "value": traffic_class["worth"],
+                "overdue-value": traffic_class["late_worth"],
             }
-            for c in site["class"]
+            for traffic_class in site["class"]
         ],
     }
 
@@ -103,35 +103,37 @@
     }
 
 
-# The site files of this project.
+# The site files in deploy/sites.
 
 
-def test_the_sites_cover_what_a_deployment_may_have() -> None:
+def test_the_sites_cover_the_options_of_a_deployment() -> None:
     sites = [site(path) for path in SITES]
-    classes = [c for s in sites for c in s["class"]]
-    assert len(sites) >= 2 and len({c["name"] for c in classes}) == len(classes)
-    assert {c["effect"] for c in classes} == set(EFFECTS)
-    assert {c["group"] for c in classes if c["effect"] == "keyed"} == set(GROUPS)
-    assert len({len(s["class"]) for s in sites}) == len(sites)
-    for has in (
-        [len(s["net"]["zones"]) > 1 for s in sites],
-        ["tenant" in s for s in sites],
-        [s["allow"]["retry_after"] for s in sites],
-        [s["allow"]["second_copies"] for s in sites],
-        [s["discovery"]["mode"] == "push" for s in sites],
-        [s["load"]["keys"] != 0 for s in sites],
+    classes = [traffic_class for loaded_site in sites for traffic_class in loaded_site["class"]]
+    assert len(sites) >= 2 and len({traffic_class["name"] for traffic_class in classes}) == len(classes)
+    assert {traffic_class["effect"] for traffic_class in classes} == set(EFFECTS)
+    assert {traffic_class["group"] for traffic_class in classes if traffic_class["effect"] == "keyed"} == set(
+        GROUPS
+    )
+    assert len({len(loaded_site["class"]) for loaded_site in sites}) == len(sites)
+    for values in (
+        [len(loaded_site["net"]["zones"]) > 1 for loaded_site in sites],
+        ["tenant" in loaded_site for loaded_site in sites],
+        [loaded_site["allow"]["retry_after"] for loaded_site in sites],
+        [loaded_site["allow"]["second_copies"] for loaded_site in sites],
+        [loaded_site["discovery"]["mode"] == "push" for loaded_site in sites],
+        [loaded_site["load"]["keys"] != 0 for loaded_site in sites],
     ):
-        assert set(has) == {True, False}
-    # The bench for real nodes refuses to play a site with a retry budget; tests/test_protocol.py reads one.
-    assert not any("budget_ms" in s["rules"] for s in sites)
+        assert set(values) == {True, False}
+    # The benchmark on real nodes does not accept a retry budget; tests/test_protocol.py covers one.
+    assert not any("budget_ms" in loaded_site["rules"] for loaded_site in sites)
 
 
-def test_nothing_in_the_program_names_what_belongs_to_one_site() -> None:
+def test_the_program_contains_no_name_of_a_site() -> None:
     files = [*(ROOT / "rainspindle").rglob("*.py"), *(ROOT / "deploy").glob("*.toml")]
     text = "\n".join(file.read_text() for file in files)
-    for s in map(site, SITES):
-        parts = [*s["class"], *s.get("tenant", []), *s["tier"][0]["kind"]]
-        for name in [s["name"], *s["net"]["zones"], *(part["name"] for part in parts)]:
+    for loaded_site in map(site, SITES):
+        parts = [*loaded_site["class"], *loaded_site.get("tenant", []), *loaded_site["tier"][0]["kind"]]
+        for name in [loaded_site["name"], *loaded_site["net"]["zones"], *(part["name"] for part in parts)]:
             assert not re.search(rf"['\"]{re.escape(name)}['\"]", text), name
 
 
@@ -139,7 +141,7 @@
 def test_a_sidecar_serves_each_class_of_a_site(path: Path) -> None:
     settings = settings_of(site(path))
     loaded = check("config.json", config(settings=settings), {})
-    assert loaded.settings.type_names == tuple(c["name"] for c in site(path)["class"])
+    assert loaded.settings.type_names == tuple(traffic_class["name"] for traffic_class in site(path)["class"])
     rig = Rig(settings=settings)
     for n, name in enumerate(loaded.settings.type_names):
         client = rig.asked(ask(f"x{n}", name, headers="X-Attrs: billing=0\r\n" if n % 2 else ""))
@@ -148,28 +150,30 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_class_goes_again_as_its_effect_lets(path: Path) -> None:
-    """Each attempt that may have run is followed by what the class permits, within its group."""
+def test_a_class_is_retried_as_its_effect_permits(path: Path) -> None:
+    """After an attempt that may have been executed, a retry follows only within the deduplication scope."""
     settings = settings_of(site(path))
     zones = settings["failure-domains"]
-    for kind_ in settings["traffic-types"]:
+    for traffic_class in settings["traffic-types"]:
         rig = Rig(settings=settings)
         entries = [
             {**entry(f"e{n}", stand.port, zone=zones[n % len(zones)]), "cell": n}
             for n, stand in enumerate(rig.stands)
         ]
         rig.tell(*entries, whole=True)
-        client = rig.asked(ask("x", kind_["name"]))
+        client = rig.asked(ask("x", traffic_class["name"]))
         rig.serve(500)
-        again = rig.got()
-        alone = kind_["effect"] == "non_idempotent" or (
-            kind_["effect"] == "idempotency_key" and kind_["dedup-scope"] != "all" and len(zones) > 1
+        retries = rig.got()
+        is_final = traffic_class["effect"] == "non_idempotent" or (
+            traffic_class["effect"] == "idempotency_key"
+            and traffic_class["dedup-scope"] != "all"
+            and len(zones) > 1
         )
-        assert len(again) == (0 if alone else 1), kind_["name"]
-        assert not alone or client.status() == 502
+        assert len(retries) == (0 if is_final else 1), traffic_class["name"]
+        assert not is_final or client.status() == 502
 
 
-# Settings of any form.
+# Forms of the settings.
 
 
 @pytest.mark.parametrize("count", [1, 2, 7])
@@ -183,8 +187,8 @@
     assert rig.asked(ask("y", "class 7")).status() == 400
 
 
-def test_what_the_settings_may_leave_out() -> None:
-    least = {
+def test_optional_settings_may_be_absent_or_null() -> None:
+    minimal = {
         "zone": 0,
         "policy-limits": {"max-forwards": 1},
         "contract": {key: SETTINGS["contract"][key] for key in SETTINGS["contract"] if key != "answer-slack"},
@@ -202,7 +206,7 @@
             "excess-value",
         )
     )
-    for settings in (least, {**least, **nulls}):
+    for settings in (minimal, {**minimal, **nulls}):
         assert check("config.json", config(settings=settings), {}).settings.zones == ()
         rig = Rig(settings=settings)
         client = rig.asked(ask("x"))
@@ -245,20 +249,23 @@
         ({"contract": {k: v for k, v in CONTRACT.items() if k != "cold"}}, "lack 'cold'"),
     ],
 )
-def test_settings_that_cannot_be_served_are_one_clear_error(changes: dict[str, Any], words: str) -> None:
+def test_invalid_settings_are_reported_in_one_line(changes: dict[str, Any], words: str) -> None:
     with pytest.raises(ConfigFault) as refused:
         check("config.json", config(settings={**SETTINGS, **changes}), {})
     assert words in str(refused.value) and "\n" not in str(refused.value)
 
 
 @pytest.mark.parametrize("whole", [[], "settings", 3])
-def test_settings_that_are_no_object_are_one_clear_error(whole: object) -> None:
+def test_settings_that_are_no_object_are_rejected(whole: object) -> None:
     with pytest.raises(ConfigFault, match="settings is no object"):
         check("config.json", config(settings=whole), {})
 
 
-def test_the_same_settings_are_refused_by_both_hosts() -> None:
-    for make in (socket_settings, lambda s: make_balancer(Fleet([kind()], []), 1, 0.0, s)):
+def test_both_hosts_reject_the_same_settings() -> None:
+    for make in (
+        socket_settings,
+        lambda raw_settings: make_balancer(Fleet([kind()], []), 1, 0.0, raw_settings),
+    ):
         with pytest.raises(ValueError, match="traffic-types"):
             make({**SETTINGS, "traffic-types": []})
 
@@ -266,18 +273,24 @@
 # Zones that the settings do not name.
 
 
-def test_zones_that_the_settings_do_not_name_are_not_taken_for_one() -> None:
-    """Guards against a repeat that goes to a zone which doesn't know of the first."""
-    one, other = (ListDecoder(["north"], 0.0) for _ in range(2))
+def test_zones_that_the_settings_do_not_name_are_distinct() -> None:
+    """Otherwise a retry could go to a zone that does not recognize the key of the first attempt."""
+    decoder, other_decoder = (ListDecoder(["north"], 0.0) for _ in range(2))
     east, west = entry("e0", 1, zone="east"), entry("e1", 1, zone="west")
-    assert one.line(east).zone != one.line(west).zone
-    assert min(one.line(east).zone, one.line(west).zone) < -1 == one.line(entry("e2", 1, zone="")).zone
-    assert other.line(west).zone == one.line(west).zone, "alike at all sidecars"
-    assert one.line(entry("e3", 1, zone="north")).zone == 0
+    assert decoder.line(east).zone != decoder.line(west).zone
+    assert (
+        min(decoder.line(east).zone, decoder.line(west).zone)
+        < -1
+        == decoder.line(entry("e2", 1, zone="")).zone
+    )
+    assert other_decoder.line(west).zone == decoder.line(west).zone, (
+        "the number of a zone differs between sidecars"
+    )
+    assert decoder.line(entry("e3", 1, zone="north")).zone == 0
 
 
 @pytest.mark.parametrize(("zones", "again"), [(("east", "west"), 0), (("east", "east"), 1)])
-def test_a_keyed_request_stays_in_its_zone_also_where_the_settings_do_not_name_it(
+def test_a_deduplicated_request_stays_in_its_zone_even_if_the_settings_do_not_name_it(
     zones: tuple[str, str], again: int
 ) -> None:
     rig = Rig(2)
@@ -294,11 +307,11 @@
     assert again or client.status() == 502
 
 
-# A new configuration while requests come.
+# Reloading the configuration under traffic.
 
 
 def reload(service: Service, **changes: Any) -> str:
-    """The log line of a SIGHUP with these changes to the file of the start."""
+    """Reloads by SIGHUP with these changes to the initial configuration; returns the log line."""
     before = service.logged().count("configuration read again")
     service.file.write_text(json.dumps({**service.config, **changes}))
     service.process.send_signal(signal.SIGHUP)
@@ -307,15 +320,15 @@
     return lines[-1]
 
 
-def test_other_classes_and_tenants_need_a_restart_and_requests_go_on_by_the_old(tmp_path: Path) -> None:
+def test_changed_classes_and_tenants_need_a_restart_and_requests_use_the_old_ones(tmp_path: Path) -> None:
     service = Service(tmp_path)
-    other = {
+    changed_settings = {
         **types("fetch", "store", effect="non_idempotent"),
         "tenants": [{"name": "t", "share": 1.0}],
         "failure-domains": ["east"],
     }
-    for _ in range(2):  # the second time too: the process still runs by the first file
-        assert reload(service, settings=other).endswith("needs_restart=settings")
+    for _ in range(2):  # the second time too: the process still uses the first file
+        assert reload(service, settings=changed_settings).endswith("needs_restart=settings")
     assert service.answer(service.asked(ask("new", "fetch")))[0] == 400
     for name in ("look", "book", "note"):
         client = service.asked(ask(f"old-{name}", name))
@@ -325,7 +338,7 @@
 
 
 class NoSignals:
-    """In place of the process's own."""
+    """Replaces the signal handling of the process."""
 
     def __init__(self, loop: Any) -> None:
         self.came: Any = None
@@ -338,7 +351,7 @@
 
 
 class Reloaded:
-    """A sidecar within this process, and what the file of its next configuration holds."""
+    """A sidecar in this process, and the content of its next configuration file."""
 
     def __init__(self, **changes: Any) -> None:
         self.raw = config(**changes)
@@ -354,16 +367,16 @@
 
 @pytest.fixture
 def reloaded(no_signals: None) -> Iterator[Reloaded]:
-    made = Reloaded()
-    yield made
-    made.sidecar.listener.close()
+    instance = Reloaded()
+    yield instance
+    instance.sidecar.listener.close()
 
 
 def limits(sidecar: serve.Sidecar) -> tuple[int, int]:
     return sidecar.front.most_clients, sidecar.pool.most
 
 
-def test_new_limits_are_taken_over(reloaded: Reloaded) -> None:
+def test_new_limits_are_applied(reloaded: Reloaded) -> None:
     sidecar = reloaded.sidecar
     for sockets, memory in ((400, 512), (900, 64)):
         reloaded.reload(limits={"sockets": sockets, "memory_mb": memory})
@@ -371,23 +384,23 @@
         assert sidecar.front.room.places == serve.room(reloaded.read()) // STREAM  # type: ignore[attr-defined]
 
 
-def test_new_limits_are_shared_with_a_process_beside_this_one(reloaded: Reloaded) -> None:
-    """Guards against two processes that have the whole limits each, where SIGHUP comes during a restart."""
+def test_new_limits_are_shared_with_an_overlapping_process(reloaded: Reloaded) -> None:
+    """Otherwise two processes would each use the whole limits after a SIGHUP during a restart."""
     sidecar = reloaded.sidecar
-    sidecar.alone_at = sidecar.loop.now() + serve.OVERLAP  # it has just taken over from another
+    sidecar.alone_at = sidecar.loop.now() + serve.OVERLAP  # it has just taken over from another process
     reloaded.reload(limits={"sockets": 400})
     clients, connections = serve.caps(reloaded.read())
     assert limits(sidecar) == (clients // 2, connections // 2)
 
 
-def test_what_needs_a_restart_stays_as_it_was(reloaded: Reloaded) -> None:
-    """Guards against parts that read the settings of the new file while the others go by the old ones."""
+def test_settings_that_need_a_restart_are_not_applied(reloaded: Reloaded) -> None:
+    """Otherwise some components would use the settings of the new file and others the old ones."""
     sidecar, before = reloaded.sidecar, reloaded.read()
-    told = list[Config]()
-    sidecar.fleet = SimpleNamespace(reload=told.append)
+    received_configs = list[Config]()
+    sidecar.fleet = SimpleNamespace(reload=received_configs.append)
     reloaded.reload(name="n2", settings=types("fetch"), discovery="127.0.0.1:10", limits={"cores": 0.5})
     running = sidecar.config
-    assert told == [running], "a fleet file is read against the settings in force"
+    assert received_configs == [running], "a fleet file is checked against the active settings"
     assert (running.name, running.settings, running.raw_settings) == (
         before.name,
         before.settings,
@@ -410,10 +423,10 @@
 """
 
 
-def test_statements_keep_their_classes_where_new_settings_need_a_restart(
+def test_statements_keep_their_classes_when_new_settings_need_a_restart(
     tmp_path: Path, no_signals: None, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against the number of a class in the new settings that is another class in those in force."""
+    """The index of a class in the new settings may be another class in the active settings."""
     (tmp_path / "anna.password").write_text("secret")
     (tmp_path / "anna.password").chmod(0o600)
     (tmp_path / "mysql.toml").write_text(MYSQL)
