--- a/rainspindle/balancer/attempt_recorder.py
+++ b/rainspindle/balancer/attempt_recorder.py
@@ -69,9 +69,8 @@
         is_healthy = outcome is AttemptOutcome.TIMED_OUT and endpoint.last_response_at > attempt.sent_at
         if attempt.trial:
             attempt.trial.reopen(now)
-        if (
-            attempt.request.has_key and not is_healthy
-        ):  # requests without a key count for outlier detection alone
+        # Requests without a key count for outlier detection alone.
+        if attempt.request.has_key and not is_healthy:
             self._record_key_failure(attempt, now)
         if not endpoint.breaker and not attempt.overdue:
             failure_weight = 0.0 if is_healthy else 1.0
--- a/rainspindle/routing/facade.py
+++ b/rainspindle/routing/facade.py
@@ -32,24 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SendThere:
-    """Sends an attempt to an endpoint.
-
-    Attributes:
-        endpoint: The endpoint's name.
-        number: The attempt's number within the request, from 0.
-        patience: The attempt's timeout in seconds.
-    """
+    """Sends an attempt to an endpoint."""
 
     endpoint: str
-    number: int
-    patience: float
+    number: int  # of the attempt within the request, from 0
+    patience: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answers that the request had no effect and may be retried after `hold_off` seconds."""
+    """Answers that the request had no effect and may be retried after some time."""
 
-    hold_off: float
+    hold_off: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,21 +56,13 @@
 
 @dataclass(slots=True)
 class Did:
-    """The actions that the balancer took in one call.
-
-    Attributes:
-        steps: Attempts to send and final responses, each with its request id.
-        called_off: The attempts to cancel, by request id and attempt number.
-        told: The messages to send to the other sidecars.
-        watch: Whether to start watching the endpoint list.
-        wake_at: The time at which `tick` must be called next.
-    """
+    """The actions that the balancer took in one call."""
 
-    steps: list[tuple[int, Step]] = field(default_factory=list)
-    called_off: list[tuple[int, int]] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
-    watch: bool = False
-    wake_at: float = math.inf
+    steps: list[tuple[int, Step]] = field(default_factory=list)  # with request ids
+    called_off: list[tuple[int, int]] = field(default_factory=list)  # request ids and attempt numbers
+    told: list[str] = field(default_factory=list)  # to be sent to the other sidecars
+    watch: bool = False  # whether to start watching the endpoint list
+    wake_at: float = math.inf  # when `tick` must be called next
 
 
 class Decisions(Protocol):
@@ -115,24 +101,15 @@
 
 
 class Facade:
-    """The balancer's host: collects the actions of the balancer until the current call returns them.
-
-    Attributes:
-        now: The time of the current call.
-        wakes: The pending timers as a heap; the serial number keeps the order of equal times.
-        wakes_set: The number of timers set so far.
-        sent: The attempts sent so far, by request id, for requests without a final response.
-        did: The actions taken since the last call returned.
-        balancer: The balancer, or a baseline in its place.
-    """
+    """The balancer's host: collects the actions of the balancer until the current call returns them."""
 
     def __init__(self, now: float, make: Callable[[BalancerHost], Decisions]) -> None:
         """Creates the balancer by calling `make` with this facade as its host."""
         self.now = now
-        self.wakes: list[tuple[float, int, Timer]] = []
+        self.wakes: list[tuple[float, int, Timer]] = []  # a heap; the serial number orders equal times
         self.wakes_set = 0
-        self.sent: dict[int, int] = {}
-        self.did = Did()
+        self.sent: dict[int, int] = {}  # by request id, for requests without a final response
+        self.did = Did()  # since the last call returned
         self.balancer = make(self)
 
     def pick(
@@ -155,8 +132,8 @@
             key: The key that failures are counted by; None for a request without one.
             deadline: The time at which the client gives up.
             is_client_retry: Whether the client has sent it before.
-            body_incomplete: Whether its body is still being received; `written` must then be called for each
-                attempt that has the whole body.
+            body_incomplete: Whether its body is still being received; each attempt must then be reported
+                once its endpoint has the whole body.
             tenant: The index of its tenant in the settings, or None if unknown.
         """
         self.now, self.sent[request_id] = now, 0
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -171,9 +171,9 @@
     return Fleet([traffic_class], [line(n) for n in range(endpoints)], **other)
 
 
-@pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
+@pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_the_deduplication_scope_is_that_of_the_endpoint_when_the_attempt_was_sent(
-    scope: DeduplicationScope,
+    group: DeduplicationScope,
 ) -> None:
     """The retry must stay within the zone or cell that the endpoint had when the attempt was sent.
 
@@ -181,7 +181,7 @@
     """
     retry_count = 0
     for n in range(16):
-        fleet = fleet_of(scope)
+        fleet = fleet_of(group)
         request = fleet.arrive(1, key=f"key{n}", wait=8.0)
         first = fleet.told[request.sent[0].endpoint]
         # Zone and cell are as decoded if the entry lacks them.
@@ -192,7 +192,7 @@
             endpoint = fleet.told[sent.endpoint]
             assert (
                 endpoint.zone == first.zone
-                if scope is DeduplicationScope.ZONE
+                if group is DeduplicationScope.ZONE
                 else endpoint.cell == first.cell
             )
             retry_count += 1
