--- a/rainspindle/balancer/attempt_recorder.py
+++ b/rainspindle/balancer/attempt_recorder.py
@@ -42,7 +42,7 @@
         is_late = latency * self.capacity.slow_start.capacity(endpoint, now) > objective
         self._record_time(endpoint, latency, now)
         if self.capacity.shares_load:
-            self.capacity.service_times.of(endpoint.listed).record(attempt.in_flight_before, latency)
+            self.capacity.service_times.model_of(endpoint.listed).record(attempt.in_flight_before, latency)
         unloaded_time = endpoint.unloaded_time or self.latency.unloaded or objective
         endpoint.record_response(now, attempt.sent_at, unloaded_time, objective)
         self._close_key(attempt)
--- a/rainspindle/balancer/balancer.py
+++ b/rainspindle/balancer/balancer.py
@@ -47,7 +47,7 @@
         config: The configuration.
         traffic_classes: The configured classes, and those added for canaries.
         registry: The known endpoints.
-        failover: The failover table, by key.
+        failover: The failover table (steps 2 to 5 of the design).
         latency: Response times over all endpoints.
         slow_start: Limits the attempts that warming endpoints get.
         service_times: The service time model of each machine kind.
@@ -162,7 +162,7 @@
         self._on_registry_changed(self.registry.disable(endpoint_id))
 
     def enable_endpoint(self, now: float, endpoint_id: str) -> None:
-        """Reverses `disable_endpoint`. What was learned is dropped, as the endpoint may have restarted."""
+        """Reverses `disable_endpoint`. What was learned is dropped, as the endpoint was restarted."""
         if endpoint_id not in self.registry.disabled:
             return
         self.slow_start.record_enabled(endpoint_id, now)
@@ -399,7 +399,7 @@
             if line.weight > 0:
                 known = self.registry.by_id.get(line.id)
                 in_flight = self.capacity.in_flight(known) if known else 0
-                self.service_times.of(line).record_weight(line.weight, in_flight)
+                self.service_times.model_of(line).record_weight(line.weight, in_flight)
 
     def _on_registry_changed(self, ready_changed: bool) -> None:
         if ready_changed or self.config.use_listed_weights:
@@ -438,5 +438,5 @@
         if self.service_times.learn(self.peer_load.kind_estimates()):
             self.ranking.clear()
         self._host.publish_learned_state(
-            LearnedState(tuple(self.quotas.rates), self.service_times.estimates_here())
+            LearnedState(tuple(self.quotas.rates), self.service_times.own_estimates())
         )
--- a/rainspindle/balancer/capacity.py
+++ b/rainspindle/balancer/capacity.py
@@ -11,7 +11,7 @@
 
 @dataclass(eq=False, slots=True)
 class EndpointCapacity:
-    """Limits the attempts in flight at an endpoint: by the mean of all, a window, and the slow-start budget.
+    """Limits the attempts in flight at an endpoint: by the design's skip limit, a window, and slow start.
 
     Attributes:
         shares_load: Whether peers publish their load; then the learned concurrency replaces the window.
@@ -45,7 +45,7 @@
         extra = float(self.SKIP_EXTRA)
         limit = endpoint.window
         if self.shares_load:
-            concurrency = self.service_times.of(endpoint.listed).concurrency
+            concurrency = self.service_times.model_of(endpoint.listed).concurrency
             extra = concurrency - 1
             limit = self.MAX_OVER_CONCURRENCY * concurrency
         if in_flight > self.SKIP_FACTOR * mean_in_flight + extra or in_flight >= limit:
--- a/rainspindle/balancer/load_shedding.py
+++ b/rainspindle/balancer/load_shedding.py
@@ -85,7 +85,7 @@
         """Returns whether the endpoint is too loaded for the request."""
         objective = request.traffic_class.latency_objective
         if self._capacity.shares_load:
-            model = self._capacity.service_times.of(endpoint.listed)
+            model = self._capacity.service_times.model_of(endpoint.listed)
             expected = model.expected_time(self._capacity.in_flight(endpoint))
             probability = self._shared_probability(expected, objective, model.unloaded_time)
         else:
--- a/rainspindle/balancer/outlier_detection.py
+++ b/rainspindle/balancer/outlier_detection.py
@@ -9,7 +9,7 @@
 
 
 class OutlierDetector:
-    """Judges each endpoint by all of its outcomes, whatever their keys."""
+    """Applies the design's rule for requests without a key to each endpoint, on all of its outcomes."""
 
     MIN_FAILURES = 2  # an endpoint with more is ejected if they also exceed the allowed ratio
     FAILURE_RATIO = 0.25  # allowed ratio, or twice the ratio of all endpoints if that is more,
--- a/rainspindle/balancer/ranking.py
+++ b/rainspindle/balancer/ranking.py
@@ -56,7 +56,7 @@
         if self._config.use_listed_weights and listed.weight > 0:
             weight = listed.weight
         if self._config.share_load:  # an unknown kind counts as the fastest, else it would never be learned
-            weight = (self._service_times.of(listed).unloaded_time or fastest) ** -self.SPEED_EXPONENT
+            weight = (self._service_times.model_of(listed).unloaded_time or fastest) ** -self.SPEED_EXPONENT
         if listed.zone == self._config.zone:
             weight *= self._zone_factor
         return weight
--- a/rainspindle/balancer/selection.py
+++ b/rainspindle/balancer/selection.py
@@ -82,12 +82,12 @@
         context = SelectionContext(request, now, total / len(ranked) if ranked else 0.0)
         entry = self._entry(request.key)
         if entry is not None and self._is_key_trial(context, entry):
-            return Selection(entry.first, entry)  # exactly one request of the key is the trial
+            return Selection(entry.first, entry)  # step 5 of the design: one request of the key is the trial
         order = self._order(request.key, entry, ranked)
         return self._reenabled(context, order) or self._first_acceptable(context, order)
 
     def _entry(self, key: str) -> FailoverEntry[EndpointState] | None:
-        """Returns the key's failover entry; drops it if its current endpoint is not ready."""
+        """Returns the key's failover entry; drops it if its current endpoint is not ready (step 4)."""
         entry = self.failover.entries.get(key)
         if entry is not None and entry.current.listed.status is not EndpointStatus.READY:
             del self.failover.entries[key]
--- a/rainspindle/balancer/service_time.py
+++ b/rainspindle/balancer/service_time.py
@@ -24,7 +24,7 @@
     machines of one kind differ.
 
     Attributes:
-        estimate_here: The estimate learned by this sidecar; an unloaded time of 0 means unknown.
+        own_estimate: The estimate learned by this sidecar; an unloaded time of 0 means unknown.
         unloaded_time: The seconds of an unloaded request: the median of all sidecars' estimates.
         concurrency: The requests in flight above which times rise: the median of all sidecars' estimates.
     """
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.unloaded_time = 0.0
         self.concurrency = self.INITIAL_CONCURRENCY
-        self.estimate_here = KindEstimate(0.0, self.INITIAL_CONCURRENCY)
+        self.own_estimate = KindEstimate(0.0, self.INITIAL_CONCURRENCY)
         self._log_seconds = [0.0] * self.MAX_IN_FLIGHT  # summed, by the number in flight
         self._responses = [0.0] * self.MAX_IN_FLIGHT
         self._largest_weight = 0.0  # the size of a machine, if listed weights fall with load
@@ -70,11 +70,11 @@
         Returns:
             Whether the unloaded time changed, so that rankings must be recomputed.
         """
-        self._learn_here()
+        self._learn_own_estimate()
         self._decay()
         known = [*peers]
-        if self.estimate_here.unloaded_time:
-            known.append(self.estimate_here)
+        if self.own_estimate.unloaded_time:
+            known.append(self.own_estimate)
         if not known:
             return False
         middle = len(known) // 2
@@ -85,16 +85,16 @@
         self.unloaded_time = unloaded_time
         return True
 
-    def _learn_here(self) -> None:
-        unloaded_time = self.estimate_here.unloaded_time
-        concurrency = self.estimate_here.concurrency
+    def _learn_own_estimate(self) -> None:
+        unloaded_time = self.own_estimate.unloaded_time
+        concurrency = self.own_estimate.concurrency
         levels = self._load_levels()
         if levels:
             unloaded_time = min(unloaded_time * self.UNLOADED_DRIFT or math.inf, levels[0].seconds)
             concurrency = self._max_unloaded(levels, unloaded_time, concurrency)
         if self._largest_weight:  # the list gives it, with a delay: until then no limit is known
             concurrency = self._listed_concurrency()
-        self.estimate_here = KindEstimate(unloaded_time, concurrency)
+        self.own_estimate = KindEstimate(unloaded_time, concurrency)
 
     def _load_levels(self) -> list[LoadLevel]:
         levels = list[LoadLevel]()
@@ -138,7 +138,7 @@
     def __init__(self) -> None:
         self.models = dict[int, ServiceTimeModel]()
 
-    def of(self, listed: ListedEndpoint) -> ServiceTimeModel:
+    def model_of(self, listed: ListedEndpoint) -> ServiceTimeModel:
         """Returns the model of the endpoint's machine kind."""
         model = self.models.get(listed.machine_kind)
         if model is None:
@@ -151,12 +151,12 @@
             (model.unloaded_time for model in self.models.values() if model.unloaded_time), default=1.0
         )
 
-    def estimates_here(self) -> dict[int, KindEstimate]:
+    def own_estimates(self) -> dict[int, KindEstimate]:
         """Returns the estimates that this sidecar has learned, by kind."""
         return {
-            kind: model.estimate_here
+            kind: model.own_estimate
             for kind, model in self.models.items()
-            if model.estimate_here.unloaded_time
+            if model.own_estimate.unloaded_time
         }
 
     def learn(self, peers: Sequence[dict[int, KindEstimate]]) -> bool:
--- a/rainspindle/simhost/adapter.py
+++ b/rainspindle/simhost/adapter.py
@@ -56,45 +56,45 @@
         self.instance = instance
         self.outbox = outbox
 
-    def emit(self, name: str, **fields: object) -> None:
+    def act(self, name: str, **fields: object) -> None:
         """Adds an action of this sidecar to the reply."""
         self.outbox.append({"event_type": name, "sidecar-id": self.instance, **fields})
 
     def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
         """Replies `Try`; the timeout is sent as at least 1 ms."""
-        self.emit("Try", corr=request_id, endpoint=endpoint_id, patience=max(timeout, 0.001) * 1000)
+        self.act("Try", corr=request_id, endpoint=endpoint_id, patience=max(timeout, 0.001) * 1000)
 
     def reject(self, request_id: int, retry_after: float) -> None:
         """Replies `Bounce`."""
-        self.emit("Bounce", corr=request_id, **{"hold-off": retry_after * 1000})
+        self.act("Bounce", corr=request_id, **{"hold-off": retry_after * 1000})
 
     def fail(self, request_id: int) -> None:
         """Replies `FinishError`."""
-        self.emit("FinishError", corr=request_id)
+        self.act("FinishError", corr=request_id)
 
     def cancel_attempt(self, request_id: int, number: int) -> None:
         """Replies `Retract`."""
-        self.emit("Retract", corr=request_id, **{"try": number})
+        self.act("Retract", corr=request_id, **{"try": number})
 
     def schedule_timer(self, delay: float, timer: Timer) -> None:
         """Replies `NotifyMe`, with the timer as its opaque context."""
-        self.emit("NotifyMe", wait=delay * 1000, ctx=timer.value)
+        self.act("NotifyMe", wait=delay * 1000, ctx=timer.value)
 
     def watch_endpoint_list(self) -> None:
         """Replies `Tail`."""
-        self.emit("Tail", on=True)
+        self.act("Tail", on=True)
 
     def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
         """Replies `Share` with a load message for all sidecars."""
-        self.emit("Share", target="all", payload=encode_load(started, ended, complete))
+        self.act("Share", target="all", payload=encode_load(started, ended, complete))
 
     def publish_learned_state(self, state: LearnedState) -> None:
         """Replies `Share` with the learned state for all sidecars."""
-        self.emit("Share", target="all", payload=encode_learned_state(state))
+        self.act("Share", target="all", payload=encode_learned_state(state))
 
     def log(self, line: str) -> None:
         """Replies `Log`."""
-        self.emit("Log", **{"reason-text": line})
+        self.act("Log", **{"reason-text": line})
 
 
 class Adapter:
