--- a/rainspindle/decisions/members/failure_detector.py
+++ b/rainspindle/decisions/members/failure_detector.py
@@ -61,7 +61,7 @@
     Attributes:
         requester: Packed address of the member that requested it.
         echo: Number of the request, which the answer repeats.
-        nack_at: Time at which the requester is told that there was no answer; infinite once it was told.
+        nack_at: Time at which a NACK is sent to the requester; infinite after that.
         expires_at: Time at which the ping is discarded.
     """
 
--- a/rainspindle/decisions/members/member_states.py
+++ b/rainspindle/decisions/members/member_states.py
@@ -14,7 +14,7 @@
 from ...protocol import members as wire
 from ...protocol.members import MessageKind, Status
 from ...transport.address import address_text
-from ..shared.broadcast_queue import transmissions
+from ..shared.broadcast_queue import transmission_limit
 from .context import MembershipContext
 from .dissemination import BATCH_DELAY, Dissemination
 from .member import Member, MemberStatus
@@ -105,7 +105,7 @@
             return
         record = self._table.records.get(update.name)
         if record is None:
-            if update.status <= Status.SUSPECT or update.age <= self._tuning.keep_dead:
+            if update.status <= Status.SUSPECT or update.age <= self._tuning.dead_retention:
                 self._add(now, update)
         elif update.incarnation < record.incarnation:
             self._stats.older_life += 1
@@ -127,7 +127,7 @@
         self, now: float, record: MemberRecord, status: Status, refutation: int, age: float = 0.0
     ) -> None:
         """Sets a status other than suspect, held for `age` seconds already, and ends any suspicion."""
-        before = record.member()
+        before = record.to_member()
         record.status = status
         record.refutation = refutation
         record.status_since = now - age
@@ -144,7 +144,7 @@
             return
         if suspicion is None and refutation == record.refutation and record.status == Status.DEAD:
             return
-        before = record.member()
+        before = record.to_member()
         self._stats.suspected += 1
         record.refutation = refutation
         record.status = Status.SUSPECT
@@ -162,7 +162,7 @@
         """Applies an update of the incarnation that is known already."""
         is_same_refutation = update.refutation == record.refutation
         if update.status == record.status and is_same_refutation and record.is_living:
-            self._messenger.updates.record_heard(update.name, transmissions(len(self._table.records)))
+            self._messenger.updates.record_heard(update.name, transmission_limit(len(self._table.records)))
         if update.status == Status.LEFT:
             refutation = max(update.refutation, record.refutation)
             self.declare(now, record, Status.LEFT, refutation, float(update.age))
@@ -224,13 +224,13 @@
             self._dissemination.schedule(now + BATCH_DELAY)
             self._log(now, "member joined", record)
         self.changes += 1
-        self._host.on_member_changed(None, record.member())
+        self._host.on_member_changed(None, record.to_member())
         if update.status == Status.SUSPECT:
             self.suspect(now, record, update.refutation, Accusation(update.suspected_by or UNKNOWN))
 
     def _restart(self, now: float, record: MemberRecord, update: wire.MemberUpdate) -> None:
         """Replaces the state of a member by that of a later start under the same name."""
-        before = record.member()
+        before = record.to_member()
         record.incarnation = update.incarnation
         record.packed_address = update.address
         record.refutation = update.refutation
@@ -289,7 +289,7 @@
 
     def _on_changed(self, now: float, record: MemberRecord, before: Member) -> None:
         self._table.update(record)
-        after = record.member()
+        after = record.to_member()
         piggyback_only = self._is_piggyback_only(record, before, after)
         self._messenger.updates.add(record.name, 1 if piggyback_only else 0)
         self._dissemination.schedule(now + BATCH_DELAY)
--- a/rainspindle/decisions/members/member_table.py
+++ b/rainspindle/decisions/members/member_table.py
@@ -68,7 +68,7 @@
         """Whether the member is alive or suspected."""
         return self.status <= Status.SUSPECT
 
-    def member(self) -> Member:
+    def to_member(self) -> Member:
         """Returns the public view of the record."""
         return Member(
             self.name,
--- a/rainspindle/decisions/members/membership.py
+++ b/rainspindle/decisions/members/membership.py
@@ -60,7 +60,7 @@
         messenger: Composes and sends datagrams.
         dissemination: Decides when updates are sent.
         detector: Probes members.
-        names: Resolves conflicts about this member's name.
+        name_conflicts: Resolves conflicts about this member's name.
         states: Applies updates to member records.
         handshakes: Verifies the addresses of unknown senders.
         anti_entropy: Exchanges full states with other members.
@@ -111,13 +111,13 @@
         self.states = MemberStates(context, self.messenger, self.dissemination)
         self.detector = FailureDetector(context, self.messenger, self.states, now)
         self.anti_entropy = AntiEntropy(context, self.messenger, config.seeds, now)
-        self.names = NameConflictResolver(
+        self.name_conflicts = NameConflictResolver(
             context, self.messenger, self.dissemination, config.has_successor, now
         )
         self.handshakes = Handshakes(context, self.messenger, self.detector)
         self._monitor = SuspicionMonitor(context, self.states, self.detector, now)
         self.states.prober = self.detector
-        self.states.on_own_update = self.names.on_own_update
+        self.states.on_own_update = self.name_conflicts.on_own_update
 
     @property
     def own(self) -> OwnMember:
@@ -156,12 +156,12 @@
         own = self.own.record
         own.heard_at = max(own.heard_at, self._called_at)
         own.heard_directly_at = own.heard_at
-        return [record.member() for _, record in sorted(self.table.records.items())]
+        return [record.to_member() for _, record in sorted(self.table.records.items())]
 
     def member(self, name: str) -> Member | None:
         """Returns the member of that name, or None if it is not known."""
         record = self.table.records.get(name)
-        return None if record is None else record.member()
+        return None if record is None else record.to_member()
 
     def metrics(self) -> dict[str, object]:
         """Returns the number of living members and the counters that are not 0, for the log."""
@@ -178,7 +178,7 @@
 
         A report is truncated to 256 characters.
         """
-        if self.names.is_silenced:
+        if self.name_conflicts.is_silenced:
             return
         living = self.table.living()
         if len(living) > MAX_LOAD_REPORT_FANOUT:
@@ -196,11 +196,12 @@
         """Announces that this member shuts down, so that others do not treat it as failed."""
         if self.own.is_leaving:
             return
-        self.names.hand_over_to_any_successor()  # a successor continues under the name, so it has not left
+        # A successor continues under the name, so the member does not leave.
+        self.name_conflicts.hand_over_to_any_successor()
         self.own.is_leaving = True
         self.own.record.status = Status.LEFT
         self.table.update(self.own.record)
-        if self.names.is_silenced:
+        if self.name_conflicts.is_silenced:
             return
         self.messenger.updates.add(self.own_name)
         for record in self.context.sampler.living(MAX_LEAVE_FANOUT):
@@ -217,9 +218,9 @@
         if message is None:
             return
         if message.sender == self.own_name:
-            self.names.on_message(now, message)
+            self.name_conflicts.on_message(now, message)
             return
-        if self.names.is_silenced:
+        if self.name_conflicts.is_silenced:
             return
         sender = self._sender(now, message)
         if sender is not None:
@@ -231,8 +232,8 @@
     def on_timer(self, now: float) -> float:
         """Does all work that is due; returns the time of the next call."""
         self._check_stopped(now)
-        self.names.check(now)
-        if self.names.is_silenced:
+        self.name_conflicts.check(now)
+        if self.name_conflicts.is_silenced:
             return now + MAX_TIMER
         if self.table.living():
             self.own.on_others_met(now)
@@ -385,7 +386,7 @@
         """
         gap = now - self._called_at
         self._called_at = now
-        if gap <= self.context.tuning.stopped_after or not self.context.tuning.lifeguard:
+        if gap <= self.context.tuning.suspension_threshold or not self.context.tuning.lifeguard:
             return
         self.stats.stops += 1
         self.context.host.log("members: process was suspended", seconds=round(gap, 2))
@@ -394,11 +395,11 @@
         self.context.health.worsen(STOP_PENALTY)
         self.context.health.suspend_until(now + SUSPENDED_AFTER_STOP)
         self._monitor.restart(now)
-        if self.names.is_silenced:
+        if self.name_conflicts.is_silenced:
             return
         if gap > self.context.tuning.min_suspicion:
             self.own.record.refutation += 1
-            self.names.announce(now)
+            self.name_conflicts.announce(now)
         for record in self.context.sampler.living(FANOUT):
             self.anti_entropy.request_state(now, record.packed_address)
 
@@ -407,7 +408,7 @@
         self._cleanup_at = now + CLEANUP_PERIOD
         for name in self.table.gone():
             record = self.table.records[name]
-            if now - record.status_since > self.context.tuning.keep_dead and name != self.own_name:
+            if now - record.status_since > self.context.tuning.dead_retention and name != self.own_name:
                 self.table.remove(name)
                 self.messenger.updates.drop(name)
         self.handshakes.discard_expired(now)
--- a/rainspindle/decisions/members/messenger.py
+++ b/rainspindle/decisions/members/messenger.py
@@ -10,7 +10,7 @@
 
 from ...protocol import members as wire
 from ...protocol.members import MessageKind, Status
-from ..shared.broadcast_queue import BroadcastQueue, transmissions
+from ..shared.broadcast_queue import BroadcastQueue, transmission_limit
 from ..shared.register_gossip import RegisterGossip
 from .context import MembershipContext
 from .member_table import MemberRecord
@@ -174,7 +174,7 @@
             if len(update) <= room:
                 message.member_updates.append(update)
                 room -= len(update)
-                self.updates.record_sent(name, transmissions(members))
+                self.updates.record_sent(name, transmission_limit(members))
         if self.registers is not None:
             message.register_updates.extend(self.registers.take_updates(now, room, members))
 
@@ -182,5 +182,5 @@
         record = self._table.records.get(name)
         if record is None:
             return 0
-        names = 1 if record.suspicion is None else 2
-        return len(name) * names + len(record.packed_address) + UPDATE_OVERHEAD
+        name_count = 1 if record.suspicion is None else 2
+        return len(name) * name_count + len(record.packed_address) + UPDATE_OVERHEAD
--- a/rainspindle/decisions/members/name_conflict.py
+++ b/rainspindle/decisions/members/name_conflict.py
@@ -220,14 +220,14 @@
     def _take_incarnation(self, now: float, above: int) -> None:
         """Moves this process and its registers to an incarnation higher than `above`."""
         own = self._own.record
-        before = own.member()
+        before = own.to_member()
         own.incarnation = above + 1 + self._random.randrange(INCARNATION_STEP)
         own.refutation = 0
         self._host.log("members: higher incarnation taken", life=own.incarnation, above=above)
         if self._messenger.registers is not None:
             self._messenger.registers.store.restart(now, own.incarnation)
         self.announce(now)
-        self._host.on_member_changed(before, own.member())
+        self._host.on_member_changed(before, own.to_member())
 
     def _refute(self, now: float, update: wire.MemberUpdate, reporter: str) -> None:
         self._own.record.refutation = update.refutation + 1
--- a/rainspindle/decisions/members/tuning.py
+++ b/rainspindle/decisions/members/tuning.py
@@ -22,8 +22,8 @@
         lifeguard: Whether the Lifeguard extensions are active; False gives SWIM as first published, for
             comparison.
         plain_suspicion: Seconds until a suspect is declared dead without Lifeguard.
-        stopped_after: Seconds between two readings of the clock above which the process counts as having
-            been suspended.
+        suspension_threshold: Seconds between two readings of the clock above which the process counts as
+            having been suspended.
         own_rate: Rate of datagrams that this member sends on its own initiative.
         own_burst: Burst size for `own_rate`.
         answer_rate: Rate of answers to known members; also their burst size.
@@ -35,7 +35,7 @@
         extra_burst: Burst size for `extra_rate`.
         load_report_rate: Rate of datagrams that carry the balancer's load reports; also their burst size.
         max_members: Maximum number of members in the table.
-        keep_dead: Seconds for which dead members and members that left stay in the table.
+        dead_retention: Seconds for which dead members and members that left stay in the table.
         state_period: Seconds between full-state exchanges while they bring few changes.
         digest_period: Seconds between two transmissions of register digests.
     """
@@ -50,7 +50,7 @@
     max_health_score: int = 8
     lifeguard: bool = True
     plain_suspicion: float = 2.4
-    stopped_after: float = 0.75
+    suspension_threshold: float = 0.75
     own_rate: float = 10.0
     own_burst: float = 30.0
     answer_rate: float = 60.0
@@ -61,6 +61,6 @@
     extra_burst: float = 24.0
     load_report_rate: float = 500.0
     max_members: int = 4096
-    keep_dead: float = 3600.0
+    dead_retention: float = 3600.0
     state_period: float = 5.0
     digest_period: float = 1.0
--- a/rainspindle/decisions/shared/broadcast_queue.py
+++ b/rainspindle/decisions/shared/broadcast_queue.py
@@ -15,7 +15,7 @@
 
 
 @functools.lru_cache(8192)
-def transmissions(members: int) -> int:
+def transmission_limit(members: int) -> int:
     """Returns how many times each member sends an update in a fleet of `members` members."""
     return max(math.ceil(TRANSMISSIONS_PER_DECADE * math.log10(members + 2)), MIN_TRANSMISSIONS)
 
--- a/rainspindle/decisions/shared/register_gossip.py
+++ b/rainspindle/decisions/shared/register_gossip.py
@@ -14,7 +14,7 @@
 
 from ...lazy_dataclasses import dataclass
 from ...protocol import members as wire
-from .broadcast_queue import BroadcastQueue, transmissions
+from .broadcast_queue import BroadcastQueue, transmission_limit
 from .registers import Register, RegisterStore, SeenRegister, partition_of
 
 MAX_QUEUED = 4000  # pending register updates
@@ -79,7 +79,7 @@
         if not self.queue:
             return []
         keys = self.queue.pick(room, MAX_PER_DATAGRAM, self._size)
-        limit = transmissions(members)
+        limit = transmission_limit(members)
         for key in keys:
             self.queue.record_sent(key, limit)
         return [self._encode(now, key) for key in keys]
@@ -92,7 +92,7 @@
             return
         known = self.store.by_name.get(update.name, {}).get(update.owner)
         if known is not None and (update.incarnation, update.sequence) == known.register.order:
-            self.queue.record_heard((update.owner, update.name), transmissions(members))
+            self.queue.record_heard((update.owner, update.name), transmission_limit(members))
         register = Register(update.owner, update.name, update.incarnation, update.sequence, update.value)
         self.store.merge(now, register, age)
 
@@ -183,7 +183,7 @@
     def _encode(self, now: float, key: Key) -> msgspec.Raw:
         seen: SeenRegister = self.store.by_name[key[1]][key[0]]
         register = seen.register
-        heard_at = self.store.with_age(seen).heard_at
+        heard_at = self.store.with_confirmation(seen).heard_at
         if register.owner == self.store.own_name:
             heard_at = now
         return wire.raw(
--- a/rainspindle/decisions/shared/registers.py
+++ b/rainspindle/decisions/shared/registers.py
@@ -120,19 +120,19 @@
     def read(self, owner: str, name: str) -> SeenRegister | None:
         """Returns one register, or None if it is not known."""
         seen = self.by_name.get(name, {}).get(owner)
-        return None if seen is None else self.with_age(seen)
+        return None if seen is None else self.with_confirmation(seen)
 
     def named(self, name: str) -> dict[str, SeenRegister]:
         """Returns the registers of a name by owner, including this member's and deleted (empty) ones."""
-        return {owner: self.with_age(seen) for owner, seen in self.by_name.get(name, {}).items()}
+        return {owner: self.with_confirmation(seen) for owner, seen in self.by_name.get(name, {}).items()}
 
     def all(self) -> Iterator[SeenRegister]:
         """Yields all registers, including this member's and deleted (empty) ones."""
         for owners in self.by_name.values():
             for seen in owners.values():
-                yield self.with_age(seen)
+                yield self.with_confirmation(seen)
 
-    def with_age(self, seen: SeenRegister) -> SeenRegister:
+    def with_confirmation(self, seen: SeenRegister) -> SeenRegister:
         """Returns the register with its time updated if its owner's registers were confirmed later."""
         confirmed_at = self.confirmed_at(seen.register.owner)
         return SeenRegister(seen.register, confirmed_at) if confirmed_at > seen.heard_at else seen
--- a/rainspindle/program/fleet/members.py
+++ b/rainspindle/program/fleet/members.py
@@ -33,9 +33,7 @@
 LIFE_VERSION = 1  # version of its format
 MOST_LIFE = 64  # maximum size of its content in bytes
 MAX_SEEDS = 64
-RANDOM_BITS = (
-    12  # random low bits of an incarnation below its milliseconds, so that processes get distinct ones
-)
+RANDOM_BITS = 12  # random low bits of an incarnation, so that starts in the same millisecond differ
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 WILDCARD_HOSTS = ("0.0.0.0", "::")  # hosts that stand for all addresses of the machine
 WILDCARD_LISTEN_HOSTS = ("0.0.0.0", "[::]")  # the same as written in `listen`, before the port
@@ -119,8 +117,8 @@
     """Settings of the program that do not come from the fleet file.
 
     Attributes:
-        on_changed: Called for each change of a member with the time, the member before (None if it is new)
-            and the member after.
+        on_member_changed: Called for each change of a member with the time, the member before (None if it is
+            new) and the member after.
         has_successor: Returns whether a later process of this sidecar runs alongside this one.
         shares_address: Whether a successor may run alongside, so that both listen on one address.
         incarnation_above: Incarnation stored elsewhere, which this process's must exceed.
@@ -128,7 +126,7 @@
         seed: Seed of the pseudo-random generator; random if None.
     """
 
-    on_changed: Callable[[float, Member | None, Member], None] = _ignore_change
+    on_member_changed: Callable[[float, Member | None, Member], None] = _ignore_change
     has_successor: Callable[[], bool] = no_successor
     shares_address: bool = False
     incarnation_above: int = 0
@@ -224,7 +222,7 @@
         """Stores this process's incarnation if it was raised, and passes the change on."""
         if after.name == self.own_name and before is not None and before.incarnation != after.incarnation:
             self._incarnations.store(after.incarnation)
-        self._options.on_changed(self._loop.now(), before, after)
+        self._options.on_member_changed(self._loop.now(), before, after)
 
     def log(self, event: str, **fields: object) -> None:
         """Logs an event: as an error, at debug level or at info level, depending on the event."""
@@ -324,7 +322,7 @@
         """Releases the shared address while a successor has the name, or binds it again afterwards."""
         if not self._options.shares_address or self._closed:
             return
-        is_handed_over = self.members.names.is_handed_over
+        is_handed_over = self.members.name_conflicts.is_handed_over
         if is_handed_over and self.wire is not None:
             self.wire.close()
             self.wire = None
@@ -363,12 +361,12 @@
         }
 
     def _faults(self) -> list[str]:
-        names = self.members.names
+        conflicts = self.members.name_conflicts
         faults = []
-        if names.other_address:
-            text = f"another process at {names.other_address} has this name too; give each its own name"
-            faults.append(text + ("; this process is silenced until then" if names.is_silenced else ""))
-        if names.is_handed_over:
+        if conflicts.other_address:
+            text = f"another process at {conflicts.other_address} has this name too; give each its own name"
+            faults.append(text + ("; this process is silenced until then" if conflicts.is_silenced else ""))
+        if conflicts.is_handed_over:
             faults.append("the successor process of this sidecar has taken over the name")
         return faults
 
--- a/rainspindle/protocol/members.py
+++ b/rainspindle/protocol/members.py
@@ -61,7 +61,7 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
 Incarnation = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
-Small = Annotated[int, msgspec.Meta(ge=0, lt=2**31)]
+UInt31 = Annotated[int, msgspec.Meta(ge=0, lt=2**31)]
 PackedAddress = Annotated[bytes, msgspec.Meta(min_length=IPV4_BYTES, max_length=IPV6_BYTES)]
 
 
@@ -99,10 +99,10 @@
     name: Name
     address: PackedAddress
     incarnation: Incarnation
-    refutation: Small
+    refutation: UInt31
     status: Annotated[int, msgspec.Meta(ge=int(Status.ALIVE), le=int(Status.LEFT))]
     suspected_by: Annotated[str, msgspec.Meta(max_length=MAX_NAME)] = ""
-    age: Small = 0
+    age: UInt31 = 0
 
 
 class RegisterUpdate(msgspec.Struct, array_like=True, frozen=True):
@@ -113,7 +113,7 @@
     incarnation: Incarnation
     sequence: Incarnation
     value: Annotated[bytes, msgspec.Meta(max_length=MAX_REGISTER_VALUE)]
-    age: Small = 0
+    age: UInt31 = 0
 
 
 class RegisterDigest(msgspec.Struct, array_like=True, frozen=True):
@@ -122,7 +122,7 @@
     owner: Name
     incarnation: Incarnation
     digest: Annotated[bytes, msgspec.Meta(min_length=8, max_length=8)]
-    age: Small
+    age: UInt31
 
 
 class RegisterRequest(msgspec.Struct, array_like=True, frozen=True):
@@ -135,8 +135,8 @@
 class Header(msgspec.Struct, rename={"version": "v", "lowest_reader": "r", "fleet": "f"}):
     """Fields that are read from a message that cannot be decoded completely, to explain why."""
 
-    version: Small
-    lowest_reader: Small
+    version: UInt31
+    lowest_reader: UInt31
     fleet: Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
 
 
@@ -186,15 +186,15 @@
         load_report: Load report of the balancer.
     """
 
-    version: Small
-    lowest_reader: Small
+    version: UInt31
+    lowest_reader: UInt31
     fleet: Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
     sender: Name
     incarnation: Incarnation
-    refutation: Small
+    refutation: UInt31
     address: PackedAddress
     number: Incarnation
-    kind: Small
+    kind: UInt31
     echo: Incarnation = 0
     target: Annotated[str, msgspec.Meta(max_length=MAX_NAME)] = ""
     target_address: Annotated[bytes, msgspec.Meta(max_length=IPV6_BYTES)] = b""
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,6 +1,7 @@
-"""Members and shared cells: the codec, each hard case in virtual time, random histories, on sockets.
+"""Membership and shared registers: wire format, fault scenarios in virtual time, random histories, sockets.
 
-The hard cases against real processes stand in test_fleet_processes.py."""
+test_fleet_processes.py runs the fault scenarios against real processes.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +22,7 @@
 from rainspindle.decisions.members.member_table import MemberRecord, MemberTable
 from rainspindle.decisions.members.suspicion import Suspicion
 from rainspindle.decisions.members.tuning import MembershipTuning
-from rainspindle.decisions.shared.broadcast_queue import BroadcastQueue, transmissions
+from rainspindle.decisions.shared.broadcast_queue import BroadcastQueue, transmission_limit
 from rainspindle.decisions.shared.registers import Register, RegisterStore
 from rainspindle.lab.fleet.members_figures import warm
 from rainspindle.lab.fleet.virtual import World
@@ -37,19 +38,23 @@
 from rainspindle.store.file import StoredFile
 from rainspindle.transport.loop import Coroutine, Loop
 
-BACK = 2.0  # seconds in which one that was stopped is back
-AGREE = 30.0  # seconds after faults end in which all views agree
+RECOVERY_TIME = 2.0  # seconds within which a member that was suspended or restarted is known to all as alive
+AGREEMENT_TIME = 30.0  # seconds after the end of faults within which all members agree
 CONFIG = cast(Config, SimpleNamespace(name="sidecar"))
-HERE = wire.pack_address(("10.0.0.1", 7946))
+PACKED_ADDRESS = wire.pack_address(("10.0.0.1", 7946))
 
 
-# The codec.
+# Wire format.
 
 texts = st.text(max_size=30).filter(lambda t: bool(t))
 numbers = st.integers(0, 2**31 - 1)
 addresses = st.tuples(st.ip_addresses().map(str), st.integers(1, 65535)).map(wire.pack_address)
-told = st.builds(wire.MemberUpdate, texts, addresses, numbers, numbers, st.integers(0, 3), texts, numbers)
-cell_news = st.builds(wire.RegisterUpdate, texts, texts, numbers, numbers, st.binary(max_size=60), numbers)
+member_updates = st.builds(
+    wire.MemberUpdate, texts, addresses, numbers, numbers, st.integers(0, 3), texts, numbers
+)
+register_updates = st.builds(
+    wire.RegisterUpdate, texts, texts, numbers, numbers, st.binary(max_size=60), numbers
+)
 messages = st.builds(
     wire.Message,
     st.just(1),
@@ -64,8 +69,8 @@
     numbers,
     texts,
     st.just(b"") | addresses,
-    st.lists(told, max_size=5),
-    st.lists(cell_news, max_size=3),
+    st.lists(member_updates, max_size=5),
+    st.lists(register_updates, max_size=3),
     st.lists(
         st.builds(wire.RegisterDigest, texts, numbers, st.binary(min_size=8, max_size=8), numbers), max_size=3
     ),
@@ -75,7 +80,7 @@
 )
 
 
-def readable(data: bytes) -> wire.Message | None:
+def decode_or_none(data: bytes) -> wire.Message | None:
     try:
         return wire.decode(data, "f")
     except wire.UnreadableMessageError as fault:
@@ -85,28 +90,28 @@
 
 @settings(derandomize=True, max_examples=150)
 @given(messages)
-def test_what_is_written_is_read(message: wire.Message) -> None:
+def test_messages_survive_encoding_and_decoding(message: wire.Message) -> None:
     data = wire.encode(message)
     if len(data) <= wire.MAX_DATAGRAM:
         assert wire.decode(data, "f") == message
     else:
-        assert readable(data) is None
+        assert decode_or_none(data) is None
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=1300), messages, st.data())
-def test_what_is_damaged_is_unreadable_and_nothing_else(
+def test_damaged_datagrams_raise_only_unreadable_message_errors(
     noise: bytes, message: wire.Message, data: Any
 ) -> None:
-    readable(noise)
-    good = bytearray(wire.encode(message))
+    decode_or_none(noise)
+    encoded = bytearray(wire.encode(message))
     for _ in range(data.draw(st.integers(1, 4))):
-        good[data.draw(st.integers(0, len(good) - 1))] = data.draw(st.integers(0, 255))
-    readable(bytes(good))
-    readable(bytes(good[: data.draw(st.integers(0, len(good)))]))
+        encoded[data.draw(st.integers(0, len(encoded) - 1))] = data.draw(st.integers(0, 255))
+    decode_or_none(bytes(encoded))
+    decode_or_none(bytes(encoded[: data.draw(st.integers(0, len(encoded)))]))
 
 
-def plain(**changes: Any) -> dict[str, Any]:
+def message_fields(**changes: Any) -> dict[str, Any]:
     return {
         "v": 1,
         "r": 1,
@@ -114,28 +119,30 @@
         "n": "m1",
         "l": 5,
         "i": 0,
-        "a": HERE,
+        "a": PACKED_ADDRESS,
         "q": 1,
         "k": wire.MessageKind.UPDATE,
         **changes,
     }
 
 
-def test_two_releases_side_by_side_unknown_fields_kinds_and_versions() -> None:
-    later = plain(v=9, k=77, zz=[1, {"x": 2}], m=[["m2", HERE, 5, 0, 0, "", 0, "later", 7]])
-    read = wire.decode(msgspec.msgpack.encode(later), "f")
-    assert read.kind == 77 and read.member_updates == [wire.MemberUpdate("m2", HERE, 5, 0, 0)]
+def test_unknown_fields_kinds_and_versions_of_a_later_release() -> None:
+    fields = message_fields(
+        v=9, k=77, zz=[1, {"x": 2}], m=[["m2", PACKED_ADDRESS, 5, 0, 0, "", 0, "later", 7]]
+    )
+    message = wire.decode(msgspec.msgpack.encode(fields), "f")
+    assert message.kind == 77 and message.member_updates == [wire.MemberUpdate("m2", PACKED_ADDRESS, 5, 0, 0)]
     with pytest.raises(wire.IncompatibleReleaseError):
-        wire.decode(msgspec.msgpack.encode(plain(v=9, r=2, n=17)), "f")
+        wire.decode(msgspec.msgpack.encode(message_fields(v=9, r=2, n=17)), "f")
     with pytest.raises(wire.ForeignFleetError):
-        wire.decode(msgspec.msgpack.encode(plain(f="g")), "f")
+        wire.decode(msgspec.msgpack.encode(message_fields(f="g")), "f")
     with pytest.raises(wire.UnreadableMessageError):
-        wire.decode(msgspec.msgpack.encode(plain(a=b"\1\2\3\4\0\0")), "f")
-    # What a later release says in ways not known here costs nothing, what it says in known ways is taken.
-    world = settled(2)
+        wire.decode(msgspec.msgpack.encode(message_fields(a=b"\1\2\3\4\0\0")), "f")
+    # Unknown fields, kinds and items of a later release are ignored, and its known ones are processed.
+    world = settled_fleet(2)
     members = world.processes["m0"].members
     record = members.table.records["m1"]
-    data = plain(
+    data = message_fields(
         v=9,
         f="virtual",
         l=record.incarnation,
@@ -143,7 +150,7 @@
         q=record.highest_number + 1,
         k=77,
         zz=1,
-        m=[["new", HERE, 5, 0, 0, "", 0, "more"]],
+        m=[["new", PACKED_ADDRESS, 5, 0, 0, "", 0, "more"]],
     )
     members.on_datagram(world.now, msgspec.msgpack.encode(data))
     assert members.member("new") is not None and not any(members.stats.drops().values())
@@ -152,18 +159,18 @@
 # A fleet in virtual time.
 
 
-def settled(size: int, seed: int = 1, **network: float) -> World:
+def settled_fleet(size: int, seed: int = 1, **network: float) -> World:
     world = World(seed)
     for name, value in network.items():
         setattr(world, name, value)
     world.fleet(size, over=size / 100)
-    assert world.run_until(world.agreed, AGREE)
+    assert world.run_until(world.agreed, AGREEMENT_TIME)
     world.run(world.now + 8)
     return world
 
 
-def ready(size: int, seed: int) -> World:
-    """All know all from the start."""
+def warm_fleet(size: int, seed: int) -> World:
+    """Returns a fleet in which every member knows all others from the start."""
     world = World(seed)
     world.fleet(size)
     warm(world)
@@ -171,52 +178,52 @@
     return world
 
 
-def buried(world: World) -> list[tuple[str, str]]:
-    """Fills with each burial of a member that runs: by whom, whom."""
-    wrong: list[tuple[str, str]] = []
+def record_false_deaths(world: World) -> list[tuple[str, str]]:
+    """Returns a list that fills with each running member declared dead, as pairs of declarer and member."""
+    false_deaths: list[tuple[str, str]] = []
 
     def changed(process: Any, before: Member | None, after: Member) -> None:
         if after.status.value == "dead" and world.processes[after.name].running:
-            wrong.append((process.name, after.name))
+            false_deaths.append((process.name, after.name))
 
     world.on_change.append(changed)
-    return wrong
+    return false_deaths
 
 
 @pytest.mark.parametrize("seconds", [1.0, 3.0, 8.0, 20.0])
-def test_one_stalled_declares_nobody_dead_when_it_wakes_and_recovers_soon(seconds: float) -> None:
-    world = settled(40)
+def test_a_suspended_member_declares_nobody_dead_when_it_resumes(seconds: float) -> None:
+    world = settled_fleet(40)
     for name in ("m5", "m6"):
         world.pause(name, seconds)
     world.run(world.now + seconds)
-    assert seconds < 8 or world.unknown("m5") < 3  # a long stall is seen
-    wrong = buried(world)
-    assert world.run_until(world.agreed, BACK)
+    assert seconds < 8 or world.unknown("m5") < 3  # a long suspension of the process is detected
+    false_deaths = record_false_deaths(world)
+    assert world.run_until(world.agreed, RECOVERY_TIME)
     world.run(world.now + 10)
-    assert world.agreed() and not wrong
+    assert world.agreed() and not false_deaths
     for name in ("m5", "m6"):
         counts = world.processes[name].members.stats
         assert counts.stops == 1 and not counts.buried
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.3])
-def test_loss_has_nobody_declared_dead(loss: float) -> None:
-    world = settled(40, loss=loss)
-    wrong = buried(world)
+def test_packet_loss_causes_no_false_deaths(loss: float) -> None:
+    world = settled_fleet(40, loss=loss)
+    false_deaths = record_false_deaths(world)
     world.run(world.now + 40)
-    assert not wrong and world.agreed()
+    assert not false_deaths and world.agreed()
     assert max(p.sent for p in world.running()) / world.now < 30
     world.kill("m7")
     assert world.run_until(world.agreed, 12)
 
 
-def test_a_crash_is_known_to_each_within_4_s_and_loss_costs_few_datagrams() -> None:
+def test_a_crash_is_detected_by_all_within_4_s_and_loss_costs_few_datagrams() -> None:
     for seed in range(25):
-        world = ready(10, seed)
+        world = warm_fleet(10, seed)
         world.run(world.now + world.chance.random())
         world.kill("m7")
         assert world.run_until(world.agreed, 4.0), seed
-    world = ready(40, 1)
+    world = warm_fleet(40, 1)
     world.loss, sent = 0.1, sum(p.sent for p in world.running())
     world.run(world.now + 30)
     assert (sum(p.sent for p in world.running()) - sent) / 30 / 40 < 7.5
@@ -225,25 +232,25 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 12), st.sampled_from(wire.Status), st.booleans())))
-def test_the_next_in_the_ring_is_the_nearest_alive(steps: list[tuple[int, wire.Status, bool]]) -> None:
+def test_the_ring_successor_is_the_nearest_member_alive(steps: list[tuple[int, wire.Status, bool]]) -> None:
     table = MemberTable("own", 100)
-    table.add(MemberRecord("own", HERE, 1, 0, wire.Status.ALIVE, 0.0, 0.0))
-    for n, standing, away in steps:
+    table.add(MemberRecord("own", PACKED_ADDRESS, 1, 0, wire.Status.ALIVE, 0.0, 0.0))
+    for n, status, is_removed in steps:
         record = table.records.get(f"m{n}")
         if record is None:
-            table.add(MemberRecord(f"m{n}", HERE, 1, 0, standing, 0.0, 0.0))
-        elif away:
+            table.add(MemberRecord(f"m{n}", PACKED_ADDRESS, 1, 0, status, 0.0, 0.0))
+        elif is_removed:
             table.remove(f"m{n}")
         else:
-            record.status = standing
+            record.status = status
             table.update(record)
         alive = [r for r in table.records.values() if r.status == wire.Status.ALIVE and r.name != "own"]
         assert table.next_in_ring() is min(alive, key=table.ring_distance, default=None)
 
 
-def test_one_that_returns_knows_all_soon_though_first_state_exchanges_are_lost() -> None:
+def test_a_restarted_member_learns_all_members_despite_lost_state_exchanges() -> None:
     for seed in range(10):
-        world = ready(12, seed)
+        world = warm_fleet(12, seed)
         world.loss = 0.3
         world.kill("m4")
         world.run(world.now + 8)
@@ -251,20 +258,20 @@
         assert world.run_until(world.agreed, 3.0), seed
 
 
-def test_one_hears_another_but_not_the_reverse() -> None:
-    world = settled(30)
-    wrong = buried(world)
+def test_one_way_connectivity_causes_no_false_deaths() -> None:
+    world = settled_fleet(30)
+    false_deaths = record_false_deaths(world)
     world.cut("m3", "m4")
     world.run(world.now + 30)
-    assert not any(p.members.stats.suspected for p in world.running())  # others are asked first
+    assert not any(p.members.stats.suspected for p in world.running())  # helpers reach the member
     for n in range(1, 30, 2):
         world.cut(f"m{n}", "m8")
     world.run(world.now + 40)
-    assert not wrong and world.agreed()
+    assert not false_deaths and world.agreed()
 
 
-def test_a_third_cut_off_and_back() -> None:
-    world = settled(60)
+def test_a_partitioned_third_rejoins() -> None:
+    world = settled_fleet(60)
     world.split([f"m{n}" for n in range(20)])
     world.run(world.now + 20)
     assert {len(p.members.table.living()) for p in world.running()} == {19, 39}
@@ -272,10 +279,10 @@
     assert world.run_until(world.agreed, 10)
 
 
-def test_halves_that_have_forgotten_each_other_meet_by_seeds() -> None:
-    world = World(2, MembershipTuning(keep_dead=5.0))
+def test_partitions_that_removed_each_other_reunite_through_seeds() -> None:
+    world = World(2, MembershipTuning(dead_retention=5.0))
     world.fleet(10)
-    assert world.run_until(world.agreed, AGREE)
+    assert world.run_until(world.agreed, AGREEMENT_TIME)
     world.split(["m0", "m1", "m2", "m3"])
     world.run(world.now + 40)
     assert world.processes["m9"].members.member("m3") is None
@@ -283,100 +290,110 @@
     assert world.run_until(world.agreed, 15)
 
 
-def test_all_restarted_a_tenth_at_a_time() -> None:
-    world = settled(40)
-    wrong = buried(world)
+def test_rolling_restart_of_a_tenth_at_a_time() -> None:
+    world = settled_fleet(40)
+    false_deaths = record_false_deaths(world)
     for first in range(0, 40, 4):
         names = [f"m{n}" for n in range(first, first + 4)]
         for name in names:
             world.leave(name, 0.3)
         world.run(world.now + 1)
-        assert world.run_until(world.agreed, 4)  # leaving is told, and waits for no suspicion
+        assert world.run_until(world.agreed, 4)  # a departure is announced and needs no suspicion
         for name in names:
             world.start(name)
         world.run(world.now + 1)
-    assert world.run_until(world.agreed, 5) and not wrong
+    assert world.run_until(world.agreed, 5) and not false_deaths
     assert not any(p.members.stats.buried for p in world.running())
 
 
 @pytest.mark.parametrize("size", [12, 60])
-def test_seven_in_ten_killed_at_once(size: int) -> None:
-    world = settled(size)
-    wrong, sent = buried(world), {p.name: p.sent for p in world.running()}
+def test_simultaneous_crash_of_seven_in_ten_members(size: int) -> None:
+    world = settled_fleet(size)
+    false_deaths, sent = record_false_deaths(world), {p.name: p.sent for p in world.running()}
     for n in range(size * 7 // 10):
         world.kill(f"m{n + 2}")
-    assert world.run_until(world.agreed, 5.5) and not wrong  # not one after the other, at any size
-    tuning = world.tuning  # a second's own will, answers, and two more kinds of probe of five pings each
-    most = tuning.own_rate + tuning.answer_rate + 10 * tuning.extra_rate
-    assert max(p.sent - sent[p.name] for p in world.running()) < 10 * tuning.extra_burst + 5.5 * most
+    # The deaths are detected together and not one after the other, whatever the size of the fleet.
+    assert world.run_until(world.agreed, 5.5) and not false_deaths
+    # Per second: own datagrams, answers, and two further kinds of probe of five pings each.
+    tuning = world.tuning
+    max_datagrams_per_s = tuning.own_rate + tuning.answer_rate + 10 * tuning.extra_rate
+    assert (
+        max(p.sent - sent[p.name] for p in world.running())
+        < 10 * tuning.extra_burst + 5.5 * max_datagrams_per_s
+    )
 
 
-def test_stalls_have_no_live_member_declared_dead_and_cost_few_datagrams() -> None:
-    world, size = ready(100, 1), 100
-    wrong: list[str] = []
+def test_suspended_members_cause_no_false_deaths_and_few_datagrams() -> None:
+    world, size = warm_fleet(100, 1), 100
+    false_deaths: list[str] = []
 
     def changed(process: Any, before: Member | None, after: Member) -> None:
         if after.status.value == "dead" and world.processes[after.name].paused_until < world.now - 1.0:
-            wrong.append(after.name)
+            false_deaths.append(after.name)
 
     world.on_change.append(changed)
     sent, seconds = sum(p.sent for p in world.running()), 40
     for _ in range(seconds):
         world.pause(f"m{world.chance.randrange(size)}", world.chance.uniform(1, 8))
         world.run(world.now + 1)
-    assert not wrong and (sum(p.sent for p in world.running()) - sent) / seconds / size < 10.6
+    assert not false_deaths and (sum(p.sent for p in world.running()) - sent) / seconds / size < 10.6
     assert world.run_until(world.agreed, 10)
 
 
-def test_a_death_is_broadcast_though_all_others_broadcast_it_too() -> None:
-    world = ready(30, 1)
+def test_a_death_is_broadcast_even_if_all_others_broadcast_it() -> None:
+    world = warm_fleet(30, 1)
     members, record = world.processes["m0"].members, world.processes["m0"].members.table.records["m1"]
     world.loss = 1.0
     members.states.declare(world.now, record, wire.Status.DEAD, 0)
-    news = wire.MemberUpdate("m1", record.packed_address, record.incarnation, 0, wire.Status.DEAD)
+    update = wire.MemberUpdate("m1", record.packed_address, record.incarnation, 0, wire.Status.DEAD)
     for _ in range(40):
-        members.states.on_update(world.now, news, "m2")
+        members.states.on_update(world.now, update, "m2")
     assert members.messenger.updates.counts["m1"] == 0
-    for _ in range(transmissions(30)):
-        members.messenger.updates.record_sent("m1", transmissions(30))
+    for _ in range(transmission_limit(30)):
+        members.messenger.updates.record_sent("m1", transmission_limit(30))
     assert "m1" not in members.messenger.updates.counts
 
 
-def test_a_thousand_start_together_at_three_hundred() -> None:
-    world, size = World(3), 300  # at 1,000 and 2,000 by lab/fleet/members_figures.py, in minutes
+def test_three_hundred_members_that_start_together_agree() -> None:
+    # lab/fleet/members_figures.py covers 1,000 and 2,000 members, which takes minutes.
+    world, size = World(3), 300
     world.fleet(size, over=0.1)
     assert world.run_until(world.agreed, 15)
-    assert max(p.sent for p in world.running()) / world.now < 200  # the seeds', and bounded
+    # The seeds send the most, and their rate is limited.
+    assert max(p.sent for p in world.running()) / world.now < 200
 
 
-def test_dead_and_back_under_its_name_with_a_clock_an_hour_behind() -> None:
-    world = settled(30)
+def test_a_member_restarts_under_its_name_with_a_clock_an_hour_behind() -> None:
+    world = settled_fleet(30)
     before = world.processes["m7"].life
     world.kill("m7")
     world.run(world.now + 10)
     world.clocks["m7"] = -3600.0
-    again = world.start("m7")
-    assert again.life < before
-    again.cells.write(world.now, "x/a", b"mine")
-    assert world.run_until(world.agreed, BACK)
-    assert again.members.own_incarnation > before and again.events["members: higher incarnation taken"] == 1
+    restarted = world.start("m7")
+    assert restarted.life < before
+    restarted.cells.write(world.now, "x/a", b"mine")
+    assert world.run_until(world.agreed, RECOVERY_TIME)
+    assert (
+        restarted.members.own_incarnation > before
+        and restarted.events["members: higher incarnation taken"] == 1
+    )
     world.run(world.now + 2)
     seen = world.processes["m1"].cells.read("m7", "x/a")
     assert (
         seen is not None
-        and seen.register.incarnation == again.members.own_incarnation == again.cells.incarnation
+        and seen.register.incarnation == restarted.members.own_incarnation == restarted.cells.incarnation
     )
 
 
-def test_two_of_one_name_are_a_fault_reported_to_both_until_one_is_gone() -> None:
-    world = settled(10)
+def test_two_processes_of_one_name_report_the_conflict_until_one_is_gone() -> None:
+    world = settled_fleet(10)
     first = world.processes["m4"]
     second = world.start("m4", address=("10.9.9.9", 7946))
     world.run(world.now + 12)
-    assert first.members.names.is_silenced and not second.members.names.is_silenced
+    assert first.members.name_conflicts.is_silenced and not second.members.name_conflicts.is_silenced
     assert (
-        first.members.names.other_address == "10.9.9.9:7946"
-        and second.members.names.other_address == "10.0.0.5:7946"
+        first.members.name_conflicts.other_address == "10.9.9.9:7946"
+        and second.members.name_conflicts.other_address == "10.0.0.5:7946"
     )
     assert (
         first.events["members: another process has this name"]
@@ -386,54 +403,56 @@
     assert world.agreed()
     world.kill("m4")
     world.processes["m4"] = first
-    assert world.run_until(lambda: not first.members.names.is_silenced and world.agreed(), 20)
-    assert not first.members.names.other_address
+    assert world.run_until(lambda: not first.members.name_conflicts.is_silenced and world.agreed(), 20)
+    assert not first.members.name_conflicts.other_address
 
 
-def test_a_successor_beside_its_predecessor_is_one_member() -> None:
-    world = settled(10)
+def test_a_successor_and_its_predecessor_are_one_member() -> None:
+    world = settled_fleet(10)
     first = world.processes["m4"]
-    beside = [True]
-    first.members.names.has_successor = lambda: beside[0]
+    has_successor = [True]
+    first.members.name_conflicts.has_successor = lambda: has_successor[0]
     second = world.start("m4", address=("10.9.9.9", 7946))
     world.run(world.now + 5)
     assert (
-        first.members.names.is_handed_over
-        and not first.members.names.other_address
-        and not second.members.names.other_address
+        first.members.name_conflicts.is_handed_over
+        and not first.members.name_conflicts.other_address
+        and not second.members.name_conflicts.other_address
     )
     assert not second.events["members: another process has this name"] and world.agreed()
-    world.kill("m4")  # and where it comes to nothing, the predecessor has the name again
-    beside[0], world.processes["m4"] = False, first
+    world.kill("m4")  # the successor fails, so the predecessor takes the name back
+    has_successor[0], world.processes["m4"] = False, first
     assert world.run_until(lambda: world.agreed() and first.members.own_incarnation > second.life, 10)
 
 
 # Bounds.
 
 
-def flood(kind: str, n: int, record: MemberRecord) -> bytes:
-    chance = random.Random(n)
+def flood_datagram(kind: str, n: int, record: MemberRecord) -> bytes:
+    rng = random.Random(n)
     if kind == "unreadable":
-        return chance.randbytes(chance.randrange(1, 1400))
+        return rng.randbytes(rng.randrange(1, 1400))
     if kind == "strangers":
-        name, news = f"stranger{n}", [[f"x{n}", HERE, 1, 0, 0]]
-        return msgspec.msgpack.encode(plain(f="virtual", n=name, q=n, k=wire.MessageKind.STATE, m=news))
+        name, updates = f"stranger{n}", [[f"x{n}", PACKED_ADDRESS, 1, 0, 0]]
+        return msgspec.msgpack.encode(
+            message_fields(f="virtual", n=name, q=n, k=wire.MessageKind.STATE, m=updates)
+        )
     if kind == "other fleet":
-        return msgspec.msgpack.encode(plain(f="other", n=f"m{n}", q=n))
+        return msgspec.msgpack.encode(message_fields(f="other", n=f"m{n}", q=n))
     if kind == "older life":
         return msgspec.msgpack.encode(
-            plain(
+            message_fields(
                 f="virtual",
                 n="m1",
                 l=7,
                 q=n,
                 k=wire.MessageKind.PING,
                 t="m0",
-                m=[["m2", HERE, 1, 9, wire.Status.DEAD]],
+                m=[["m2", PACKED_ADDRESS, 1, 9, wire.Status.DEAD]],
             )
         )
     return msgspec.msgpack.encode(
-        plain(
+        message_fields(
             f="virtual",
             n="m1",
             l=record.incarnation,
@@ -441,23 +460,23 @@
             k=wire.MessageKind.PING,
             t="m0",
             a=record.packed_address,
-            m=[["m2", HERE, 2**61, 9, wire.Status.DEAD]],
+            m=[["m2", PACKED_ADDRESS, 2**61, 9, wire.Status.DEAD]],
         )
     )
 
 
 @pytest.mark.parametrize("kind", ["unreadable", "strangers", "other fleet", "older life", "replayed"])
-def test_a_flood_costs_a_counted_drop_and_nothing_else(kind: str) -> None:
-    world = settled(5)
+def test_a_flood_is_dropped_and_counted_without_other_effects(kind: str) -> None:
+    world = settled_fleet(5)
     process = world.processes["m0"]
     members, record = process.members, process.members.table.records["m1"]
-    views, sent, size = members.members(), process.sent, len(members.handshakes.pending)
+    members_before, sent, size = members.members(), process.sent, len(members.handshakes.pending)
     now, began = world.now, time.process_time()
     for n in range(5000):
-        members.on_datagram(now + n / 5000, flood(kind, n, record))
+        members.on_datagram(now + n / 5000, flood_datagram(kind, n, record))
     assert time.process_time() - began < 2.0
     assert [(m.name, m.status, m.incarnation) for m in members.members()] == [
-        (m.name, m.status, m.incarnation) for m in views
+        (m.name, m.status, m.incarnation) for m in members_before
     ]
     assert process.sent - sent <= 2 * members.context.tuning.greeting_rate + 1
     assert len(members.handshakes.pending) - size <= 256
@@ -466,10 +485,10 @@
     assert world.agreed()
 
 
-def test_members_are_capped_and_the_dead_make_room_and_are_forgotten_everywhere() -> None:
-    world = World(1, MembershipTuning(max_members=12, keep_dead=20.0))
+def test_the_member_table_is_bounded_and_dead_members_are_evicted_and_expire() -> None:
+    world = World(1, MembershipTuning(max_members=12, dead_retention=20.0))
     world.fleet(8)
-    assert world.run_until(world.agreed, AGREE)
+    assert world.run_until(world.agreed, AGREEMENT_TIME)
     for n in range(6, 8):
         world.kill(f"m{n}")
     assert world.run_until(world.agreed, 10)
@@ -492,27 +511,32 @@
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 9), st.booleans())), st.integers(1, 5))
 def test_updates_are_broadcast_a_bounded_number_of_times_the_least_sent_first(
-    steps: list[tuple[int, bool]], most: int
+    steps: list[tuple[int, bool]], max_keys: int
 ) -> None:
-    queue, limit, told_of = BroadcastQueue[int](most), transmissions(10), dict.fromkeys(range(10), 0)
+    queue, limit, times_sent = (
+        BroadcastQueue[int](max_keys),
+        transmission_limit(10),
+        dict.fromkeys(range(10), 0),
+    )
     for key, add in steps:
         if add:
             queue.add(key)
-            told_of[key] = 0
+            times_sent[key] = 0
         else:
             picked = queue.pick(2, 9, lambda key: 1)
             assert len(picked) == min(2, len(queue))
             assert all(
-                told_of[one] <= min((told_of[k] for k in queue.counts if k not in picked), default=99)
-                for one in picked
+                times_sent[picked_key]
+                <= min((times_sent[k] for k in queue.counts if k not in picked), default=99)
+                for picked_key in picked
             )
-            for one in picked:
-                queue.record_sent(one, limit)
-                told_of[one] += 1
-        assert len(queue) <= most and all(told_of[key] < limit for key in queue.counts)
+            for picked_key in picked:
+                queue.record_sent(picked_key, limit)
+                times_sent[picked_key] += 1
+        assert len(queue) <= max_keys and all(times_sent[key] < limit for key in queue.counts)
 
 
-def test_suspicion_is_shorter_with_each_independent_opinion_and_longer_for_who_doubts_itself() -> None:
+def test_suspicion_shortens_with_each_accuser_and_lengthens_with_poor_local_health() -> None:
     tuning = MembershipTuning()
     lengths = [Suspicion(0.0, set("abcd"[:n]), is_verified=True).timeout(tuning, 1.0, 9) for n in range(1, 5)]
     assert lengths == sorted(lengths, reverse=True)
@@ -523,40 +547,40 @@
 # Random histories.
 
 
-def play(world: World, seconds: float, size: int) -> None:
-    """Kills, restarts, stalls, cuts and loss at random; what is still wrong at the end is mended."""
-    chance, end = world.chance, world.now + seconds
+def apply_random_faults(world: World, seconds: float, size: int) -> None:
+    """Applies random kills, restarts, suspensions, partitions and packet loss; ends with a healed network."""
+    rng, end = world.chance, world.now + seconds
     while world.now < end:
-        name = f"m{chance.randrange(size)}"
+        name = f"m{rng.randrange(size)}"
         process = world.processes[name]
-        act = chance.random()
+        action = rng.random()
         if not process.running:
             world.start(name)
-        elif act < 0.25:
+        elif action < 0.25:
             world.kill(name)
-        elif act < 0.4:
-            world.leave(name, chance.random())
-        elif act < 0.65:
-            world.pause(name, chance.uniform(0.5, 12))
-        elif act < 0.75:
-            world.split([f"m{n}" for n in chance.sample(range(size), size // 3)])
-        elif act < 0.9:
+        elif action < 0.4:
+            world.leave(name, rng.random())
+        elif action < 0.65:
+            world.pause(name, rng.uniform(0.5, 12))
+        elif action < 0.75:
+            world.split([f"m{n}" for n in rng.sample(range(size), size // 3)])
+        elif action < 0.9:
             world.heal()
         else:
-            world.loss = chance.choice([0.0, 0.1, 0.3])
-        process.cells.write(world.now, f"x/{chance.randrange(5)}", chance.randbytes(20))
-        world.run(world.now + chance.expovariate(size / 60))
+            world.loss = rng.choice([0.0, 0.1, 0.3])
+        process.cells.write(world.now, f"x/{rng.randrange(5)}", rng.randbytes(20))
+        world.run(world.now + rng.expovariate(size / 60))
     world.loss = 0.0
     world.heal()
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_random_histories_of_hundreds(seed: int) -> None:
+def test_random_fault_histories_of_a_large_fleet(seed: int) -> None:
     size = 200
     world = World(seed)
     world.late, world.doubled = 0.05, 0.05
     world.fleet(size, over=2)
-    older: list[object] = []
+    regressions: list[object] = []
 
     def changed(process: Any, before: Member | None, after: Member) -> None:
         if before is not None and (
@@ -566,21 +590,21 @@
             before.incarnation,
             after.incarnation == before.incarnation and before.refutation,
         ):
-            older.append((before, after))
+            regressions.append((before, after))
 
     world.on_change.append(changed)
-    play(world, 25, size)
-    # One-sided cuts stay: each member still hears each other over some path.
+    apply_random_faults(world, 25, size)
+    # One-way cuts remain: every member can still reach every other over some path.
     for _ in range(size):
         world.cut(f"m{world.chance.randrange(size)}", f"m{world.chance.randrange(size)}")
     world.run(max(p.paused_until for p in world.running() + list(world.processes.values())))
-    assert world.run_until(world.agreed, AGREE, 0.25)
+    assert world.run_until(world.agreed, AGREEMENT_TIME, 0.25)
     world.run(world.now + 10)
-    assert world.run_until(world.agreed, 5) and not older
-    assert world.run_until(lambda: same_cells(world), AGREE, 1.0)
+    assert world.run_until(world.agreed, 5) and not regressions
+    assert world.run_until(lambda: registers_agree(world), AGREEMENT_TIME, 1.0)
 
 
-def same_cells(world: World) -> bool:
+def registers_agree(world: World) -> bool:
     running = {p.name for p in world.running()}
     return (
         len(
@@ -597,37 +621,39 @@
     )
 
 
-# Cells.
+# Registers.
 
 
-def test_a_register_is_everywhere_at_once_and_its_age_tells_how_old_it_is() -> None:
-    world = settled(12)
-    at: list[float] = []
+def test_a_register_spreads_at_once_and_its_age_is_accurate() -> None:
+    world = settled_fleet(12)
+    delays: list[float] = []
     written = world.now
     for process in world.running():
-        process.cells.on_change("x/", lambda now, cell: at.append(now - written))
+        process.cells.on_change("x/", lambda now, register: delays.append(now - written))
     world.processes["m3"].cells.write(written, "x/a", b"1", toward=["m9"])
     world.run(world.now + 1)
-    assert len(at) == 11 and sorted(at)[5] < 0.1 and max(at) < 0.5
+    assert len(delays) == 11 and sorted(delays)[5] < 0.1 and max(delays) < 0.5
     world.run(world.now + 10)
     reader = world.processes["m1"].cells
-    assert world.run_until(lambda: world.now - reader.named("x/a")["m3"].heard_at < 4.0, 20)  # by sums
+    assert world.run_until(lambda: world.now - reader.named("x/a")["m3"].heard_at < 4.0, 20)  # by digests
     world.split(["m3"])
     world.run(world.now + 20)
     seen = reader.read("m3", "x/a")
-    assert seen is not None and world.now - seen.heard_at > 18.0  # not made young by others that hold it too
+    assert seen is not None and world.now - seen.heard_at > 18.0  # copies held by others do not renew it
     world.processes["m3"].cells.write(world.now, "x/a", b"2")
     world.processes["m3"].cells.delete(world.now, "x/a")
     world.heal()
-    assert world.run_until(lambda: same_cells(world) and reader.named("x/a")["m3"].register.value == b"", 10)
+    assert world.run_until(
+        lambda: registers_agree(world) and reader.named("x/a")["m3"].register.value == b"", 10
+    )
 
 
-def test_registers_outlive_their_owner_for_the_stated_time_and_no_longer() -> None:
-    world = settled(6)
+def test_registers_outlive_their_owner_for_the_retention_time_only() -> None:
+    world = settled_fleet(6)
     for process in world.running():
-        spread = process.members.messenger.registers
-        assert spread is not None
-        spread.retention = 30.0
+        gossip = process.members.messenger.registers
+        assert gossip is not None
+        gossip.retention = 30.0
         process.cells.write(world.now, "x/a", b"1")
     world.run(world.now + 5)
     world.kill("m5")
@@ -635,16 +661,16 @@
     assert all("m5" in p.cells.named("x/a") for p in world.running())
     newcomer = world.start("m6", [world.address(1)])
     assert world.run_until(lambda: len(newcomer.cells.named("x/a")) == 6, 10)
-    spread = newcomer.members.messenger.registers
-    assert spread is not None
-    spread.retention = 30.0
+    gossip = newcomer.members.messenger.registers
+    assert gossip is not None
+    gossip.retention = 30.0
     world.run(world.now + 40)
     assert not any("m5" in p.cells.named("x/a") for p in world.running())
     assert all(len(p.cells.named("x/a")) == 5 for p in world.running())
 
 
 def test_thousands_of_registers_of_one_member_reach_others_at_bounded_cost() -> None:
-    world = settled(3)
+    world = settled_fleet(3)
     process = world.processes["m0"]
     newcomer = world.start("m3", [world.address(1)])
     for n in range(2000):
@@ -653,7 +679,7 @@
     for other in world.running():
         assert len(other.cells.by_owner["m0"]) == 2000
         assert other.sent / world.now < 100
-    assert same_cells(world) and len(newcomer.cells.by_owner["m0"]) == 2000
+    assert registers_agree(world) and len(newcomer.cells.by_owner["m0"]) == 2000
 
 
 @settings(derandomize=True, max_examples=80)
@@ -666,19 +692,21 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_registers_merge_to_the_highest_in_any_order_and_digests_tell_it(
-    told_of: list[tuple[str, str, int, int]], chance: random.Random
+def test_registers_merge_to_the_highest_in_any_order_and_digests_agree(
+    writes: list[tuple[str, str, int, int]], rng: random.Random
 ) -> None:
     first, second = RegisterStore("me", 5, 50), RegisterStore("me", 5, 50)
-    shuffled = list(told_of)
-    chance.shuffle(shuffled)
-    for cells, order in ((first, told_of), (second, shuffled)):
-        for n, (owner, name, life, sequence) in enumerate(order):
-            cells.merge(float(n), Register(owner, name, life, sequence, b"%d.%d" % (life, sequence)))
+    shuffled = list(writes)
+    rng.shuffle(shuffled)
+    for store, order in ((first, writes), (second, shuffled)):
+        for n, (owner, name, incarnation, sequence) in enumerate(order):
+            store.merge(
+                float(n), Register(owner, name, incarnation, sequence, b"%d.%d" % (incarnation, sequence))
+            )
     for owner in "ab":
         assert first.digest_of(owner) == second.digest_of(owner)
         for name in ("x/1", "y/2"):
-            orders = [(life, s) for o, n, life, s in told_of if (o, n) == (owner, name)]
+            orders = [(incarnation, s) for o, n, incarnation, s in writes if (o, n) == (owner, name)]
             seen = first.read(owner, name)
             assert (seen.register.order if seen else None) == max(orders, default=None)
             if first.by_owner.get(owner, {}).get(name):
@@ -687,39 +715,39 @@
     assert first.count == 0
 
 
-def test_own_registers_of_this_incarnation_are_believed_from_nobody_and_limits_hold() -> None:
-    cells = RegisterStore("me", 5, max_per_subject=2)
-    cells.write(0.0, "x/a", b"mine")
-    assert not cells.merge(1.0, Register("me", "x/a", 5, 9, b"forged"))
-    assert cells.merge(1.0, Register("me", "x/b", 4, 9, b"of my last life"))
-    assert cells.merge(1.0, Register("a", "x/a", 1, 1, b"")) and cells.merge(
+def test_own_registers_are_never_accepted_from_others_and_limits_hold() -> None:
+    registers = RegisterStore("me", 5, max_per_subject=2)
+    registers.write(0.0, "x/a", b"mine")
+    assert not registers.merge(1.0, Register("me", "x/a", 5, 9, b"forged"))
+    assert registers.merge(1.0, Register("me", "x/b", 4, 9, b"of my last life"))
+    assert registers.merge(1.0, Register("a", "x/a", 1, 1, b"")) and registers.merge(
         1.0, Register("b", "x/a", 1, 1, b"")
     )
-    assert not cells.merge(1.0, Register("c", "x/a", 1, 1, b"")) and cells.rejected == 1
+    assert not registers.merge(1.0, Register("c", "x/a", 1, 1, b"")) and registers.rejected == 1
     with pytest.raises(ValueError):
-        cells.write(0.0, "x/a", b"x" * 901)
-    cells.restart(2.0, 6)
-    mine = cells.read("me", "x/a")
-    assert mine is not None and mine.register.order == (6, 1)
+        registers.write(0.0, "x/a", b"x" * 901)
+    registers.restart(2.0, 6)
+    own_register = registers.read("me", "x/a")
+    assert own_register is not None and own_register.register.order == (6, 1)
 
 
-def test_load_reports_go_to_the_living_and_count_only_from_them() -> None:
-    world = settled(4)
-    words: list[tuple[str, str, str]] = []
+def test_load_reports_are_sent_to_and_accepted_from_living_members_only() -> None:
+    world = settled_fleet(4)
+    load_reports: list[tuple[str, str, str]] = []
     for process in world.running():
         process.members.on_load_report = partial(
-            lambda me, now, who, text: words.append((me, who, text)), process.name
+            lambda me, now, who, text: load_reports.append((me, who, text)), process.name
         )
     world.processes["m1"].members.publish_load_report(world.now, "=" + "7" * 300)
     world.run(world.now + 1)
-    assert sorted(me for me, _, _ in words) == ["m0", "m2", "m3"]
-    assert {(who, len(text)) for _, who, text in words} == {("m1", 256)}
-    words.clear()
+    assert sorted(me for me, _, _ in load_reports) == ["m0", "m2", "m3"]
+    assert {(who, len(text)) for _, who, text in load_reports} == {("m1", 256)}
+    load_reports.clear()
     members = world.processes["m0"].members
     members.states.declare(world.now, members.table.records["m1"], wire.Status.DEAD, 0)
     world.processes["m1"].members.publish_load_report(world.now, "=")
     world.run(world.now + 0.01)
-    assert "m0" not in [me for me, _, _ in words]
+    assert "m0" not in [me for me, _, _ in load_reports]
 
 
 # On sockets.
@@ -733,36 +761,36 @@
     assert not faults
 
 
-def part(n: int = 0, **changes: Any) -> MembersConfig:
+def members_config(n: int = 0, **changes: Any) -> MembersConfig:
     return MembersConfig(**{"fleet": "f", "listen": "127.0.0.1:0", "name": f"m{n}", **changes})
 
 
-def step_until(loop: Loop, true: Any, limit: float = 60.0) -> None:
+def step_until(loop: Loop, condition: Any, limit: float = 60.0) -> None:
     def waker() -> Coroutine[None]:
         while True:
             yield loop.now() + 0.01
 
     loop.spawn(waker())
     end = loop.now() + limit
-    while not true():
+    while not condition():
         assert loop.now() < end
         loop.step()
 
 
-def fleet_of(loop: Loop, size: int, **changes: Any) -> list[MembershipComponent]:
-    runs = [MembershipComponent(loop, part(**changes), CONFIG, MembershipOptions(seed=0))]
-    assert runs[0].wire is not None
-    seed = f"127.0.0.1:{runs[0].wire.address[1]}"
-    runs += [
-        MembershipComponent(loop, part(n, seeds=[seed]), CONFIG, MembershipOptions(seed=n))
+def start_fleet(loop: Loop, size: int, **changes: Any) -> list[MembershipComponent]:
+    components = [MembershipComponent(loop, members_config(**changes), CONFIG, MembershipOptions(seed=0))]
+    assert components[0].wire is not None
+    seed = f"127.0.0.1:{components[0].wire.address[1]}"
+    components += [
+        MembershipComponent(loop, members_config(n, seeds=[seed]), CONFIG, MembershipOptions(seed=n))
         for n in range(1, size)
     ]
-    step_until(loop, lambda: all(len(run.to_json()["members"]) == size for run in runs))
-    return runs
+    step_until(loop, lambda: all(len(component.to_json()["members"]) == size for component in components))
+    return components
 
 
-def test_members_on_sockets_updates_of_a_loaded_process_are_not_late(loop: Loop) -> None:
-    runs = fleet_of(loop, 4)
+def test_register_updates_of_a_busy_process_are_not_late_on_sockets(loop: Loop) -> None:
+    components = start_fleet(loop, 4)
 
     rounds = 0.0
 
@@ -775,59 +803,62 @@
                 pass
             yield loop.now()
 
-    for _ in range(100):  # a round of the loop takes 200 ms
+    for _ in range(100):  # makes a round of the loop take 200 ms
         loop.spawn(busy())
-    late: list[float] = []
-    heard: list[float] = []
-    runs[2].cells.on_change("x/", lambda now, cell: heard.append(rounds))
+    delays: list[float] = []
+    received_rounds: list[float] = []
+    components[2].cells.on_change("x/", lambda now, register: received_rounds.append(rounds))
     for n in range(5):
-        heard.clear()
+        received_rounds.clear()
         written = rounds
-        runs[0].cells.write(loop.now(), "x/a", b"%d" % n, toward=["m2"])
-        step_until(loop, lambda: bool(heard))
-        late.append(heard[0] - written)
-    assert sorted(late)[2] < 0.25
+        components[0].cells.write(loop.now(), "x/a", b"%d" % n, toward=["m2"])
+        step_until(loop, lambda: bool(received_rounds))
+        delays.append(received_rounds[0] - written)
+    assert sorted(delays)[2] < 0.25
     until = loop.now() + 3
     step_until(loop, lambda: loop.now() > until)
-    assert all(one["state"] == "alive" for run in runs for one in run.to_json()["members"])
-    for run in runs:
-        run.close()
+    assert all(
+        member["state"] == "alive" for component in components for member in component.to_json()["members"]
+    )
+    for component in components:
+        component.close()
 
 
-def test_members_on_sockets_one_leaves_and_what_the_console_tells(loop: Loop) -> None:
-    runs = fleet_of(loop, 3)
-    runs[2].leave()
-    step_until(loop, lambda: [m["state"] for m in runs[0].to_json()["members"]] == ["alive", "alive", "left"])
-    body = runs[0].to_json()
+def test_leaving_reloading_and_the_console_on_sockets(loop: Loop) -> None:
+    components = start_fleet(loop, 3)
+    components[2].leave()
+    step_until(
+        loop, lambda: [m["state"] for m in components[0].to_json()["members"]] == ["alive", "alive", "left"]
+    )
+    body = components[0].to_json()
     assert body["self"] == "m0" and set(body["members"][0]) >= {"name", "state", "life", "heard"}
     assert body["members"][0]["heard"] == 0.0 and not any(body["drops"].values()) and body["faults"] == []
-    changed = msgspec.structs.replace(runs[0].table, seeds=["127.0.0.1:9"], fleet="g")
-    assert runs[0].reload(changed) == ["members.fleet"]
-    assert runs[0].members.anti_entropy.seeds == [("127.0.0.1", 9)]
+    changed = msgspec.structs.replace(components[0].table, seeds=["127.0.0.1:9"], fleet="g")
+    assert components[0].reload(changed) == ["members.fleet"]
+    assert components[0].members.anti_entropy.seeds == [("127.0.0.1", 9)]
     with pytest.raises(AddressInUseError) as fault:
-        assert runs[0].wire is not None
-        taken = part(9, listen=f"127.0.0.1:{runs[0].wire.address[1]}")
+        assert components[0].wire is not None
+        taken = members_config(9, listen=f"127.0.0.1:{components[0].wire.address[1]}")
         MembershipComponent(loop, taken, CONFIG, MembershipOptions(seed=9))
     assert fault.value.remedy in fault.value.line()
-    for run in runs:
-        run.close()
+    for component in components:
+        component.close()
 
 
-def test_an_incarnation_is_kept_in_the_folder_and_outruns_a_clock_that_went_back(
-    loop: Loop, tmp_path: Path
-) -> None:
+def test_an_incarnation_is_stored_and_exceeds_a_clock_that_was_set_back(loop: Loop, tmp_path: Path) -> None:
     ahead = (time.time_ns() // 1_000_000 + 3_600_000) << 12
     StoredFile(str(tmp_path / "members.life"), 3, 1, 64).write(b"%d" % ahead, "test")
-    lives = []
+    incarnations = []
     for _ in range(2):
-        run = MembershipComponent(loop, part(folder=str(tmp_path)), CONFIG)
-        lives.append(run.members.own_incarnation)
-        run.close()
-    assert ahead < lives[0] < lives[1]
+        component = MembershipComponent(loop, members_config(folder=str(tmp_path)), CONFIG)
+        incarnations.append(component.members.own_incarnation)
+        component.close()
+    assert ahead < incarnations[0] < incarnations[1]
     (tmp_path / "members.life").write_bytes(b"damaged")
-    run = MembershipComponent(loop, part(folder=str(tmp_path)), CONFIG)  # goes by the clock, and says so
-    assert run.members.own_incarnation < ahead
-    run.close()
+    # A damaged file is logged, and the incarnation is taken from the clock.
+    component = MembershipComponent(loop, members_config(folder=str(tmp_path)), CONFIG)
+    assert component.members.own_incarnation < ahead
+    component.close()
 
 
 @pytest.mark.parametrize(
@@ -844,9 +875,9 @@
         ({"folder": "/nowhere/at/all"}, ["members.folder"]),
     ],
 )
-def test_all_faults_of_the_table_are_named_with_their_places(
+def test_all_configuration_errors_are_reported_with_their_paths(
     changes: dict[str, Any], faults: list[str]
 ) -> None:
-    table = part(**{"listen": "127.0.0.1:7000", **changes})
+    table = members_config(**{"listen": "127.0.0.1:7000", **changes})
     found = list(unfit(table, CONFIG))
-    assert [one.split(": ")[0] for one in found] == faults
+    assert [message.split(": ")[0] for message in found] == faults
