--- a/rainspindle/decisions/wallet/__init__.py
+++ b/rainspindle/decisions/wallet/__init__.py
@@ -1,1 +1,1 @@
-"""Prepaid wallets: what tenants may still have done."""
+"""Prepaid wallets: the units that a tenant has paid for and may still spend."""
--- a/rainspindle/decisions/wallet/account.py
+++ b/rainspindle/decisions/wallet/account.py
@@ -1,32 +1,46 @@
-"""One member's part of one wallet: a bounded counter of which each member writes its own row alone.
+"""One member's share of one wallet: a bounded counter in which each member writes only its own row.
 
 Source: Balegas et al., "Extending Eventually Consistent Cloud Databases for Enforcing Numeric Invariants"
 (SRDS 2015).
 
-All counts only ever grow within an account, so a row that is heard late, twice or never does no harm:
+Within an account all counts only grow, so a row that arrives late, twice or never is harmless:
 
-    rights = topped + all got - all given - spent + back
+    rights = topped + sum(got) - sum(given) - spent + back
 
-What goes out of the rights (spent, given) counts once the row that says so is on disk, and not before: what
-is spent is written *ahead*, in pieces, and used up from `free` without the disk. What comes in counts at once
-in the row that is to be written; what is done with it goes to disk with it, in one row.
+Rights are the units that the member may still spend or transfer. Outgoing units (spent, given) take effect
+only once the row that records them is on disk. Spending is therefore written *ahead*: a piece is recorded as
+spent, and requests are then debited from that piece in memory, without a write each. Incoming units count at
+once in the row that is written next, and whatever is done with them goes to disk in that same row.
 
-An account belongs to a member and begins in one of its lives; no two of a member have one number. A life that
-can't prove that its folder is the newest begins a new one with nothing in it: the old one's rights stay where
-nobody can spend them.
+An account belongs to one member and begins in one of its incarnations; a member never uses an account number
+twice. An incarnation that can't prove that its folder is the newest opens a new, empty account; nobody can
+spend the rights that are left in the old one.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-SHIFT = 10  # bits of an account's number below the life in which it began
-MOST_OLD = 8  # accounts that are over and of which gifts are still told, the latest
-Who = tuple[str, int]  # a member, and the number of its account
+SHIFT = 10  # an account's number holds the incarnation in which it began above this many low bits
+MAX_OLD_ACCOUNTS = 8  # closed accounts, the latest ones, whose transfers are still reported
+AccountId = tuple[str, int]  # a member and the number of one of its accounts
 
 
 class Row:
-    """As it goes to disk."""
+    """What a member stores on disk for one account.
+
+    Attributes:
+        account: The account's number.
+        number: Counts the rows written for this account.
+        spent: Units ever recorded as spent, including those written ahead.
+        back: Units written ahead that were put back unused.
+        topped: Units of all top-ups; only the home member takes top-ups.
+        given: Units ever transferred to each account of other members.
+        got: Units ever received from each account of other members.
+        off: For each member, the last of its accounts that is written off. Only the home sets it.
+        barred: The books for which the home takes no top-ups, as it may have lost ids of earlier ones.
+        rests: Whether the account's use has ended: it is empty, and the other members know its state.
+    """
 
     __slots__ = ("account", "back", "barred", "given", "got", "number", "off", "rests", "spent", "topped")
 
@@ -37,8 +51,8 @@
         spent: int = 0,
         back: int = 0,
         topped: int = 0,
-        given: dict[Who, int] | None = None,
-        got: dict[Who, int] | None = None,
+        given: dict[AccountId, int] | None = None,
+        got: dict[AccountId, int] | None = None,
         off: dict[str, int] | None = None,
         barred: str = "",
         rests: bool = False,
@@ -47,11 +61,12 @@
         self.spent, self.back, self.topped = spent, back, topped
         self.given = given if given is not None else {}
         self.got = got if got is not None else {}
-        self.off = off if off is not None else {}  # the home's: accounts up to this one are written off
-        self.barred = barred  # the home's: books of which it may have forgotten ids of top-ups
-        self.rests = rests  # its use has ended: nothing is left in it, and others have heard all
+        self.off = off if off is not None else {}
+        self.barred = barred
+        self.rests = rests
 
     def copy(self) -> Row:
+        """Copies the row, including its tables, so that later changes to one don't affect the other."""
         return Row(
             self.account,
             self.number,
@@ -66,52 +81,57 @@
         )
 
     def rights(self) -> int:
+        """Returns the units that the account may still spend or transfer; see the module's formula."""
         return self.topped + sum(self.got.values()) - sum(self.given.values()) - self.spent + self.back
 
 
 class Account:
-    """The row as it is to be, as it is on disk, and what may be spent with neither.
+    """An account in memory: its row as it will be written next, the row on disk, and units ready to spend.
 
-    The host writes what `stage` gives and calls `written` or `failed`; one write is out at a time."""
+    The host writes the row that `stage` returns and then calls `written` or `failed`. Only one write is in
+    progress at a time.
+    """
 
     __slots__ = ("dirty", "free", "fresh", "ids", "ids_writing", "kept", "rights", "row", "writing")
 
     def __init__(self, row: Row, ids: dict[str, int] | None = None) -> None:
-        """`row` as it was found on disk, `ids` of the top-ups that are in it, with their amounts."""
+        """Starts from the row found on disk and the ids of the top-ups in it, with their amounts."""
         self.row, self.kept = row, row.copy()
         self.writing: Row | None = None
         self.ids = ids if ids is not None else {}
-        self.fresh: list[str] = []  # ids that are on no disk yet
-        self.ids_writing: list[str] = []  # go with the row that is being written
+        self.fresh: list[str] = []  # ids of top-ups that no write has included yet
+        self.ids_writing: list[str] = []  # ids that are part of the write in progress
         self.rights = row.rights()
-        self.free = 0  # written as spent, and not used yet
+        self.free = 0  # units recorded on disk as spent that no request has used yet
         self.dirty = False
 
     @property
     def coming(self) -> int:
-        """Written ahead, and not on disk yet."""
+        """Units written ahead whose row is not on disk yet."""
         return self.row.spent - self.kept.spent
 
     @property
     def held(self) -> int:
+        """Units in this account: rights, units ready to spend, and units being written ahead."""
         return self.rights + self.free + self.coming
 
-    # Exchanges: no disk, no words.
+    # Requests: neither disk writes nor messages.
 
     def debit(self, price: int) -> bool:
+        """Takes the price of a request; returns False, and takes nothing, if too few units are ready."""
         if self.free < price:
             return False
         self.free -= price
         return True
 
     def credit(self, price: int) -> None:
-        """What was debited was never done."""
+        """Gives back the price of a request that was debited but never executed."""
         self.free += price
 
-    # The row.
+    # Changes to the row.
 
     def ahead(self, amount: int) -> int:
-        """To be spent once it is written; how much of that there is."""
+        """Records up to `amount` units as spent, to be used once that is on disk; returns how many."""
         amount = min(amount, self.rights)
         if amount > 0:
             self.row.spent += amount
@@ -120,7 +140,7 @@
         return max(amount, 0)
 
     def put_back(self, amount: int) -> int:
-        """What was written ahead and is not needed here."""
+        """Turns up to `amount` unused units that were written ahead into rights again; returns how many."""
         amount = min(amount, self.free)
         if amount > 0:
             self.free -= amount
@@ -129,8 +149,11 @@
             self.dirty = True
         return max(amount, 0)
 
-    def give(self, to: Who, amount: int) -> int:
-        """It may be told once it is written."""
+    def give(self, to: AccountId, amount: int) -> int:
+        """Transfers up to `amount` units to another account and returns how many.
+
+        The recipient may be notified once the row is on disk.
+        """
         amount = min(amount, self.rights)
         if amount > 0:
             self.row.given[to] = self.row.given.get(to, 0) + amount
@@ -138,8 +161,8 @@
             self.dirty = True
         return max(amount, 0)
 
-    def hear(self, giver: Who, total: int) -> int:
-        """A giver's word of all that it ever gave to this account; how much of it is new."""
+    def hear(self, giver: AccountId, total: int) -> int:
+        """Takes the total that another account ever transferred to this one; returns how much is new."""
         new = total - self.row.got.get(giver, 0)
         if new > 0:
             self.row.got[giver] = total
@@ -148,12 +171,12 @@
             self.dirty = True
         return max(new, 0)
 
-    def top_up(self, id: str, amount: int) -> bool:
-        """At the home alone. False where this id has come in before."""
-        if id in self.ids:
+    def top_up(self, top_up_id: str, amount: int) -> bool:
+        """Adds a top-up, at the home only; returns False if this id has been entered before."""
+        if top_up_id in self.ids:
             return False
-        self.ids[id] = amount
-        self.fresh.append(id)
+        self.ids[top_up_id] = amount
+        self.fresh.append(top_up_id)
         self.row.topped += amount
         self.row.rests = False
         self.rights += amount
@@ -161,17 +184,20 @@
         return True
 
     def write_off(self, member: str, account: int) -> bool:
-        """At the home alone: what this account holds is not counted any more."""
+        """Writes off a member's accounts up to this one, at the home only: they no longer count.
+
+        Returns False if they already are written off.
+        """
         if self.row.off.get(member, 0) >= account:
             return False
         self.row.off[member] = account
         self.dirty = True
         return True
 
-    # The disk.
+    # Writing to disk.
 
     def stage(self) -> Row | None:
-        """What is to be written now, if anything."""
+        """Returns the row to write now, or None if nothing has changed or a write is in progress."""
         if not self.dirty or self.writing is not None:
             return None
         self.row.number += 1
@@ -180,56 +206,64 @@
         return self.writing
 
     def written(self) -> None:
-        """What was staged is on disk for certain: what it says is in force."""
+        """Puts the staged row into effect; it is on disk for certain."""
         if self.writing is None:
             return
         self.free += self.writing.spent - self.kept.spent
         self.kept, self.writing, self.ids_writing = self.writing, None, []
 
     def failed(self) -> None:
-        """It may be on disk or not: nothing that it says is in force."""
+        """Gives up the staged row, which may or may not be on disk: none of it takes effect."""
         if self.writing is not None:
             self.writing, self.dirty = None, True
             self.fresh, self.ids_writing = self.ids_writing + self.fresh, []
 
 
 class Trust(Enum):
-    """What is known of a row that was found on disk."""
+    """Whether a row found on disk is known to be the newest of its account."""
 
-    SURE = "sure"  # it is the newest of its account for certain
-    UNSURE = "unsure"  # it may be older than what was done: others are asked first
-    OLD = "old"  # it is not: nothing of its account is spent any more
+    SURE = "sure"  # certainly the newest
+    UNSURE = "unsure"  # possibly outdated: other members are asked before anything is spent
+    OLD = "old"  # outdated: nothing of its account is spent any more
 
 
 class Holding:
-    """A member's accounts in one wallet: the one that is spent from, and those that are over."""
+    """A member's accounts in one wallet: the one that it spends from, and its closed ones."""
+
+    def __init__(self, incarnation: int, nonce: int = 0) -> None:
+        """Starts with a new account of this incarnation of the member.
 
-    def __init__(self, life: int, chance: int = 0) -> None:
-        """`life` of the member; `chance`, under 512, guards against two lives of one number: a folder put
-        back and a clock that is behind may make them."""
-        self.life, self.chance = life, chance
+        `nonce` is a random number below 512. It keeps account numbers apart if two incarnations get the same
+        number, which happens when a folder is restored from a copy and the clock is behind.
+        """
+        self.incarnation, self.nonce = incarnation, nonce
         self.account = Account(Row(self.number()))
-        self.old: list[Row] = []  # as they are on disk, for what they gave
-        self.unsure = False  # nothing is spent or given before somebody was heard
-        self.sealing = False  # nothing is spent any more, the last row is on its way to disk
-        self.lost = 0  # rights left in accounts that are over
+        self.old: list[Row] = []  # closed accounts as stored on disk, for the transfers they made
+        self.unsure = False  # spends and transfers nothing until another member has answered
+        self.sealing = False  # spends nothing more; the account's last row is being written
+        self.lost = 0  # units left in closed accounts
 
     def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        """What was found on disk. A row that is not the last of its account ends the account; so does one
-        that rests and may not be the last, as there is nothing to lose in it."""
-        self.old = old[-MOST_OLD:]
+        """Loads what was found on disk.
+
+        The account is closed if its row is outdated. It is also closed if the row rests and may be outdated,
+        as a resting account holds nothing that could be lost.
+        """
+        self.old = old[-MAX_OLD_ACCOUNTS:]
         self.account = Account(row if row is not None else Row(self.number()), ids)
         self.unsure = row is not None and trust is Trust.UNSURE
         if row is not None and (trust is Trust.OLD or (row.rests and self.unsure)):
             self.begin_anew()
 
     def number(self, after: int = 0) -> int:
-        return max(self.life << SHIFT | self.chance, after + 1)
+        """Returns a number for a new account, higher than `after`."""
+        return max(self.incarnation << SHIFT | self.nonce, after + 1)
 
     def begin_anew(self) -> None:
+        """Closes the account and opens a new, empty one."""
         row = self.account.kept
         self.lost += max(self.account.held, 0)
-        self.old = [*self.old, row][-MOST_OLD:]
+        self.old = [*self.old, row][-MAX_OLD_ACCOUNTS:]
         self.account = Account(
             Row(self.number(row.account), off=dict(self.account.row.off), barred=self.account.row.barred),
             self.account.ids,
@@ -238,7 +272,7 @@
         self.unsure = self.sealing = False
 
     def may_rest(self) -> bool:
-        """Nothing is left, and all that was done is on disk."""
+        """Returns whether the account is empty and everything done with it is on disk."""
         account = self.account
         return not (
             self.unsure
@@ -250,25 +284,31 @@
         )
 
     def rest(self) -> None:
-        """Its use has ended, until it gets something or its clients come."""
+        """Ends the account's use until it receives units or clients send requests again."""
         self.account.row.rests = self.account.dirty = True
 
     def wake(self) -> None:
+        """Resumes the use of a resting account."""
         if self.account.row.rests:
             self.account.row.rests, self.account.dirty = False, True
 
     def others_know(self, number: int) -> bool:
-        """The highest row of this account that others have heard of; whether that makes it sure."""
+        """Settles an unsure account by the highest row of it that other members have received.
+
+        Returns True if the row on disk is the newest; otherwise closes the account and returns False.
+        """
         if self.unsure and number > self.account.kept.number:
             self.begin_anew()
             return False
-        self.account.dirty = self.account.dirty or self.unsure  # so that the next life knows it too
+        self.account.dirty = self.account.dirty or self.unsure  # so that the next incarnation is sure as well
         self.unsure = False
         return True
 
-    def seal(self, home: Who | None) -> bool:
-        """All that is left goes to the home, where it is known; whether that is on disk, and a new account
-        has begun."""
+    def seal(self, home: AccountId | None) -> bool:
+        """Transfers everything that is left to the home member's account, if that is known.
+
+        Returns True once the transfer is on disk; a new account is open then.
+        """
         account = self.account
         self.sealing, self.unsure = True, False
         account.put_back(account.free)
@@ -281,18 +321,19 @@
         return True
 
     def gifts(self, member: str) -> list[tuple[int, int, int]]:
-        """Own account, its account, total: what may be told, as it is on disk."""
+        """Returns the transfers to a member that are on disk: own account, its account, total units."""
         return [
             (row.account, account, total)
             for row in (*self.old, self.account.kept)
             for (peer, account), total in row.given.items()
             if peer == member
-        ][-MOST_OLD:]
+        ][-MAX_OLD_ACCOUNTS:]
 
     def take_gifts(self, member: str, entries: list[tuple[int, int, int]]) -> int:
-        """A member's word of what it gave to this one; how much of that is new.
+        """Takes what another member reports to have transferred to this one; returns how much is new.
 
-        Nothing is while it is unsure: a row that is written would hide that a later one was there before."""
+        An unsure account takes nothing: a row written now would hide that a later row existed before.
+        """
         if self.unsure:
             return 0
         return sum(
--- a/rainspindle/decisions/wallet/register.py
+++ b/rainspindle/decisions/wallet/register.py
@@ -1,13 +1,15 @@
-"""Which of a member's own cells of wallets nobody needs any more. No I/O, no clock.
-
-A word serves two ends: rights find their way by it, and it shows a volume that was set back. When the use of
-a wallet has ended the first is over. For the second one number does for all wallets of a member: that of its
-folder's last batch, as a volume is set back whole. It is told in the very cell by which the others forget the
-words (`Cells.sweep`), so there is no moment in which somebody has forgotten them and does not know it.
-
-A batch that is written when all wallets are sure is numbered over the life, and one at least is before the
-first sweep of a life. So what was on disk in any life before is under all that this one tells, also where the
-folder was set back twice.
+"""Deletes a member's own wallet registers that no member needs any more. No I/O, no clock.
+
+A wallet register serves two purposes: it directs the transfer of rights, and it reveals that a member's
+volume was restored from an older copy. Once the use of a wallet has ended, the first no longer matters. For
+the second, one number covers all wallets of a member, as a volume is always restored as a whole: the number
+of the last batch written to its folder. That number is published in the same sweep register that makes the
+others delete the wallet registers, so no member can have deleted them without knowing the number.
+
+Batches written while all wallets are sure (their rows are known to be the newest) are numbered above a base
+that grows with the incarnation, and at least one such batch is written before the first sweep of an
+incarnation. So every number that an earlier incarnation had on disk is below those that this one publishes,
+even if the folder was restored twice.
 """
 
 from __future__ import annotations
@@ -16,106 +18,134 @@
 from collections.abc import Iterable
 
 from ...errors import Trouble
-from ...protocol.wallet import VERSION, Mark, claim, decode_mark, encode
+from ...protocol.wallet import VERSION, Mark, decode_mark, encode, home_claim
 from ..shared.registers import Register, RegisterStore, subject_of
 
 ABOUT = "wallet"
-SWEEP = 60.0  # seconds between two sweeps of one member, and to the first after its start, at most
-MOST_CLAIMS = 150  # that fit in one cell; a home of more goes on telling a word of each
+SWEEP = 60.0  # seconds at most between two sweeps of one member, and from its start to the first sweep
+MAX_CLAIMS = 150  # fit in one register; a home of more wallets keeps a register for each further one
 
 
 class TombstoneRegistry:
-    """Of one member, in one life."""
-
-    def __init__(self, cells: RegisterStore, now: float, found: int = 0, room: int = 1) -> None:
-        """`found`: the number of the last batch that was in the folder when it was opened. `room`: batches
-        between two lives that follow each other, where lives are no milliseconds."""
-        self.cells, self.found, self.number, self.room = cells, found, found, room
+    """The wallet registers that one member, in one incarnation, keeps or deletes."""
+
+    def __init__(self, cells: RegisterStore, now: float, found: int = 0, batch_room: int = 1) -> None:
+        """Starts with nothing to delete.
+
+        Args:
+            cells: The registers of this member and of all others.
+            now: The current time in seconds.
+            found: The number of the last batch that was in the folder when it was opened.
+            batch_room: Room for batch numbers between two successive incarnations. 1 is enough
+                where incarnations are numbered by the milliseconds of their start.
+        """
+        self.cells, self.found, self.number, self.batch_room = cells, found, found, batch_room
         self.pace = SWEEP
-        self.gone: set[str] = set()
-        self.homes: dict[str, int] = {}  # wallets of which it tells no word, as their home; their claims
+        self.to_delete: set[str] = set()
+        self.claims: dict[str, int] = {}  # hashes by wallet, of wallets at home here that have no register
         self.due = math.inf
         self.swept_at = now
-        self.old = 0  # the highest number that it told in an earlier life, as others know it
+        self.old = 0  # the highest number of an earlier incarnation that other members report
 
-    def opened(self, found: int) -> None:
+    def on_store_opened(self, found: int) -> None:
+        """Takes the number of the last batch that the folder holds."""
         self.found = self.number = max(found, self.number)
 
     def written(self, number: int) -> None:
-        """This batch is on disk for certain."""
+        """Notes that this batch is on disk for certain."""
         self.number = max(self.number, number)
 
-    # What is needed no more.
+    # Registers that are no longer needed.
 
-    def ended(self, names: Iterable[str]) -> None:
+    def delete_registers(self, names: Iterable[str]) -> None:
+        """Deletes these of the member's own registers with the next sweep."""
         own = self.cells.by_owner.get(self.cells.own_name, {})
-        self.gone.update(name for name in names if name in own)
+        self.to_delete.update(name for name in names if name in own)
         self.plan()
 
-    def told(self, name: str) -> None:
-        """It is needed again."""
-        self.gone.discard(name)
+    def keep_register(self, name: str) -> None:
+        """Keeps this register after all, as it is about to be written again."""
+        self.to_delete.discard(name)
+
+    def claim_silently(self, wallet: str, books: str) -> bool:
+        """Publishes only a claim for a wallet whose home is here, in place of its register.
 
-    def silence(self, wallet: str, books: str) -> bool:
-        """The home of a wallet has no word to tell of it; whether there is room for its claim."""
-        if len(self.homes) >= MOST_CLAIMS:
+        Returns False if there is no room for another claim.
+        """
+        if len(self.claims) >= MAX_CLAIMS:
             return False
-        self.homes[wallet] = claim(wallet, books)
+        self.claims[wallet] = home_claim(wallet, books)
         self.plan()
         return True
 
-    def speaks(self, wallet: str) -> None:
-        self.homes.pop(wallet, None)  # what was claimed is no less true now
+    def withdraw_claim(self, wallet: str) -> None:
+        """Stops publishing the claim, as the wallet has a register again.
+
+        No sweep is needed for that: a claim that is still published remains true.
+        """
+        self.claims.pop(wallet, None)
 
     def plan(self) -> None:
+        """Schedules a sweep unless one is due earlier."""
         self.due = min(self.due, self.swept_at + self.pace)
 
     @property
     def over(self) -> int:
-        """What a batch is numbered over while all wallets are sure."""
-        return self.cells.incarnation * self.room
+        """The number above which batches are numbered while all wallets are sure."""
+        return self.cells.incarnation * self.batch_room
 
     @property
     def ready(self) -> bool:
-        """Whether such a batch is on disk."""
+        """Whether a batch with such a number is on disk."""
         return self.number > self.over
 
     def sweep(self, now: float) -> None:
-        """When `ready`, and no wallet is unsure: the number that the others know is what tells whether it was
-        set back."""
+        """Deletes the registers that are no longer needed, and publishes the batch number and the claims.
+
+        To be called only when a batch of this incarnation is on disk and no wallet is unsure, as the other
+        members recognize a restored volume by the number published here.
+        """
         self.due, self.swept_at = math.inf, now
-        note = encode(Mark(VERSION, self.number, sorted(self.homes.values())))
-        self.cells.sweep(now, ABOUT, self.gone, note)
-        self.gone.clear()
+        note = encode(Mark(VERSION, self.number, sorted(self.claims.values())))
+        self.cells.sweep(now, ABOUT, self.to_delete, note)
+        self.to_delete.clear()
 
-    # What others tell.
+    # Reports of other members.
 
-    def heard_own(self, cell: Register) -> bool:
-        """A cell of an earlier life of this member. Whether it shows that the folder is older than that."""
+    def heard_own(self, register: Register) -> bool:
+        """Takes a register that an earlier incarnation of this member wrote.
+
+        Returns True if it or one before it shows that the folder is older than that incarnation's.
+        """
         self.plan()
-        if subject_of(cell.name) != ABOUT:
-            self.old = max(self.old, self.number_of(cell.value.partition(b" ")[2]))
+        if subject_of(register.name) != ABOUT:
+            self.old = max(self.old, self.number_of(register.value.partition(b" ")[2]))
         return self.old > self.found
 
     def mark_of(self, member: str) -> int:
-        """The last batch of its folder that it told of; 0 where it told of none."""
+        """Returns the number of the last batch that a member has published, 0 if none."""
         return self.number_of(self.cells.sweep_note(member, ABOUT))
 
     def number_of(self, note: bytes) -> int:
-        mark = self.mark(note)
+        """Returns the batch number in a sweep's note, 0 if the note is empty or unreadable."""
+        mark = self.decode(note)
         return mark.number if mark is not None else 0
 
-    def mark(self, note: bytes) -> Mark | None:
+    def decode(self, note: bytes) -> Mark | None:
+        """Decodes a sweep's note; None if it is empty or unreadable."""
         try:
             return decode_mark(note) if note else None
         except Trouble:
             return None
 
     def claimant(self, members: Iterable[str], wallet: str, books: str) -> str:
-        """One of these that is the home of these books too, by its file."""
-        wanted = claim(wallet, books)
+        """Returns one of these members that claims to be the home of this wallet and these books.
+
+        Returns "" if there is none.
+        """
+        wanted = home_claim(wallet, books)
         for member in members:
-            mark = self.mark(self.cells.sweep_note(member, ABOUT))
+            mark = self.decode(self.cells.sweep_note(member, ABOUT))
             if mark is not None and wanted in mark.homes:
                 return member
         return ""
