--- a/rainspindle/decisions/wallet/wallet.py
+++ b/rainspindle/decisions/wallet/wallet.py
@@ -701,7 +701,7 @@
                 self.host.log("wallet: paused", wallet=self.name, held=account.held, known=self.balance())
         elif can_spend and account.free >= self.rules.least:
             self.host.log(
-                "wallet: resumed", wallet=self.name, held=account.held, after=f"{now - self.paused_since:.2f}"
+                "wallet: goes on", wallet=self.name, held=account.held, after=f"{now - self.paused_since:.2f}"
             )
             self.paused_since, self.report_due = None, True
 
@@ -807,7 +807,7 @@
         recipient = (
             self.rules.home
             if self.rules.home in alive
-            else max(alive, key=lambda name: (self.words[name].held, name), default="")
+            else max(alive, key=lambda member: (self.words[member].held, member), default="")
         )
         if recipient:
             account.give((recipient, self.words[recipient].account), account.rights)
--- a/rainspindle/program/fleet/wallet.py
+++ b/rainspindle/program/fleet/wallet.py
@@ -26,7 +26,7 @@
 from ...protocol.wallet import Kept as KeptRow
 from ...protocol.wallet import UnreadableWord
 from ...routing.core import Taker
-from ...routing.wallet import Purse, WalletGate
+from ...routing.wallet import PaymentSource, WalletGate
 from ...store.kept import MOST_WAIT, Done, Found, Kept, StoreHeld
 from ...transport.loop import Coroutine
 from ..config import Config
@@ -79,7 +79,7 @@
     def __init__(self, wallet: str, home: str) -> None:
         """Names the wallet's home, where the call has to be made."""
         super().__init__(
-            f"top-ups and write-offs of {wallet} are taken only at its home, {home}",
+            f"top-ups and write-offs of {wallet} are taken at {home} alone",
             f"make the same call, with the same id, at the console of {home}",
         )
 
@@ -101,7 +101,7 @@
             "restarts of the process and the machine: name one, or remove the wallets from this member's file"
         )
     if len(tables) > MAX_WALLETS:
-        yield f"wallet: expected at most {MAX_WALLETS} tables, got {len(tables)}"
+        yield f"wallet: {len(tables)} tables; expected at most {MAX_WALLETS}"
         return
     types = config.settings.type_names
     tenants = len(config.raw_settings.get("tenants") or [])
@@ -227,11 +227,11 @@
     def __init__(self, ground: Ground, tables: Any) -> None:
         """Starts with valid tables of the file; nothing is spent before the store is open."""
         self.ground, self.loop, self.cells = ground, ground.loop, ground.cells
-        self.own = ground.members.own_name
+        self.own_name = ground.members.own_name
         self.wallets: dict[str, Wallet] = {}
         self.inactive_wallets: dict[str, Wallet] = {}  # removed from the file
         self.configs: dict[str, WalletPart] = {}
-        self.purses: dict[tuple[int | None, int], Purse] = {}
+        self.payment_sources: dict[tuple[int | None, int], PaymentSource] = {}
         self.gates: list[WalletGate] = []
         self.scheduled_ticks: list[tuple[float, int, Wallet]] = []
         self.urged: set[Wallet] = set()
@@ -257,8 +257,8 @@
             raise WalletTrouble(
                 "wallets need a folder that survives restarts", "name one in [members] folder"
             )
-        self.store = Kept(ground.folder, "wallets", self.own, self.wake_loop)
-        self.register = TombstoneRegistry(self.cells, self.loop.now())
+        self.store = Kept(ground.folder, "wallets", self.own_name, self.wake_loop)
+        self.tombstones = TombstoneRegistry(self.cells, self.loop.now())
         self.take_members()
         self.apply_tables(self.loop.now(), tables)
         self.cells.on_change("wallet/", self.on_register)
@@ -269,7 +269,7 @@
     def taker(self, inner: Taker) -> Taker:
         """Returns a Taker that debits requests before it passes them to `inner`."""
         gate = WalletGate(self.loop, inner)
-        gate.purses = self.purses
+        gate.payment_sources = self.payment_sources
         self.gates.append(gate)
         return gate
 
@@ -289,8 +289,8 @@
                 "wallet: removed from the file",
                 extra={"fields": {"wallet": name, "held": wallet.account.held}},
             )
-        self.register.pace = min([SWEEP, *(part.rest / 5 for part in new.values())])
-        self.purses.clear()
+        self.tombstones.pace = min([SWEEP, *(part.rest / 5 for part in new.values())])
+        self.payment_sources.clear()
         for name, part in new.items():
             before = self.configs.get(name)
             if before is not None and before.home != part.home and before.books == part.books:
@@ -306,13 +306,13 @@
                 or self.inactive_wallets.pop(name, None)
                 or Wallet(
                     name,
-                    self.own,
+                    self.own_name,
                     self.ground.members.own_incarnation,
                     rules,
                     self,
                     now,
                     secrets.randbits(9),
-                    self.register,
+                    self.tombstones,
                 )
             )
             fresh = name not in self.wallets
@@ -327,7 +327,7 @@
                 self.load(now, wallet)
             for type_name in part.match or types:
                 index = types.index(type_name)
-                self.purses[part.tenant, index] = Purse(
+                self.payment_sources[part.tenant, index] = PaymentSource(
                     wallet, part.prices.get(type_name, part.price), binding[index], part.repeat
                 )
         return later
@@ -345,7 +345,7 @@
         self.alive_members = tuple(
             member.name
             for member in self.ground.members.members()
-            if member.name != self.own and member.status is MemberStatus.ALIVE
+            if member.name != self.own_name and member.status is MemberStatus.ALIVE
         )
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
@@ -360,18 +360,18 @@
         """Passes a changed wallet register on to its wallet."""
         name, _, recipient = cell.name.removeprefix("wallet/").partition("/t/")
         wallet = self.wallets.get(name)
-        if cell.owner == self.own:
+        if cell.owner == self.own_name:
             self.on_own_register(now, cell)
-        if wallet is None or (recipient and recipient != words.short(self.own)):
+        if wallet is None or (recipient and recipient != words.short(self.own_name)):
             return
         try:
             if not cell.value:
-                if cell.owner != self.own:
+                if cell.owner != self.own_name:
                     (wallet.on_pair_gone if recipient else wallet.on_gone)(now, cell.owner)
             elif recipient:
-                if cell.owner != self.own:
+                if cell.owner != self.own_name:
                     wallet.on_pair(now, cell.owner, words.decode_pair(cell.value))
-            elif cell.owner == self.own:
+            elif cell.owner == self.own_name:
                 if cell.incarnation < self.ground.members.own_incarnation:
                     wallet.on_own(now, words.decode_word(cell.value))
             else:
@@ -386,9 +386,17 @@
 
     def on_own_register(self, now: float, cell: Register) -> None:
         """Learns from a register of an earlier incarnation whether this folder is outdated."""
-        if cell.owner == self.own and cell.incarnation < self.ground.members.own_incarnation and cell.value:
-            known_before = self.register.old
-            if self.register.heard_own(cell) and self.register.old > known_before and self.found is not None:
+        if (
+            cell.owner == self.own_name
+            and cell.incarnation < self.ground.members.own_incarnation
+            and cell.value
+        ):
+            known_before = self.tombstones.old
+            if (
+                self.tombstones.heard_own(cell)
+                and self.tombstones.old > known_before
+                and self.found is not None
+            ):
                 self.older_folder(now)
             self.worker.wake()
 
@@ -409,10 +417,10 @@
 
     def replay(self, now: float, wallet: Wallet) -> None:
         """Passes on the registers that have arrived while the wallet was not in use."""
-        for name in (words.word_cell(wallet.name), words.pair_cell(wallet.name, self.own)):
+        for name in (words.word_cell(wallet.name), words.pair_cell(wallet.name, self.own_name)):
             for seen in list(self.cells.named(name).values()):
                 if (
-                    seen.register.owner != self.own
+                    seen.register.owner != self.own_name
                     or seen.register.incarnation < self.ground.members.own_incarnation
                 ):
                     self.on_register(now, seen.register)
@@ -475,14 +483,14 @@
                 self.store_failing = self.stalled = False
                 log.info("wallets are written again")
             batch, self.batch, self.batch_at = self.batch, [], math.inf
-            self.register.written(done.number)
+            self.tombstones.written(done.number)
             for wallet in batch:
                 wallet.written(now)
 
     def on_store_opened(self, now: float, found: Found) -> None:
         """Loads all wallets from what the store found on disk."""
         self.found = found
-        self.register.on_store_opened(found.number)
+        self.tombstones.on_store_opened(found.number)
         if self.store_failing:
             self.store_failing = False
             log.info("wallets: folder opened", extra={"fields": {"folder": self.ground.folder}})
@@ -501,7 +509,7 @@
             self.unclaimed_rows.setdefault(key.lstrip("-#").partition("/")[0], {})[key] = value
         for wallet in self.wallets.values():
             self.load(now, wallet)
-        if self.register.old > found.number:
+        if self.tombstones.old > found.number:
             self.older_folder(now)
 
     def load(self, now: float, wallet: Wallet) -> None:
@@ -539,13 +547,13 @@
             old = [rows[account][0] for account in sorted(rows) if account != last]
             trust = (
                 Trust.OLD
-                if aged or self.register.old > self.found.number
+                if aged or self.tombstones.old > self.found.number
                 else (Trust.SURE if self.boots_by_wallet[wallet] == self.found.boot else Trust.UNSURE)
             )
             wallet.load(now, row, ids, old, trust)
             if wallet.unsure:
                 self.unsure.add(wallet)
-            if kept.home not in ("", self.own) and kept.books == wallet.rules.books:
+            if kept.home not in ("", self.own_name) and kept.books == wallet.rules.books:
                 wallet.on_became_home()
         self.replay(now, wallet)
 
@@ -577,7 +585,7 @@
     def write(self, now: float, rows: dict[str, bytes]) -> None:
         """Hands a batch to the store, numbered above the base of the incarnation if all wallets are sure."""
         self.batch_number, self.batch_at = self.batch_number + 1, now
-        self.store.write(rows, self.batch_number, self.register.over if self.all_sure() else 0)
+        self.store.write(rows, self.batch_number, self.tombstones.over if self.all_sure() else 0)
 
     def all_sure(self) -> bool:
         """Returns whether the rows of all wallets are known to be the newest."""
@@ -588,18 +596,18 @@
         """Deletes registers that are no longer needed; returns the time of the next call."""
         if self.batch_at < math.inf or self.found is None or self.handing_over:
             return math.inf  # the result of the write wakes the loop
-        due_at = max(self.register.due, self.retry_at)
+        due_at = max(self.tombstones.due, self.retry_at)
         if now < due_at:
             return due_at
         # Guards against deleting own registers that report a later row before they have been received here.
         if (
             not self.all_sure()
             or not self.alive_members
-            or now - self.others_since < min(CATCH_UP_TIME, self.register.pace)
+            or now - self.others_since < min(CATCH_UP_TIME, self.tombstones.pace)
         ):
-            return now + min(STALL_TIMEOUT, self.register.pace)
-        if self.register.ready:
-            self.register.sweep(now)
+            return now + min(STALL_TIMEOUT, self.tombstones.pace)
+        if self.tombstones.ready:
+            self.tombstones.sweep(now)
             return math.inf
         self.write(now, {})
         return math.inf
@@ -701,7 +709,7 @@
         wallet = self.wallets.get(path[1])
         if wallet is None:
             return error_answer(404, f"no wallet {path[1]!r:.60} in the file", "see GET /-/wallets")
-        if wallet.rules.home != self.own:
+        if wallet.rules.home != self.own_name:
             raise NotHome(wallet.name, wallet.rules.home)
         if not wallet.loaded or wallet.unsure or self.handed_over or self.leaving:
             raise NotReady(f"the wallet {wallet.name} is not ready at this member")
@@ -722,7 +730,9 @@
             )
         if not re.fullmatch(r"[0-9]{1,15}", amount) or int(amount) < 1:
             return error_answer(
-                400, f"amount is {amount!r:.60}; expected a whole number of units, at least 1", "use amount=N"
+                400,
+                f"amount is {amount!r:.60}; expected a whole number of units, at least 1",
+                "give amount=N",
             )
         books = wallet.rules.books
         if wallet.account.row.barred == books:
@@ -777,13 +787,13 @@
             return error_answer(
                 400, "expected member=NAME&life=NUMBER", "take both from GET /-/wallets, under 'others'"
             )
-        if member == self.own:
+        if member == self.own_name:
             raise WalletTrouble(
                 "the home's own rights can't be written off", "name another home and other books"
             )
         known_member, report, last = self.ground.members.member(member), wallet.words.get(member), int(life)
         if known_member is None and report is None:
-            return error_answer(404, f"no member {member!r:.60} is known", "see GET /-/wallets")
+            return error_answer(404, f"nothing is known of a member {member!r:.60}", "see GET /-/wallets")
         is_living = known_member is not None and known_member.status in (
             MemberStatus.ALIVE,
             MemberStatus.SUSPECT,
@@ -827,7 +837,7 @@
         return Answer(
             200,
             {
-                "self": self.own,
+                "self": self.own_name,
                 "wallets": shown,
                 **({"more": f"/-/wallets?after={shown[-1]['name']}"} if more else {}),
             },
--- a/rainspindle/routing/wallet.py
+++ b/rainspindle/routing/wallet.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Purse:
+class PaymentSource:
     """The wallet that pays for the requests of one tenant and traffic type, and the price."""
 
     wallet: Wallet
@@ -29,7 +29,7 @@
 
     __slots__ = ("in_progress", "ran", "repeats", "source", "until")
 
-    def __init__(self, source: Purse, until: float) -> None:
+    def __init__(self, source: PaymentSource, until: float) -> None:
         self.source, self.until = source, until
         self.in_progress, self.repeats, self.ran = 1, 0, False
 
@@ -43,17 +43,16 @@
     def __init__(self, loop: Loop, inner: Taker) -> None:
         """Starts without sources of payment, so that all requests are free.
 
-        The host sets `purses`, the source of payment by tenant and traffic type, and may change it at any
-        time.
+        The host sets `payment_sources`, by tenant and traffic type, and may change it at any time.
         """
         self.loop, self.inner = loop, inner
-        self.purses: Mapping[tuple[int | None, int], Purse] = {}
+        self.payment_sources: Mapping[tuple[int | None, int], PaymentSource] = {}
         self.charges: OrderedDict[ChargeKey, Charge] = OrderedDict()
         self.debited = self.refused = self.refunded = self.free_repeats = 0
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
         """Runs a request and returns its final answer; rejects it if the wallet can't pay."""
-        source = self.purses.get((given.tenant, given.type_index))
+        source = self.payment_sources.get((given.tenant, given.type_index))
         if source is None:
             return (yield from self.inner.run(given, gone))
         charge = self.charge(self.loop.now(), source, given)
@@ -68,7 +67,7 @@
         finally:
             self.settle(charge, ran, given)
 
-    def charge(self, now: float, source: Purse, given: Given) -> Charge | None:
+    def charge(self, now: float, source: PaymentSource, given: Given) -> Charge | None:
         """Debits a request, unless it repeats one already paid for; returns None if the wallet can't pay."""
         request_id = given.request_id
         known = (
--- a/tests/test_wallet.py
+++ b/tests/test_wallet.py
@@ -642,7 +642,7 @@
     cluster.top_up("a", "p2", 50)
     began = time.monotonic()
     cluster.until(lambda: served(cluster.seats["c"].exchange()))
-    assert time.monotonic() - began < 1.0 and logged("wallet: resumed") >= 1
+    assert time.monotonic() - began < 1.0 and logged("wallet: goes on") >= 1
 
 
 def test_top_up_counts_once_and_only_at_the_home_on_both_sides_of_a_split(
@@ -906,15 +906,15 @@
             for index in range(count)
         ]
         cluster = Table(folder, "a", CONFIG, tables)
-        purse = cluster.seats["a"].run.purses[0, 0]
+        source = cluster.seats["a"].run.payment_sources[0, 0]
         cluster.top_up("a", "p1", 10**6, "w0")
-        cluster.until(lambda: purse.wallet.account.free)
-        purse.wallet.account.free = 10**6
+        cluster.until(lambda: source.wallet.account.free)
+        source.wallet.account.free = 10**6
         times = list[float]()
         for _ in range(30):
             began = time.perf_counter()
             for _ in range(1000):
-                purse.wallet.debit(0.0, 1, False)
+                source.wallet.debit(0.0, 1, False)
             times.append((time.perf_counter() - began) / 1000)
         cluster.close()
         return min(times)  # other runs include delays by other processes
