--- a/rainspindle/decisions/wallet/account.py
+++ b/rainspindle/decisions/wallet/account.py
@@ -21,7 +21,7 @@
 
 from enum import Enum
 
-SHIFT = 10  # an account's number holds the incarnation in which it began above this many low bits
+SHIFT = 10  # an account's number holds the incarnation in which it began above these low bits
 MAX_OLD_ACCOUNTS = 8  # closed accounts, the latest ones, whose transfers are still reported
 AccountId = tuple[str, int]  # a member and the number of one of its accounts
 
--- a/rainspindle/decisions/wallet/wallet.py
+++ b/rainspindle/decisions/wallet/wallet.py
@@ -43,7 +43,7 @@
 # Seconds from a round of asks without success to the next, and the same while some member reports units.
 RETRY_INTERVAL, RETRY_INTERVAL_SOON = 1.0, 0.3
 CATCH_UP_TIME = 10.0  # seconds after its start in which a member may not know all that the others know
-MOST_AGAIN = 300.0  # seconds; the retry interval doubles up to this while no client sends requests here
+MOST_AGAIN = 300.0  # seconds; the retry interval doubles up to this while clients send no requests
 LOW_BALANCE = 3.0  # seconds of spending left, below which reports are sent often
 ASK_ANYONE_BELOW = 1.0  # seconds of spending left, below which other members than the home are asked too
 SETTLE_TIME = 5.0  # seconds between asks while enough is held, and for which a surplus must last
--- a/rainspindle/program/fleet/wallet.py
+++ b/rainspindle/program/fleet/wallet.py
@@ -798,7 +798,8 @@
             MemberStatus.ALIVE,
             MemberStatus.SUSPECT,
         )
-        account = last + 1 << SHIFT  # all accounts that began in incarnations up to `last` are below
+        # The accounts that began in incarnations up to `last` have numbers below this.
+        account = last + 1 << SHIFT
         if (
             is_living
             and known_member is not None
