--- a/rainspindle/program/fleet/wallet.py
+++ b/rainspindle/program/fleet/wallet.py
@@ -595,7 +595,7 @@
     def sweep(self, now: float) -> float:
         """Deletes registers that are no longer needed; returns the time of the next call."""
         if self.batch_at < math.inf or self.found is None or self.handing_over:
-            return math.inf  # the result of the write wakes the loop
+            return math.inf  # nothing is swept before the store has answered
         due_at = max(self.tombstones.due, self.retry_at)
         if now < due_at:
             return due_at
--- a/tests/test_wallet_processes.py
+++ b/tests/test_wallet_processes.py
@@ -25,7 +25,7 @@
         wait_until(
             lambda: all(rigged.clients.served(n, since) for n in rigged.fleet.sidecars),
             PATIENCE,
-            "all at work",
+            "all members serve requests",
         )
         rigged.spend_all(4)
 
@@ -85,7 +85,7 @@
         rigged.watch(0.5)
         rigged.back("c")
         wait_until(lambda: rigged.shown("c")["life"] > life, PATIENCE, "a new account")
-        wait_until(lambda: "written off while away" in fleet["c"].logged(), PATIENCE, "it says so")
+        wait_until(lambda: "written off while away" in fleet["c"].logged(), PATIENCE, "the log message")
         rigged.spend_all(LOST)
 
 
@@ -102,9 +102,17 @@
         shutil.rmtree(kept)
         shutil.copytree(tmp_path / "copy", kept)
         rigged.back("c")
-        wait_until(lambda: "not the one that was written last" in fleet["c"].logged(), PATIENCE, "noticed")
+        wait_until(
+            lambda: "not the one that was written last" in fleet["c"].logged(),
+            PATIENCE,
+            "the older folder noticed",
+        )
         since = time.monotonic()
-        wait_until(lambda: rigged.clients.served("c", since), PATIENCE, "c goes on with what others give it")
+        wait_until(
+            lambda: rigged.clients.served("c", since),
+            PATIENCE,
+            "c resumes with the units that others transfer to it",
+        )
         rigged.spend_all(2 * 2.0 * RATE + LOST)  # the units that it held are spent by no member
 
 
@@ -133,8 +141,8 @@
         rigged.back("c")
         fleet.network.clear()
         clients.quiet.add("b")
-        wait_until(lambda: rests("b", "c", "d"), PATIENCE, "all but the home at rest")
-        wait_until(lambda: rigged.shown("a")["others"] == [], PATIENCE, "their words are forgotten")
+        wait_until(lambda: rests("b", "c", "d"), PATIENCE, "all members but the home at rest")
+        wait_until(lambda: rigged.shown("a")["others"] == [], PATIENCE, "their registers are deleted")
         clients.quiet.add("a")
         wait_until(lambda: rests("a"), PATIENCE, "the home is silent")
         assert 0 < rigged.shown("a")["own"] <= rigged.audit()
@@ -148,7 +156,7 @@
         rigged.watch(1.0)
         since = time.monotonic()
         rigged.fleet.upgrade("b")
-        wait_until(lambda: rigged.clients.served("b", since) > 5, PATIENCE, "served on")
+        wait_until(lambda: rigged.clients.served("b", since) > 5, PATIENCE, "still served")
         rigged.spend_all(LOST)
 
 
