--- a/rainspindle/decisions/canary/burn.py
+++ b/rainspindle/decisions/canary/burn.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from .counts import EFFECTS, TURNED, Sums, at
+from .counts import EFFECTS, REJECTED, Sums, at
 from .terms import Terms
 
 # Guards against false stops at low traffic: a failure count that a release within its budget reaches once in
@@ -25,7 +25,7 @@
 BASELINE_MARGIN = 1.25
 GROUPS: tuple[tuple[str, tuple[int, ...]], ...] = (
     ("all", tuple(range(len(EFFECTS)))),
-    *((effect.value, (n,)) for n, effect in enumerate(EFFECTS)),
+    *((idempotency.value, (n,)) for n, idempotency in enumerate(EFFECTS)),
 )
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Burn:
+class BurnRates:
     """The burn rates of one group of requests."""
 
     group: str
@@ -82,7 +82,7 @@
     return count * divergence > MIN_EVIDENCE
 
 
-def look(terms: Terms, long: Sums, short: Sums) -> list[Burn]:
+def look(terms: Terms, long: Sums, short: Sums) -> list[BurnRates]:
     """Evaluates all requests together, then those of each idempotency: a release may fail for one alone."""
     found = []
     for group, classes in GROUPS:
@@ -100,11 +100,11 @@
                 if min(rates) >= terms.pause_at
                 else level
             )
-        found.append(Burn(group, new, old, *rates, level))
+        found.append(BurnRates(group, new, old, *rates, level))
     return found
 
 
 def rejected_share(sums: Sums) -> float:
     """The share of the new side's requests that were rejected because its endpoints had no capacity."""
-    rejected, answered = sums[at(True, TURNED)], totals(sums, True, GROUPS[0][1])[0]
+    rejected, answered = sums[at(True, REJECTED)], totals(sums, True, GROUPS[0][1])[0]
     return rejected / (rejected + answered) if rejected else 0.0
--- a/rainspindle/decisions/canary/canary.py
+++ b/rainspindle/decisions/canary/canary.py
@@ -19,8 +19,8 @@
 from ...errors import Trouble
 from ..members.member import Member, MemberStatus
 from . import burn, counts, state
-from .burn import Burn, Level
-from .counts import COARSE, EFFECTS, FINE, TURNED, PeerReport, ReportedWindow, Ring, Sums, Told, at
+from .burn import BurnRates, Level
+from .counts import COARSE, EFFECTS, FINE, REJECTED, PeerReport, ReportedWindow, Ring, Sums, Told, at
 from .state import MARK_BYTES, MAX_PARDONED, State
 from .terms import Terms, point
 
@@ -97,8 +97,8 @@
     TICK_INTERVAL, IDLE_INTERVAL = 0.25, 0.5  # seconds between ticks, in a run and without one
     # Seconds between evaluations of the window totals: the first at least, the second for each member.
     LOOK, EVALUATION_INTERVAL_PER_MEMBER = 0.25, 0.001
-    # Counts are published once in EVERY seconds, in large fleets once in EACH seconds for each member. They
-    # are fresh for FRESH such intervals, and for FRESH seconds at least.
+    # The interval between reports of counts, in seconds: the first at least, the second for each member.
+    # Reports stay fresh for the third, in such intervals and at least in seconds.
     EVERY, EACH, FRESH = 1.0, 0.01, 4.0
     URGENT_FACTOR = 0.25  # shortens the interval after a request failed or was late on the new side
     STALL_THRESHOLD = 1.5  # a longer gap between ticks, in seconds, means that this process was stopped
@@ -109,9 +109,7 @@
     # once, each next one so many seconds later, and all after the maximum.
     PAUSE_DELAY_PER_RANK, MAX_PAUSE_DELAY = 0.02, 1.0
     ADVANCE_DELAY_PER_RANK, MAX_ADVANCE_DELAY = 0.2, 2.0
-    REPLICATE_AFTER = (
-        1.0  # seconds after a change of state before further members write it to their registers
-    )
+    REPLICATE_AFTER = 1.0  # seconds from a change of state until other members write it to their registers
     MAX_REJECTED_SHARE = 0.2  # of the new side's requests; above this share the run does not advance
     # Seconds for which another member's report of a pause blocks an advance while its mark has not arrived.
     REPORTED_PAUSE_HOLD = 3.0
@@ -144,11 +142,11 @@
         self.note, self.published_state = "", State()
         self.marks_made, self.undecodable, self.had_peers = 0, 0, False
         self.own_marks: set[bytes] = set()
-        self.last_tick_at = self.running_since = now
+        self.last_tick_at = self.running_since = now  # the latter: the start, or the end of the last stall
         self.confirmed_at = self.advance_blocked_until = self.published_at = -math.inf
         self.look_at, self.stage_since, self.changed_at = now, now, now
         self.due_since: dict[Level | None, float] = {}  # since when a decision is due; None: the advance
-        self.burns: list[Burn] = []
+        self.burns: list[BurnRates] = []
         self.coverage = Coverage()
         self.unmet: list[str] = []
         self.was_in_touch = self.terms_differ = False
@@ -180,7 +178,7 @@
         s = self.state
         if not s.run or s.aborted or s.digest != self.digest or not self.in_touch(now):
             return 0.0
-        stage = s.in_force
+        stage = s.effective_stage
         return self.terms.steps[stage].part if stage < len(self.terms.steps) else 1.0
 
     def in_touch(self, now: float) -> bool:
@@ -207,24 +205,24 @@
         assigned_by = key or request_id
         return bool(assigned_by) and point(self.terms.name, assigned_by) < part
 
-    def ended(self, now: float, new: bool, effect: Idempotency, bad: bool) -> None:
+    def ended(self, now: float, new: bool, idempotency: Idempotency, bad: bool) -> None:
         """Counts a finished request. `bad`: it failed or exceeded its latency objective."""
         if not self.active:
             return
-        kind = EFFECTS.index(effect)
-        counters = (at(new, kind), at(new, kind, True)) if bad else (at(new, kind),)
+        class_index = EFFECTS.index(idempotency)
+        counters = (at(new, class_index), at(new, class_index, True)) if bad else (at(new, class_index),)
         self.coarse.add(now, *counters)
         self.fine.add(now, *counters)
         if new:
-            self.stage_requests[kind] += 1
+            self.stage_requests[class_index] += 1
             self.harmed += bad
             self.failed_since_report = self.failed_since_report or bad
 
     def record_rejection(self, now: float, new: bool) -> None:
         """Counts a request that its side rejected without an attempt."""
         if self.active:
-            self.coarse.add(now, at(new, TURNED))
-            self.fine.add(now, at(new, TURNED))
+            self.coarse.add(now, at(new, REJECTED))
+            self.fine.add(now, at(new, REJECTED))
 
     @property
     def active(self) -> bool:
@@ -305,7 +303,7 @@
                 self.harmed, self.was_in_touch = 0, False
             self.burns = []
             self.reset_counts(now)  # failures before a resume do not count against the run after it
-        if s.stamp != before.stamp:
+        if s.stage_id != before.stage_id:
             self.stage_since, self.stage_requests = now, [0] * len(EFFECTS)
         self.log_change(before, note)
         self.host.keep(msgspec.msgpack.encode(Kept(s.encode(), self.had_peers)))
@@ -315,7 +313,7 @@
         """Logs how the state differs from `before`. `note`: the reason of a decision made here, or empty."""
         s, steps = self.state, self.terms.steps
         new_run = (s.run, s.digest) != (before.run, before.digest)
-        stage = f"{s.in_force + 1}/{len(steps)}" if s.in_force < len(steps) else "done"
+        stage = f"{s.effective_stage + 1}/{len(steps)}" if s.effective_stage < len(steps) else "done"
         event = (
             "aborted"
             if s.aborted and (new_run or not before.aborted)
@@ -326,9 +324,9 @@
             else "resumed"
             if before.paused and not s.paused and not s.aborted
             else "done"
-            if stage == "done" and s.in_force != before.in_force
+            if stage == "done" and s.effective_stage != before.effective_stage
             else "stage"
-            if s.in_force != before.in_force
+            if s.effective_stage != before.effective_stage
             else ""
         )
         if event:
@@ -413,7 +411,7 @@
         level = [
             name
             for name in heard
-            if self.peer_reports[name].report.stamp == self.state.stamp
+            if self.peer_reports[name].report.stage_id == self.state.stage_id
             and not self.peer_reports[name].report.unheard
             and self.peer_reports[name].report.own == self.digest
         ]
@@ -473,7 +471,7 @@
             worst.level < Level.PAUSE
             or (worst.level is Level.PAUSE and s.paused)
             or not self.in_touch(now)
-            or s.in_force >= len(self.terms.steps)
+            or s.effective_stage >= len(self.terms.steps)
         ):
             self.due_since = {None: self.due_since[None]} if None in self.due_since else {}
             return
@@ -532,12 +530,12 @@
             self.decide(now, replace(s, stage=s.stage + 1), "all that the stage takes is there")
 
     def stage_request_counts(self) -> list[int]:
-        """Requests on the new side in this stage at all sidecars, in the order of `EFFECTS`."""
+        """Requests on the new side in this stage at all sidecars, by idempotency."""
         reported = [
             peer.report.stage_new
             for peer in self.peer_reports.values()
             if not self.alone
-            and peer.report.stamp == self.state.stamp
+            and peer.report.stage_id == self.state.stage_id
             and len(peer.report.stage_new) == len(EFFECTS)
         ]
         return [sum(column) for column in zip(self.stage_requests, *reported, strict=True)]
@@ -564,10 +562,10 @@
             unmet.append(f"{step.time - (now - self.stage_since):.0f} s of {step.time:.0f} s are left")
         if sum(requests) < step.exchanges:
             unmet.append(f"{sum(requests)} of {step.exchanges} exchanges seen")
-        for effect, burnt in zip(EFFECTS, self.burns[1:], strict=False):
-            of_effect = requests[EFFECTS.index(effect)]
-            if burnt.old[0] + burnt.new[0] and of_effect < terms.each_effect:
-                unmet.append(f"{of_effect} of {terms.each_effect} {effect.value} exchanges seen")
+        for idempotency, rates in zip(EFFECTS, self.burns[1:], strict=False):
+            seen = requests[EFFECTS.index(idempotency)]
+            if rates.old[0] + rates.new[0] and seen < terms.each_effect:
+                unmet.append(f"{seen} of {terms.each_effect} {idempotency.value} exchanges seen")
         if not self.alone and coverage.level < terms.fresh * coverage.members - 1e-9:
             unmet.append(f"{coverage.level} of {coverage.members} members heard at this stage")
         burning = [b for b in self.burns if b.level is not Level.HEALTHY]
@@ -727,7 +725,7 @@
             "matter": self.terms.matter,
             "state": self.standing,
             "run": s.run,
-            "stage": min(s.in_force + 1, len(self.terms.steps)) if s.run else 0,
+            "stage": min(s.effective_stage + 1, len(self.terms.steps)) if s.run else 0,
             "stages": len(self.terms.steps),
             "part": self.part(now),
             "paused_by": len(s.open),
--- a/rainspindle/decisions/canary/counts.py
+++ b/rainspindle/decisions/canary/counts.py
@@ -15,7 +15,7 @@
 VERSION = 1
 EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED, Idempotency.NON_IDEMPOTENT)
 # The class of requests that were rejected without an attempt: they say nothing about a release.
-TURNED = len(EFFECTS)
+REJECTED = len(EFFECTS)
 CLASSES = len(EFFECTS) + 1
 # Counters in a bucket: for each side and class, one of all requests and one of failed and late ones.
 WIDTH = 2 * CLASSES * 2
@@ -36,8 +36,13 @@
     The buckets cover the window and the length of one bucket more.
     """
 
-    def __init__(self, now: float, window: float, spans: int) -> None:
-        self.bucket_seconds, self.newest_start, self.max_buckets = window / spans, now, spans + 1
+    def __init__(self, now: float, window: float, bucket_count: int) -> None:
+        """`window` is in seconds; `bucket_count` complete buckets cover it."""
+        self.bucket_seconds, self.newest_start, self.max_buckets = (
+            window / bucket_count,
+            now,
+            bucket_count + 1,
+        )
         self.spans: deque[Sums] = deque([[0] * WIDTH], maxlen=self.max_buckets)
 
     def roll(self, now: float) -> None:
@@ -49,7 +54,7 @@
                 self.spans.append([0] * WIDTH)
 
     def add(self, now: float, *indices: int) -> None:
-        """Adds 1 to each of these counters (see `at`) in the newest bucket."""
+        """Adds 1 to the counters at these indices in the newest bucket."""
         self.roll(now)
         for index in indices:
             self.spans[-1][index] += 1
@@ -76,7 +81,7 @@
     harmed: int = 0  # requests of this run that failed or were late on the new side
 
     @property
-    def stamp(self) -> tuple[int, bytes, int, int]:
+    def stage_id(self) -> tuple[int, bytes, int, int]:
         """The stage of the run that the sidecar knows; equal stamps mean the same stage."""
         return self.run, self.digest, self.epoch, self.stage
 
@@ -141,12 +146,12 @@
     """
 
     def __init__(
-        self, reported_at: float, numbers: list[int], unit: int, age: float, window: float, buckets: int
+        self, reported_at: float, numbers: list[int], unit: int, age: float, window: float, bucket_count: int
     ) -> None:
         self.newest_start, self.bucket_seconds, self.max_buckets = (
             reported_at - age,
-            window / buckets,
-            buckets,
+            window / bucket_count,
+            bucket_count,
         )
         self.running_totals: list[Sums] = [[0] * WIDTH]  # at index n: of the n newest buckets
         for start in range(0, len(numbers), WIDTH):
--- a/rainspindle/decisions/canary/state.py
+++ b/rainspindle/decisions/canary/state.py
@@ -62,7 +62,7 @@
         return bool(self.open)
 
     @property
-    def in_force(self) -> int:
+    def effective_stage(self) -> int:
         """The effective stage: while paused, the lowest one at which any member paused the run.
 
         It is thus the same at all members.
@@ -70,20 +70,20 @@
         return min((self.stage, *(stage for stage, _ in self.open)))
 
     @property
-    def stamp(self) -> tuple[int, bytes, int, int]:
-        """Identifies the stage; compared with the `stamp` of other sidecars' reports."""
+    def stage_id(self) -> tuple[int, bytes, int, int]:
+        """Identifies the stage; compared with the `stage_id` of other sidecars' reports."""
         return self.run, self.digest, self.epoch, self.stage
 
     def marked(self, name: bytes) -> State:
         """The state with a pause mark of this name added at the effective stage."""
-        return self.join(replace(self, open=self.open | {(self.in_force, name)}))
+        return self.join(replace(self, open=self.open | {(self.effective_stage, name)}))
 
     def resumed(self) -> State:
         """The state at the effective stage in the next epoch, with all open marks removed."""
         return replace(
             self,
             epoch=self.epoch + 1,
-            stage=self.in_force,
+            stage=self.effective_stage,
             open=frozenset(),
             pardoned=self.pardoned | {name for _, name in self.open},
         )
--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -46,7 +46,7 @@
 
 
 class SettingPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A setting of one traffic class that is to change; one balancer applies both values at a time."""
+    """A setting of one traffic class that is to change; one balancer can apply old and new value."""
 
     traffic_type: str
     promised_time: float | None = None  # milliseconds, as in the settings
@@ -342,10 +342,10 @@
             )
         self.core: SplitCore | None = None
         self.router: CanaryRouter | None = None
-        ground.cells.on_change("canary/", self.heard)
+        ground.cells.on_change("canary/", self.on_register)
         for seen in list(ground.cells.all()):
             if seen.register.name.startswith("canary/"):
-                self.heard(now, seen.register)
+                self.on_register(now, seen.register)
 
     def taker(self, inner: Taker) -> Taker:
         """Returns a router in front of `inner`, the core that `split_core` made.
@@ -376,7 +376,7 @@
         self.core, self.router = inner, CanaryRouter(self.ground.loop, inner, types, routes)
         return self.router
 
-    def heard(self, now: float, cell: Register) -> None:
+    def on_register(self, now: float, cell: Register) -> None:
         """Passes a register that was written or received on to its canary."""
         _, _, rest = cell.name.partition("/")
         name, _, what = rest.partition("/")
@@ -411,21 +411,21 @@
             return None
         if len(path) == 1:
             if method not in ("GET", "HEAD"):
-                return no(405, f"/-/canaries requires GET, not {method}", "call it with GET")
+                return error_answer(405, f"/-/canaries requires GET, not {method}", "call it with GET")
             return Answer(200, {"canaries": [canary.report(now) for canary in self.canaries.values()]})
         canary = self.canaries.get(path[1])
         if len(path) != 3 or path[2] not in ACTIONS:
-            return no(
+            return error_answer(
                 404, "no such console call", "POST to /-/canaries/NAME/ and one of " + ", ".join(ACTIONS)
             )
         if canary is None:
-            return no(
+            return error_answer(
                 404,
                 f"no canary {path[1]!r:.80} in the file of this sidecar",
                 "use the name of one that it has: " + (", ".join(self.canaries) or "none"),
             )
         if method != "POST":
-            return no(
+            return error_answer(
                 405, f"/-/canaries/{path[1]}/{path[2]} requires POST, not {method}", "call it with POST"
             )
         if path[2] == "start":
@@ -463,6 +463,6 @@
         return {"canary_sent": dict(self.router.sent), "canary_crossed": self.router.fallbacks}
 
 
-def no(status: int, error: str, remedy: str) -> Answer:
+def error_answer(status: int, error: str, remedy: str) -> Answer:
     """A console answer that reports an error."""
     return Answer(status, {"error": error, "remedy": remedy})
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -98,8 +98,8 @@
 def test_a_pause_and_a_resume_win_over_an_advance_that_had_not_heard_of_them() -> None:
     at_stage_two = State(7, b"d", 0, 2)
     paused = at_stage_two.marked(b"mark")
-    assert paused.join(State(7, b"d", 0, 3)).in_force == 2, "a pause does not return all to its stage"
-    assert paused.resumed().join(State(7, b"d", 0, 3)).in_force == 2
+    assert paused.join(State(7, b"d", 0, 3)).effective_stage == 2, "a pause does not return all to its stage"
+    assert paused.resumed().join(State(7, b"d", 0, 3)).effective_stage == 2
     assert paused.resumed().join(State(7, b"d", 0, 3).marked(b"late")).paused
 
 
@@ -134,7 +134,7 @@
             if (s.run, s.digest) == (before.run, before.digest):
                 assert s.aborted >= before.aborted, "a known abort was undone"
                 if before.open and before.open <= s.open:
-                    assert s.in_force <= before.in_force, "the run advanced after a known pause"
+                    assert s.effective_stage <= before.effective_stage, "the run advanced after a known pause"
             self.previous_states[node.name, node.life] = s
             if not node.runs():
                 continue
@@ -142,7 +142,7 @@
             assert not part or not s.aborted, "a key goes to the new side after an abort"
             assert part in (0.0, *(step.part for step in STEPS), 1.0)
             if part:
-                stages[node.name] = (s.run, s.in_force)
+                stages[node.name] = (s.run, s.effective_stage)
         self.apart_since = min(self.apart_since, net.now) if len(set(stages.values())) > 1 else math.inf
         assert net.now - self.apart_since <= MAX_STAGE_LAG, (
             "members at different stages for too long",
@@ -470,27 +470,23 @@
 def test_each_side_gets_its_own_keys_endpoints_and_orders(table: dict[str, Any]) -> None:
     pair = Pair(served_at_once, **table)
     pair.exchange("k0")
-    assert {endpoint for _, endpoint in pair.sent} <= OLD, (
-        "a key goes to the new side before the run is started"
-    )
+    assert {target for _, target in pair.sent} <= OLD, "a key goes to the new side before the run is started"
     pair.start()
     pair.sent.clear()
     finals = [pair.exchange(key) for inside in (True, False) for key in pair.in_canary(inside)]
     assert all(isinstance(final, Finished) for final in finals)
-    assert all((endpoint in NEW) is (point("c", key) < 0.5) for key, endpoint in pair.sent)
+    assert all((target in NEW) is (point("c", key) < 0.5) for key, target in pair.sent)
     pair.core.leave_out("e1", True)
     pair.list_now((line(3, Lifecycle.DRAINING),), whole=False)
     pair.sent.clear()
     for key in pair.in_canary():
         pair.exchange(key)
-    assert {endpoint for _, endpoint in pair.sent} == {"e5"}, (
-        "a drain or an order does not reach the new side"
-    )
+    assert {target for _, target in pair.sent} == {"e5"}, "a drain or an order does not reach the new side"
     assert "e3" not in pair.core.directory.addresses, "a drain without a kind does not reach the new side"
     pair.list_now((line(5, Lifecycle.GONE),), whole=False)
     pair.sent.clear()
     final = pair.exchange(pair.in_canary()[0], 1)
-    assert isinstance(final, Finished) and {endpoint for _, endpoint in pair.sent} <= OLD, (
+    assert isinstance(final, Finished) and {target for _, target in pair.sent} <= OLD, (
         "a request goes to the new side after its endpoints are gone"
     )
     pair.core.leave_out("e1", False)
@@ -498,7 +494,7 @@
     pair.sent.clear()
     for key in pair.in_canary():
         pair.exchange(key)
-    assert {endpoint for _, endpoint in pair.sent} <= OLD, "a key goes to the new side after the abort"
+    assert {target for _, target in pair.sent} <= OLD, "a key goes to the new side after the abort"
 
 
 def failing_new_side(outcome: AttemptOutcome) -> Callable[[str], tuple[AttemptOutcome, float]]:
@@ -524,11 +520,11 @@
     pair = Pair(failing_new_side(AttemptOutcome.RESET), kind="new")
     pair.start()
     pair.exchange(pair.in_canary()[5], 2)
-    assert {endpoint for _, endpoint in pair.sent} <= NEW, "a deduplicated request leaves its side"
+    assert {target for _, target in pair.sent} <= NEW, "a deduplicated request leaves its side"
     for key in pair.in_canary()[:3]:
         pair.sent.clear()
         assert not isinstance(pair.exchange(key, 1), Finished)
-        assert len([endpoint for _, endpoint in pair.sent]) == 1, (
+        assert len([target for _, target in pair.sent]) == 1, (
             "a non-idempotent request that may have been executed is retried"
         )
     assert isinstance(pair.exchange(pair.in_canary()[0], 0), Finished), (
--- a/tests/test_canary_processes.py
+++ b/tests/test_canary_processes.py
@@ -36,14 +36,14 @@
     ):
         fleet.start()
         fleet.all_alive()
-        with Clients({name: s.listen for name, s in fleet.sidecars.items()}, 40.0) as clients:
+        with Clients({name: sidecar.listen for name, sidecar in fleet.sidecars.items()}, 40.0) as clients:
             yield fleet, answers, clients
         executions = Counter(ran.id for ran in answers.ran)
         non_idempotent = {asked.id for asked in clients.asked if asked.type == "submit"}
         assert not [request for request in non_idempotent if executions[request] > 1], (
             "a non-idempotent request was executed twice"
         )
-        assert sum(asked.status == 200 for asked in clients.asked) > 20
+        assert sum(answered.status == 200 for answered in clients.asked) > 20
         assert not [line for sidecar in fleet.sidecars.values() for line in sidecar.faults()]
 
 
