--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -192,7 +192,7 @@
         yield f"{path}.each_effect: {table.each_effect} is below 0"
 
 
-def split_core(
+def make_split_core(
     loop: Loop,
     config: Config,
     tables: Sequence[CanaryPart],
@@ -348,15 +348,12 @@
                 self.on_register(now, seen.register)
 
     def taker(self, inner: Taker) -> Taker:
-        """Returns a router in front of `inner`, the core that `split_core` made.
-
-        Raises Trouble if it is another one.
-        """
+        """Returns a router in front of `inner`, which must be a `SplitCore`; raises Trouble if it is not."""
         if not self.canaries:
             return inner
         if not isinstance(inner, SplitCore):
             raise Trouble(
-                f"canaries require the core that split_core makes, not {type(inner).__name__}",
+                f"canaries require a core of several sides, SplitCore, not {type(inner).__name__}",
                 "report it as a defect of rainspindle",
             )
         config, routes = self.ground.config, []
