--- a/rainspindle/decisions/evidence/evidence.py
+++ b/rainspindle/decisions/evidence/evidence.py
@@ -67,10 +67,10 @@
     def warn(self, now: float, mark: int, on: bool) -> None:
         """Sets whether one own failure is enough to eject the endpoint."""
 
-    def counted(self) -> tuple[int, list[tuple[int, int]]]:
+    def key_counts(self) -> tuple[int, list[tuple[int, int]]]:
         """Returns the number of recent own requests, and the busiest keys among them with their counts."""
 
-    def held(self) -> list[tuple[int, int]]:
+    def attempts_in_flight(self) -> list[tuple[int, int]]:
         """Returns own attempts in flight by endpoint, the largest numbers first."""
 
     def tell(self, now: float, told: Told) -> None:
@@ -504,7 +504,7 @@
         keys: Iterable[tuple[int, int]] = ()
         total = 0
         if self.host.rank() < KEY_REPORTERS:
-            total, keys = self.host.counted()
+            total, keys = self.host.key_counts()
         self.written_at, self.urgent, self.has_changes = now, False, False
         self.counts["told"] += 1
         self.host.tell(
@@ -517,7 +517,7 @@
                 entries[:MAX_ENDPOINTS],
                 total,
                 list(keys)[:MAX_KEYS],
-                self.host.held()[:MAX_HELD],
+                self.host.attempts_in_flight()[:MAX_HELD],
             ),
         )
 
--- a/rainspindle/decisions/evidence/watch.py
+++ b/rainspindle/decisions/evidence/watch.py
@@ -183,7 +183,7 @@
         if found := self.find(mark):
             found[0].warn(found[1], on)
 
-    def counted(self) -> tuple[int, list[tuple[int, int]]]:
+    def key_counts(self) -> tuple[int, list[tuple[int, int]]]:
         """Returns the number of recent requests, and the busiest keys among them with their counts."""
         counts: dict[str, float] = {}
         for watch in self.all:
@@ -193,7 +193,7 @@
         total = round(sum(watch.balancer.popularity.total for watch in self.all))
         return total, [(mark_of(key), round(counts[key])) for key in busiest]
 
-    def held(self) -> list[tuple[int, int]]:
+    def attempts_in_flight(self) -> list[tuple[int, int]]:
         """Returns attempts in flight by endpoint, the largest numbers first."""
         out = [
             (len(endpoint.in_flight), endpoint.id)
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""What crosses a call to discovery: a move, an answer of old, word of others, a lack of descriptors."""
+"""Events during a call to discovery: another address, old answers, members' reports, no descriptors."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Followed:
-    """A follower of one service, and a second service at another address that counts from 12."""
+    """A follower of one service, and a second service at another address whose versions begin at 12."""
 
     def __init__(self, patch: pytest.MonkeyPatch, form: Form = Form.CHANGES) -> None:
         self.callers = Callers(patch)
@@ -33,7 +33,7 @@
         self.follower.want()
 
     def at(self, seconds: float, *acts: Callable[[], None]) -> None:
-        """All in one turn of the loop."""
+        """Runs all acts in one turn of the loop."""
 
         def act() -> None:
             for do in acts:
@@ -58,14 +58,14 @@
     made.loop.end()
 
 
-# SIGHUP moves discovery.
+# SIGHUP changes discovery's address.
 
 
 @pytest.mark.parametrize("first", ["answer", "move"])
 def test_an_answer_in_the_turn_of_a_move_is_not_taken_for_the_new_service(
     followed: Followed, first: str
 ) -> None:
-    """Guards against a watch at the new service from a version of the old one: it may wait all its time."""
+    """Guards against a watch at the new service from a version of the old one: it may wait for long."""
     acts = [followed.old.change, followed.move]
     followed.new.draining = True
     followed.at(3.0, *(acts if first == "answer" else acts[::-1]))
@@ -78,7 +78,7 @@
 def test_a_move_in_the_turn_in_which_the_old_service_goes_is_followed_at_once(
     followed: Followed, away: Away
 ) -> None:
-    """Guards against a pause for the failure of a call that is not wanted any more."""
+    """Guards against a pause after the failure of a call that is no longer wanted."""
     failed: list[float] = []
     followed.follower.failed = lambda: failed.append(followed.loop.time)
     followed.at(3.0, lambda: followed.old.go(away), followed.move)
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("moved_at", [3.0, 8.53, 8.56, 8.6])
 def test_a_move_ends_what_spares_a_call(followed: Followed, moved_at: float) -> None:
-    """Also in the rest after an answer with nothing: the watch of 8.5 s is answered at 8.53 s."""
+    """Also in the pause after an answer with nothing new: the watch of 8.5 s is answered at 8.53 s."""
     followed.follower.deferred_until = lambda: START + (100.0 if followed.loop.time > START + 1.0 else 0.0)
     followed.new.draining = True
     followed.at(moved_at, followed.move)
@@ -118,7 +118,7 @@
 
 
 def test_a_silence_at_the_old_address_is_none_at_the_new_one(followed: Followed) -> None:
-    """The first call that is silent there is asked again with no pause."""
+    """The first silent call at the new address is repeated without a pause."""
     followed.old.go(Away.SILENT)
     followed.new.go(Away.SILENT)
     followed.at(9.5, followed.move)  # the second call at the old address is silent by now
@@ -130,7 +130,7 @@
 
 
 def test_a_lower_version_in_an_answer_to_a_retry_costs_one_short_pause(followed: Followed) -> None:
-    """The service counts anew after an outage: then it is back, and a change of it is owed."""
+    """The service restarts its version count after an outage: it is back, and its change is due."""
     followed.at(2.0, lambda: followed.old.go(Away.REFUSED))
     followed.at(2.1, followed.old.change, lambda: followed.old.come_back(anew=True))
     followed.run(8.0)
@@ -141,7 +141,7 @@
 
 
 def test_replicas_of_which_one_is_behind_are_not_called_in_a_loop(followed: Followed) -> None:
-    """Each second call is answered by the one that is behind."""
+    """Each second call is answered by the replica that is behind."""
 
     def by_turns(s: Socket, call: Asked, index: int | None) -> None:
         followed.old.generation = 50 - 10 * (len(followed.old.calls) % 2)
@@ -157,7 +157,7 @@
 def test_a_service_that_answers_each_watch_at_once_with_nothing_new_is_not_flooded(
     followed: Followed, form: Form, lines: bool
 ) -> None:
-    """With no lines, or the same ones each time."""
+    """The answers have no lines, or the same ones each time."""
     followed.old.form = form
     followed.old.serve = (  # type: ignore[method-assign]
         lambda s, call, index: followed.old.answer(s, call, whole=index is None, empty=not lines)
@@ -170,7 +170,7 @@
 
 
 def test_a_call_that_finds_no_descriptor_is_made_anew_in_time_when_there_is_one(followed: Followed) -> None:
-    """Discovery counts as reached then."""
+    """Discovery counts as reachable from then on."""
     followed.at(1.0, lambda: followed.old.go(Away.RESET))
     followed.at(1.0, followed.old.come_back)
     followed.at(1.0, lambda: setattr(followed.callers, "descriptors", False))
@@ -190,7 +190,7 @@
 
 
 def test_what_a_whole_list_in_answer_to_a_watch_does_not_name_is_gone(rig: Rig) -> None:
-    """On the program's own core: nothing new is sent there, although it still answers."""
+    """With the program's own core: no new request is sent there, although the endpoint still answers."""
     discovery = Stand()
     rig.stands.append(discovery)
     follower = Follower(
@@ -224,6 +224,6 @@
     ],
 )
 def test_a_figure_that_is_none_makes_a_list_unreadable(bad: dict[str, object]) -> None:
-    """Guards against a fault in place of a failed call: nothing would be counted, and no pause drawn."""
+    """Guards against an internal fault instead of a failed call, which is counted and followed by a pause."""
     with pytest.raises(Unreadable):
         ListDecoder(["a"], 0.0).decode({"generation": 1, "reset": True, "instances": [line("e0")], **bad})
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""The relayed list: who asks, whom the others believe, and until when they are spared; in virtual time."""
+"""Relayed endpoint list in virtual time: who polls, which reports count, when own calls are skipped."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     rate: float = 0.0,
     size: int = 12,
 ) -> Service:
-    """A list of which an endpoint drains, or is back, at each of these times."""
+    """A list of which an endpoint drains, or is ready again, at each of these times."""
     turns = [
         Change(at, listed(n // 2 % size, EndpointStatus.READY if n % 2 else EndpointStatus.DRAINING))
         for n, at in enumerate(changes)
@@ -45,8 +45,8 @@
     return Service(Registry([listed(n) for n in range(size)], turns, list(outages)), rate)
 
 
-def begun(changes: Sequence[float] = (), seed: int = 1, seconds: float = 20.0, **more: object) -> Net:
-    """A fleet in which all are spared but the askers."""
+def started_fleet(changes: Sequence[float] = (), seed: int = 1, seconds: float = 20.0, **more: object) -> Net:
+    """Returns a fleet in which all members but the askers skip their own calls."""
     net = Net(service(changes), NAMES, seed, **more)  # type: ignore[arg-type]
     net.start()
     net.run(seconds)
@@ -59,7 +59,7 @@
 
 
 def check_known(net: Net, since: float, *but: str) -> None:
-    """All that are up knew each change within the asking period, which is all that holds for one alone."""
+    """Checks that all running members knew each change within the asking period, as without the relay."""
     truth = encoded(net.service.registry.whole(net.service.registry.version(net.now)))
     for node in net.nodes.values():
         if node.up and node.name not in but:
@@ -71,13 +71,13 @@
 
 
 def calls(net: Net, since: float) -> float:
-    """A second."""
+    """Calls a second since then."""
     return sum(at >= since for at in net.service.calls) / (net.now - since)
 
 
 def test_a_few_ask_and_a_change_is_known_soon() -> None:
     changes = [40.0, 47.0, 54.5]
-    net, alone = begun(changes), Net(service(changes), NAMES, 1, relayed=False)
+    net, alone = started_fleet(changes), Net(service(changes), NAMES, 1, relayed=False)
     alone.start()
     net.run(40.0)
     alone.run(60.0)
@@ -87,7 +87,7 @@
     check_known(net, 20.0)
 
 
-def all_of(names: Sequence[str], do: Callable[[str], None]) -> None:
+def for_each(names: Sequence[str], do: Callable[[str], None]) -> None:
     for name in names:
         do(name)
 
@@ -95,11 +95,11 @@
 FAULTS: dict[str, Callable[[Net], object]] = {
     "an asker dies": lambda net: net.kill(ASKERS[0]),
     "all askers die": lambda net: net.kill(*ASKERS),
-    "all askers stand still": lambda net: all_of(ASKERS, lambda name: net.stall(name, 25.0)),
+    "all askers stand still": lambda net: for_each(ASKERS, lambda name: net.stall(name, 25.0)),
     "all askers are cut off": lambda net: net.cut(dict.fromkeys(ASKERS, 1)),
     "a third is cut off": lambda net: net.cut(dict.fromkeys(NAMES[:7], 1)),
-    "calls of the askers fail": lambda net: all_of(ASKERS, net.blind),
-    "all of the first ranks fail": lambda net: all_of(sorted(NAMES, key=rank_hash)[:12], net.blind),
+    "calls of the askers fail": lambda net: for_each(ASKERS, net.blind),
+    "all of the first ranks fail": lambda net: for_each(sorted(NAMES, key=rank_hash)[:12], net.blind),
     "no cell comes any more": lambda net: net.cut({name: n for n, name in enumerate(NAMES)}),
     "a third of the cells is late": lambda net: setattr(net, "loss", 0.33),
 }
@@ -109,17 +109,19 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_whatever_becomes_of_the_askers_no_change_is_known_later_than_alone(fault: str, seed: int) -> None:
     chance = random.Random(f"{fault}{seed}")
-    net = begun([20.1 + 35 * chance.random() for _ in range(6)], seed)
+    net = started_fleet([20.1 + 35 * chance.random() for _ in range(6)], seed)
     FAULTS[fault](net)
     net.run(50.0)
     stopped = {n.name for n in net.nodes.values() if n.stopped_until > 20.0 or n.blind}
     check_known(net, 20.0, *stopped)
     if fault in ("all askers die", "calls of the askers fail", "all askers stand still"):
-        assert calls(net, 60.0) < 4.0, "the next by rank ask, and the others are spared again"
+        assert calls(net, 60.0) < 4.0, (
+            "the members next in rank must take over, and the others skip their calls again"
+        )
 
 
 def test_an_asker_with_an_old_copy_keeps_nobody_from_the_truth() -> None:
-    net = begun([30.0, 40.0, 52.0])
+    net = started_fleet([30.0, 40.0, 52.0])
     for name in ASKERS[:2]:
         net.nodes[name].service = Service(Registry([listed(n) for n in range(12)], [], []))
     net.run(50.0)
@@ -127,8 +129,8 @@
     assert calls(net, 55.0) < 4.0
 
 
-def lie(how: str) -> Callable[[str, bytes], bytes]:
-    """How one that errs or lies tells what it should."""
+def falsified(how: str) -> Callable[[str, bytes], bytes]:
+    """Returns a function that falsifies what a member publishes."""
     count = [0]
 
     def told(name: str, value: bytes) -> bytes:
@@ -160,26 +162,28 @@
     ["too high", "one ahead", "wrong changes", "wrong digest", "never old", "unreadable", "wrong chunk"],
 )
 def test_one_that_lies_changes_no_list_and_costs_few_calls(how: str) -> None:
-    net = begun([30.0, 41.0, 52.0])
-    net.lies[ASKERS[1]] = lie(how)
+    net = started_fleet([30.0, 41.0, 52.0])
+    net.lies[ASKERS[1]] = falsified(how)
     net.run(12.0)
     net.kill(OTHERS[0])
     net.run(3.0)
-    net.start(OTHERS[0])  # a newcomer hears it too
+    net.start(OTHERS[0])  # a new member receives it too
     net.run(35.0)
     check_known(net, 20.0)
     assert all(node.version == 4 for node in net.nodes.values())
-    assert calls(net, 45.0) < 5.0, "alone they make 2.9 and one more each for each change"
+    assert calls(net, 45.0) < 5.0, "without the relay they make 2.9, and one more each for each change"
     if how == "too high":
         assert {e[3]["member"] for e in net.events if "not believed" in e[2]} == {ASKERS[1]}
 
 
 @pytest.mark.parametrize("gone", [2, 12])
 def test_two_that_tell_one_lie_are_found_out_by_the_third(gone: int) -> None:
-    """They tell that endpoints are gone. Nobody goes by it for long, nor ever where most of them are."""
-    net = begun([12.0], seconds=25.0)
+    """Two members report endpoints as gone: no member applies it for long, and none if most are gone."""
+    net = started_fleet([12.0], seconds=25.0)
     truth = net.nodes[OTHERS[0]].lines
-    left = {id: data for id, data in truth.items() if id not in sorted(truth)[:gone]}
+    left = {
+        endpoint_id: data for endpoint_id, data in truth.items() if endpoint_id not in sorted(truth)[:gone]
+    }
 
     def told(name: str, value: bytes) -> bytes:
         if name != codec.HEAD or not value:
@@ -191,7 +195,7 @@
                 digest=codec.digest(left),
                 age=0,
                 since=0,
-                delta=[(id, b"") for id in sorted(truth)[:gone]],
+                delta=[(endpoint_id, b"") for endpoint_id in sorted(truth)[:gone]],
             )
         )
 
@@ -201,7 +205,9 @@
         net.run(0.25)
         for node in net.nodes.values():
             believed[node.name] += 0.25 * (node.lines != truth)
-    assert max(believed.values()) <= (15.0 if gone == 2 else 0.0), "alone with an audit: 60 s and more"
+    assert max(believed.values()) <= (15.0 if gone == 2 else 0.0), (
+        "an audit by a sidecar on its own takes 60 s and more"
+    )
     assert gone == 12 or sum(believed.values()) > 0.0
     assert calls(net, 25.0) < 10.0
 
@@ -212,29 +218,32 @@
     net.run(20.0)
     net.service.gate = type(net.service.gate)(8.0)
     net.run(28.0)
-    # Each once on its own when its time has come, then few: alone they are some 200 a second.
+    # Each member makes one call when its own is due, and then few. Without the relay they make some 200 a
+    # second.
     assert calls(net, 22.0) < 800 / 26 and calls(net, 40.0) < RETRY_RATE
     late = sorted(net.lateness(30.5, 32.0))
     assert len(late) == 400 and late[200] < 5.0 and late[-1] < 12.0
 
 
 def test_versions_counted_anew_by_the_service() -> None:
-    net = begun([12.0 + n / 10 for n in range(8)] + [44.0])
+    net = started_fleet([12.0 + n / 10 for n in range(8)] + [44.0])
     assert {node.version for node in net.nodes.values()} == {9}
     net.service.base = -8
     back = set[str]()
     while net.now < 60.0:
         net.run(0.05)
         back |= {node.name for node in net.nodes.values() if node.version != 9}
-        assert all(net.nodes[name].version != 9 for name in back), "older word has undone the service's own"
+        assert all(net.nodes[name].version != 9 for name in back), (
+            "an older report has replaced the service's own list"
+        )
     assert {node.version for node in net.nodes.values()} == {2}
     check_known(net, 44.0)
     net.run(30.0)
-    assert calls(net, 75.0) < 2.5, "they are spared again"
+    assert calls(net, 75.0) < 2.5, "they must skip their own calls again"
 
 
 def test_word_of_the_address_before_counts_for_nothing() -> None:
-    net = begun([12.0, 30.0], seconds=25.0)
+    net = started_fleet([12.0, 30.0], seconds=25.0)
     drains = Change(45.0, listed(31, EndpointStatus.DRAINING))
     other = Service(Registry([listed(n) for n in range(30, 40)], [drains], []))
     other.at = codec.mark("another")
@@ -248,12 +257,12 @@
     net.run(35.0)
     for node in net.nodes.values():
         assert node.lines == encoded(node.service.registry.whole(node.service.registry.version(net.now)))
-    assert sum(mode == "asker" for mode in modes(net).values()) == 6, "each service has its own"
+    assert sum(mode == "asker" for mode in modes(net).values()) == 6, "each service must have its own askers"
     assert sum(at > 50.0 for at in other.calls) < 25
 
 
 def test_a_newcomer_asks_for_itself_unless_word_comes() -> None:
-    net = begun([12.0, 26.0])
+    net = started_fleet([12.0, 26.0])
     net.kill(OTHERS[3])
     net.run(8.0)
     before = len(net.service.calls)
@@ -261,7 +270,7 @@
     net.run(WITHIN)
     newcomer = net.nodes[OTHERS[3]]
     assert newcomer.version == 3 and before > 0
-    # Nobody is there: with a list within 3.3 s, without one within 1.3 s.
+    # A single member calls within 3.3 s if it has a list, and within 1.3 s if it has none.
     for known, most in ((1, 3.3), (0, 1.3)):
         lonely = Net(service(), ["one"], 3, known=known)
         if not known:
@@ -276,14 +285,17 @@
     known: dict[str, bytes], least: float, most: float
 ) -> None:
     for n in range(20):
-        relay = Relay(0.0, f"s{n}", n, Terms(3, 60.0), AT, Alone([]), random.Random(1))
+        relay = Relay(0.0, f"s{n}", n, Terms(3, 60.0), AT, ReportHost([]), random.Random(1))
         relay.lines = known
         assert least <= relay.startup_wait_until() <= most
 
 
 @pytest.mark.parametrize("scene", ["restart", "bare"])
 def test_a_herd_that_starts_at_once_costs_calls_that_do_not_grow_with_it(scene: str) -> None:
-    """Of 200 and 40 seven in ten, with a list and without one; alone there are over 100 calls in a second."""
+    """Seven in ten of 200 and of 40 members start, with a list and without one.
+
+    Without the relay there are over 100 calls in a second.
+    """
     for size in (200, 40):
         figures = play(scene, size, True, 1, 50.0)
         assert figures.most <= 30 and figures.late < 6.0
@@ -301,7 +313,7 @@
 
 
 def test_a_large_change_and_a_fast_list_reach_all() -> None:
-    """More than a head can carry: the whole list is told in its chunks."""
+    """The changes exceed what a head can hold, so the whole list is published in chunks."""
     lines = [listed(n) for n in range(400)]
     changes = [Change(30.0, listed(n, EndpointStatus.DRAINING)) for n in range(100)]
     changes += [Change(40.0 + n / 8, listed(n, EndpointStatus.GONE)) for n in range(80)]
@@ -336,14 +348,14 @@
     assert sum(found.by_rule().values()) == 0 and not found.faults
     assert relayed["calls"] < 0.5 * alone["calls"] and relayed["calls_refused"] < alone["calls_refused"]
     told = {(t.sidecar, t.endpoint) for t in ledger.told if t.state == "draining"}
-    assert len(told) == 30 * 3, "each is told of each drain"
+    assert len(told) == 30 * 3, "each sidecar must receive each drain"
 
 
-# The rule that all rests on.
+# The rule that bounds how old an applied list may be.
 
 
-class Alone:
-    """Host of a relay whose word comes from a test."""
+class ReportHost:
+    """Host of a relay that receives its reports from a test."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self.names, self.taken = list(names), list[int]()
@@ -368,9 +380,13 @@
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.booleans())
 def test_none_is_spared_beyond_what_two_knew_whatever_the_order_of_word(seed: int, stalls: bool) -> None:
-    """Askers a, b and c are told at times of their own; their heads come late and in any order, as does the
-    liar's. When the own call is spared, the service had no later list `LAST_PART` of the asking period before
-    it, unless it failed and two tell that theirs do."""
+    """Reports that arrive late and in any order never let a member skip its call for too long.
+
+    Askers a, b and c are answered at times of their own. Their heads, and those of a member that reports
+    wrong lists, arrive late and in any order. If the own call is skipped, the service had no later list
+    `LAST_CALL_FRACTION` of the asking period before that, unless the own call failed and two members report
+    that theirs fail.
+    """
     chance = random.Random(seed)
     lists = [{"e": b"%d" % n} for n in range(40)]
     moved_at = sorted(chance.uniform(0, 60) for _ in range(len(lists) - 1))
@@ -408,7 +424,8 @@
             now += chance.choice([0.02, 1.0, 2.0, 9.0]) * chance.random()
         for n, (at, head) in enumerate(writes):
             came = at + chance.choice([0.01, 0.5, 8.0]) * chance.random()
-            held = min(came, writes[n + 1][0] if n + 1 < len(writes) else came)  # known to be held until then
+            # When it is last known to be held.
+            held = min(came, writes[n + 1][0] if n + 1 < len(writes) else came)
             arrivals.append((came, owner, head, held if chance.random() < 0.8 else at))
     for n in range(30):
         told = chance.choice([0, 7, 39, 2**50])
@@ -420,17 +437,17 @@
                 60.0,
             )
         )
-    host = Alone(["a", "b", "c", "liar", "own", "y", "z"])
+    host = ReportHost(["a", "b", "c", "liar", "own", "y", "z"])
     relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, host, random.Random(seed))
     relay.start(0, lists[0])
     seen: dict[str, int] = {}
     stop_until = -math.inf
     for came, owner, head, held in sorted(arrivals, key=lambda one: one[0]):
         if stalls and chance.random() < 0.01:
-            stop_until = came + 10.0 * chance.random()  # what comes meanwhile lies in the socket
+            stop_until = came + 10.0 * chance.random()  # what arrives meanwhile waits in the socket
         now = max(came, stop_until)
         if head.beat <= seen.get(owner, -1):
-            continue  # the cells keep the latest alone
+            continue  # registers keep the latest value only
         seen[owner] = head.beat
         if came >= stop_until:
             relay.tick(now)
@@ -452,9 +469,9 @@
 
 
 def test_what_a_head_tells_is_as_old_as_the_one_before_and_its_changes_are_held_against_the_digest() -> None:
-    relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, Alone(["a", "b", "own", "y"]), random.Random(1))
+    relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, ReportHost(["a", "b", "own", "y"]), random.Random(1))
     relay.start(1, {"e": b"1"})
-    for beat, now in ((1, 0.5), (2, 1.0), (3, 6.0)):  # the third may have been written soon after 1.0
+    for beat, now in ((1, 0.5), (2, 1.0), (3, 6.0)):  # the third head may have been written soon after 1.0
         while relay.checked_at < now:
             relay.tick(min(relay.checked_at + 0.5, now))
         for owner in "ab":
@@ -483,9 +500,12 @@
     assert codec.join_chunks(told, chunks) == lines
     assert all(len(chunk) <= 900 for chunk in chunks)
     if lines:
-        id = chance.choice(sorted(lines))
-        assert codec.join_chunks(told, codec.split_chunks({**lines, id: lines[id] + b"x"})) is None
-        moved = codec.split_chunks(dict(lines) | {id: lines[id][:-1] or b"y"})
+        endpoint_id = chance.choice(sorted(lines))
+        assert (
+            codec.join_chunks(told, codec.split_chunks({**lines, endpoint_id: lines[endpoint_id] + b"x"}))
+            is None
+        )
+        moved = codec.split_chunks(dict(lines) | {endpoint_id: lines[endpoint_id][:-1] or b"y"})
         assert len(moved) != len(chunks) or sum(a != b for a, b in zip(moved, chunks, strict=True)) <= 1
 
 
@@ -502,9 +522,13 @@
             ("::1", 80),
         )
     whole = codec.encode(Head(1, AT, 1, 1, 5, b"d", 0))
-    assert whole[0] == 0x9B, "eleven fields"
-    assert codec.decode(b"\x9d" + whole[1:] + b"\xc0\xc0", Head).version == 5, "a newer release has more"
-    assert codec.decode(b"\x97" + whole[1:-4], Head).version == 5, "an older one has fewer"
+    assert whole[0] == 0x9B, "a head must have eleven fields"
+    assert codec.decode(b"\x9d" + whole[1:] + b"\xc0\xc0", Head).version == 5, (
+        "fields that a newer release added must be ignored"
+    )
+    assert codec.decode(b"\x97" + whole[1:-4], Head).version == 5, (
+        "fields that an older release lacks must have defaults"
+    )
     for bad in (b"", b"\xc1", b"\x93\x01\x02\x03", b"\x9b\x00" + whole[2:]):
         with pytest.raises(codec.UnreadableList):
             codec.decode(bad, Head)
@@ -521,7 +545,7 @@
 
 
 def test_the_table_says_what_is_wrong() -> None:
-    config: Config = None  # type: ignore[assignment]  # not looked at
+    config: Config = None  # type: ignore[assignment]  # not used
     assert not list(unfit(ListPart(), config))
     assert list(unfit(ListPart(askers=1), config)) == ["list.askers: is 1; expected 2 to 16"]
 
@@ -552,16 +576,16 @@
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
     rig.wait(1.1)
     call = only(rig.got())
-    assert call.target == "/v1/endpoints", "what others told is not built on"
-    call.tell(42, True, entry("e0", rig.stands[0].port))  # an old copy: it would undo the drain
+    assert call.target == "/v1/endpoints", "a call after other members' reports must request the whole list"
+    call.tell(42, True, entry("e0", rig.stands[0].port))  # an old copy, which would undo the drain
     again = only(rig.got())
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING and not failed, (
-        "asked again at once"
+        "a lower version must be followed by another call at once"
     )
     again.tell(44, True, entry("e0", rig.stands[0].port, "DRAINING"), entry("e9", 9))
     assert "index=44" in only(rig.got()).target and "e9" in rig.balancer.registry.by_id
     follower.restart_call()
     call = only(rig.got())
-    assert "index=44" in call.target, "asked anew, as it was asked"
+    assert "index=44" in call.target, "the abandoned watch must be requested again"
     call.reset()
     assert rig.got() == [] and failed
--- a/tests/test_listing_processes.py
+++ b/tests/test_listing_processes.py
@@ -1,4 +1,4 @@
-"""The relayed list on real processes, with one list service that counts its calls, and faults."""
+"""Relayed endpoint list in real processes, with faults and one list service that counts its calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def started(
     folder: Path, relayed: bool = True, names: list[str] = NAMES, within: float = WITHIN
 ) -> Iterator[tuple[Fleet, Lists, Answers]]:
-    """All know each other, and all but the askers are spared."""
+    """Starts sidecars and waits until all know each other and all but the askers skip their own calls."""
     with Answers() as answers:
         config = answers.config(quiet_config())
         config["settings"]["contract"]["ask-within"] = within * 1000
@@ -43,39 +43,44 @@
             fleet.all_alive()
             if relayed:
                 askers = sorted(names, key=rank_hash)[:3]
-                stand(fleet, lambda name, told: told["mode"] == ("asker" if name in askers else "spared"))
+                wait_for_all(
+                    fleet,
+                    lambda name, state: state["mode"] == ("asker" if name in askers else "spared"),
+                )
             yield fleet, lists, answers
             assert not [line for s in fleet.sidecars.values() for line in s.faults()]
 
 
-def told(fleet: Fleet, name: str) -> dict[str, Any]:
+def list_state(fleet: Fleet, name: str) -> dict[str, Any]:
     found: dict[str, Any] = fleet[name].call("GET", "/-/list").body
     return found
 
 
-def stand(fleet: Fleet, what: Callable[[str, dict[str, Any]], bool], *names: str) -> None:
-    """Waits until it is so at all of them."""
+def wait_for_all(fleet: Fleet, condition: Callable[[str, dict[str, Any]], bool], *names: str) -> None:
+    """Waits until the condition holds at all of them."""
     chosen = names or list(fleet.sidecars)
     wait_until(
-        lambda: all(what(name, told(fleet, name)) for name in chosen),
+        lambda: all(condition(name, list_state(fleet, name)) for name in chosen),
         PATIENCE,
-        lambda: str({name: told(fleet, name) for name in chosen}),
+        lambda: str({name: list_state(fleet, name) for name in chosen}),
     )
 
 
-def three(fleet: Fleet, there: list[str]) -> None:
-    """Waits until this part has its own askers."""
-    wait_until(lambda: sum(told(fleet, name)["mode"] == "asker" for name in there) == 3, PATIENCE, "askers")
+def wait_for_askers(fleet: Fleet, there: list[str]) -> None:
+    """Waits until these members have three askers."""
+    wait_until(
+        lambda: sum(list_state(fleet, name)["mode"] == "asker" for name in there) == 3, PATIENCE, "askers"
+    )
 
 
-def known(fleet: Fleet, version: int, *names: str) -> float:
-    """When all have this version. How soon that is, virtual time tells."""
-    stand(fleet, lambda name, told: told["version"] == version, *names)
+def wait_for_version(fleet: Fleet, version: int, *names: str) -> float:
+    """Waits until all have this version and returns the time; virtual time tests how soon that is."""
+    wait_for_all(fleet, lambda name, state: state["version"] == version, *names)
     return time.monotonic()
 
 
 def rate(lists: Lists, seconds: float) -> float:
-    """Calls a second over so many."""
+    """Returns the calls a second over so many seconds."""
     since = time.monotonic()
     wait_until(lambda: time.monotonic() > since + seconds, seconds + PATIENCE, "time")
     return lists.since(since) / (time.monotonic() - since)
@@ -83,28 +88,31 @@
 
 def test_three_ask_for_eight_and_their_word_outlives_their_deaths_and_stalls(tmp_path: Path) -> None:
     with started(tmp_path) as (fleet, lists, _):
-        known(fleet, lists.tell("new0", "DRAINING"))  # with it the last watches of the others end
-        own = {name: told(fleet, name)["own"]["calls"] for name in OTHERS}
-        assert rate(lists, 6.0) <= 2.5, "three ask each 1.6 s"
-        known(fleet, lists.tell("new0", "SERVING"))
-        assert {name: told(fleet, name)["own"]["calls"] for name in OTHERS} == own, "by word alone"
-        assert told(fleet, OTHERS[0])["askers"].keys() >= set(ASKERS)
+        # This change ends the last watches of the others.
+        wait_for_version(fleet, lists.tell("new0", "DRAINING"))
+        own = {name: list_state(fleet, name)["own"]["calls"] for name in OTHERS}
+        assert rate(lists, 6.0) <= 2.5, "three askers make a call each 1.6 s"
+        wait_for_version(fleet, lists.tell("new0", "SERVING"))
+        assert {name: list_state(fleet, name)["own"]["calls"] for name in OTHERS} == own, (
+            "the others must not make calls of their own"
+        )
+        assert list_state(fleet, OTHERS[0])["askers"].keys() >= set(ASKERS)
         fleet[ASKERS[0]].kill()
         fleet[ASKERS[1]].stall()
         there = [name for name in NAMES if name not in ASKERS[:2]]
-        known(fleet, lists.tell("new1", "DRAINING"), *there)
-        stand(fleet, lambda name, told: told["mode"] in ("spared", "asker"), *there)
-        three(fleet, there)
-        known(fleet, lists.tell("new2", "DELETED"), *there)
+        wait_for_version(fleet, lists.tell("new1", "DRAINING"), *there)
+        wait_for_all(fleet, lambda name, state: state["mode"] in ("spared", "asker"), *there)
+        wait_for_askers(fleet, there)
+        wait_for_version(fleet, lists.tell("new2", "DELETED"), *there)
         fleet[ASKERS[1]].go_on()
-        known(fleet, lists.version, ASKERS[1])
-        fleet.start(ASKERS[0])  # a newcomer
-        known(fleet, lists.version)
-        stand(fleet, lambda name, told: told["mode"] == ("asker" if name in ASKERS else "spared"))
+        wait_for_version(fleet, lists.version, ASKERS[1])
+        fleet.start(ASKERS[0])  # a new member
+        wait_for_version(fleet, lists.version)
+        wait_for_all(fleet, lambda name, state: state["mode"] == ("asker" if name in ASKERS else "spared"))
 
 
 def test_seven_in_ten_restarted_at_once_ask_a_busy_service_no_more_than_a_few(tmp_path: Path) -> None:
-    """Alone each of the seven asks at once, and again and again, as the service takes five calls a second."""
+    """Without the relay, each of the seven calls repeatedly, as the service takes five calls a second."""
     names = [f"n{n}" for n in range(10)]
     ranked = sorted(names, key=rank_hash)
     with started(tmp_path, names=names, within=30.0) as (fleet, lists, _):
@@ -114,30 +122,35 @@
         lists.gate = Gate(5.0)
         version = lists.tell("new0", "DRAINING")
         fleet.start(*back)
-        stand(fleet, lambda name, told: told["version"] == version and told["vouched"])
-        asked = {name: told(fleet, name)["own"] for name in ranked[6:]}
+        wait_for_all(fleet, lambda name, state: state["version"] == version and state["vouched"])
+        asked = {name: list_state(fleet, name)["own"] for name in ranked[6:]}
         assert not any(own["calls"] + own["failed"] for own in asked.values()), asked
-        stand(fleet, lambda name, told: told["mode"] == ("asker" if name in ranked[:3] else "spared"))
+        wait_for_all(
+            fleet,
+            lambda name, state: state["mode"] == ("asker" if name in ranked[:3] else "spared"),
+        )
 
 
 def test_links_dropped_a_service_that_is_down_and_one_that_counts_anew(tmp_path: Path) -> None:
     with started(tmp_path) as (fleet, lists, _):
         cut = fleet.network.begin(Split(0.0, (tuple(ASKERS), tuple(OTHERS)), 1e6))
-        known(fleet, lists.tell("new0", "DRAINING"))
-        three(fleet, OTHERS)
-        stand(fleet, lambda name, told: told["mode"] in ("asker", "spared"))
-        known(fleet, lists.tell("new0", "SERVING"))
+        wait_for_version(fleet, lists.tell("new0", "DRAINING"))
+        wait_for_askers(fleet, OTHERS)
+        wait_for_all(fleet, lambda name, state: state["mode"] in ("asker", "spared"))
+        wait_for_version(fleet, lists.tell("new0", "SERVING"))
         fleet.network.end(cut)
-        stand(fleet, lambda name, told: told["mode"] == ("asker" if name in ASKERS else "spared"))
+        wait_for_all(fleet, lambda name, state: state["mode"] == ("asker" if name in ASKERS else "spared"))
         lists.switch(down=True)
-        wait_until(lambda: all(told(fleet, name)["own"]["failed"] for name in ASKERS), PATIENCE, "calls fail")
+        wait_until(
+            lambda: all(list_state(fleet, name)["own"]["failed"] for name in ASKERS), PATIENCE, "calls fail"
+        )
         version = lists.tell("new1", "DRAINING")
         assert rate(lists, 8.0) <= 12.0
         lists.switch(down=False)
-        known(fleet, version)
-        stand(fleet, lambda name, told: told["mode"] == ("asker" if name in ASKERS else "spared"))
+        wait_for_version(fleet, version)
+        wait_for_all(fleet, lambda name, state: state["mode"] == ("asker" if name in ASKERS else "spared"))
         lists.anew()
-        known(fleet, lists.tell("new2", "DELETED"))
+        wait_for_version(fleet, lists.tell("new2", "DELETED"))
         assert lists.version == 2
 
 
@@ -147,10 +160,12 @@
         Lists([entry for _, entry in lists.entries.values()]) as other,
     ):
         lists.switch(silent=True)
-        wait_until(lambda: any(told(fleet, name)["own"]["failed"] for name in ASKERS), PATIENCE, "calls fail")
+        wait_until(
+            lambda: any(list_state(fleet, name)["own"]["failed"] for name in ASKERS), PATIENCE, "calls fail"
+        )
         version = lists.tell("new0", "DRAINING")
         lists.switch(silent=False)
-        known(fleet, version)
+        wait_for_version(fleet, version)
         version = other.tell("new1", "DRAINING")
         other.tell("new1", "SERVING")
         moved = [name for name in NAMES if name != ASKERS[0]]
@@ -158,14 +173,16 @@
             sidecar = fleet[name]
             sidecar.write({**sidecar.config, "discovery": other.address}, sidecar.tables)
             sidecar.reload(sidecar.tables or {})
-        known(fleet, other.version, *moved)
-        stand(fleet, lambda name, told: told["mode"] in ("spared", "asker"), *moved)
-        known(fleet, other.tell("new2", "DRAINING"), *moved)
-        assert told(fleet, ASKERS[0])["version"] == lists.version, "the other service's word is not taken"
+        wait_for_version(fleet, other.version, *moved)
+        wait_for_all(fleet, lambda name, state: state["mode"] in ("spared", "asker"), *moved)
+        wait_for_version(fleet, other.tell("new2", "DRAINING"), *moved)
+        assert list_state(fleet, ASKERS[0])["version"] == lists.version, (
+            "reports of the other service must be ignored"
+        )
 
 
 def test_nothing_is_sent_past_the_grace_after_word_of_a_drain(tmp_path: Path) -> None:
-    """No exchange that comes once a sidecar says that it knows begins at such an endpoint."""
+    """No request that arrives after a sidecar reports a drain as known may begin at the draining endpoint."""
     with (
         started(tmp_path) as (fleet, lists, answers),
         Clients({name: s.listen for name, s in fleet.sidecars.items()}, 40.0) as clients,
@@ -175,7 +192,7 @@
         for n in range(3):
             lists.tell(f"new{n}", "DRAINING" if n else "DELETED")
         there = [name for name in NAMES if name != ASKERS[0]]
-        over = known(fleet, lists.version, *there)
+        over = wait_for_version(fleet, lists.version, *there)
         wait_until(lambda: len(clients.since(over, *there)) > 200, PATIENCE, "traffic")
         assert any(a.status == 200 for a in clients.since(over, *there))
         assert not answers.on_new_of(clients.since(over, *there))
@@ -186,4 +203,4 @@
         assert fleet["a"].call("GET", "/-/list").status == 404
         before = len(lists.calls)
         lists.tell("new0", "DRAINING")
-        wait_until(lambda: len(lists.calls) >= before + 3, PATIENCE, "each asks anew")
+        wait_until(lambda: len(lists.calls) >= before + 3, PATIENCE, "a new call of each")
--- a/tests/test_watches_in_step.py
+++ b/tests/test_watches_in_step.py
@@ -1,4 +1,4 @@
-"""Watches of several sidecars that fall silent together are begun anew in time to hear of a change."""
+"""Watches of several sidecars that fall silent together are replaced in time to receive a change."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from .test_told_within import HERE, BusyService
 
 ASK_WITHIN = 10.0  # seconds
-TOLD_AFTER_SILENCE, TOLD_AFTER_WAIT = 6.0, 2.0  # seconds: the operators' figures, the later of the two counts
+# seconds; the figures that operators were given: the later of the two counts
+TOLD_AFTER_SILENCE, TOLD_AFTER_WAIT = 6.0, 2.0
 DRAIN_GRACE = 0.5  # seconds
 
 
 class TurnsForNews(BusyService):
-    """Only answers that tell something take the service's time; a watch whose wait is over takes none."""
+    """Only answers with a change take the service's time; a watch whose wait has ended takes none."""
 
     def __init__(self, callers: Callers, rate: int) -> None:
         super().__init__(callers, rate, silently=False)
@@ -35,7 +36,7 @@
             super().take(s, call, index)
 
     def fall_silent(self) -> dict[int, float]:
-        """Nothing comes through any more. When each watch that was open is over, by its socket's number."""
+        """Makes all connections silent; returns by socket number when each open watch's wait ends."""
         over = {}
         for s in list(self.sockets.values()):
             call = self.last_call.get(s)
@@ -47,7 +48,7 @@
 
 
 def lateness(seed: int, callers_count: int, calls_a_second: int) -> list[float]:
-    """Seconds after the change counts as told, for each sidecar whose watch was open when all fell silent."""
+    """Returns how late each sidecar whose watch was open when all fell silent has the change, in seconds."""
     draw = random.Random(seed)
     silent_at = START + draw.uniform(10.0, 16.0)
     with pytest.MonkeyPatch.context() as patch:
@@ -78,7 +79,7 @@
 
 @pytest.mark.parametrize(("callers_count", "calls_a_second"), [(6, 3), (9, 3), (9, 4)])
 def test_each_has_the_change_in_time(callers_count: int, calls_a_second: int) -> None:
-    """Guards against watches that all end in one moment: the last call in the queue came too late."""
+    """Guards against watches that all end at one moment: the last call in the queue came too late."""
     late = [seconds for seed in range(40) for seconds in lateness(seed, callers_count, calls_a_second)]
     assert len(late) > 30 * callers_count
     assert max(late) <= DRAIN_GRACE
