--- a/rainspindle/decisions/listing/relay.py
+++ b/rainspindle/decisions/listing/relay.py
@@ -97,7 +97,7 @@
         """Applies a list, in which `delta` holds the changed lines; returns False if it cannot be decoded."""
 
     def urge(self) -> None:
-        """Requests a new call of `spared`, as its time may be earlier now or this member became an asker."""
+        """Requests a new look at when the next call is due, as it may be earlier now or the role changed."""
 
     def log(self, event: str, **fields: object) -> None:
         """Writes a log line."""
@@ -391,7 +391,7 @@
                 self.distrust(now, name, version)
 
     def distrust(self, now: float, name: str, from_version: int) -> None:
-        """Ignores the member's reports of version `told` or later; the time doubles with each occurrence."""
+        """Ignores the member's reports of `from_version` or later; the time doubles with each occurrence."""
         before = self.distrusted.get(name)
         times = before.times + 1 if before else 1
         until = now + min(DISTRUST_TIME * 2.0 ** min(times - 1, 9), MAX_DISTRUST_TIME)
--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -51,7 +51,7 @@
 
 
 class ListRun:
-    """Runs the `Relay` between the list's follower and the members' registers."""
+    """Runs the relay between the list's follower and the members' registers."""
 
     def __init__(self, ground: Ground, table: ListPart, seeded: bool) -> None:
         """`seeded`: whether the members' file has addresses of others."""
--- a/rainspindle/routing/follow.py
+++ b/rainspindle/routing/follow.py
@@ -51,10 +51,10 @@
     # could be reached. UNREACHED bounds the seconds from that moment until the call is written that is
     # answered with the change. First, an earlier call has to fail and a pause follows: RETRY_PERIOD, or a
     # connection that is not established and MAX_PAUSE. If the service restarts its version count, its first
-    # answer is refused and the whole list is requested AGAIN seconds later, on the same connection, which may
-    # take CONNECT_TIMEOUT to establish. The rest, ANSWER_TIME, is left for the answers. None of it depends on
-    # the asking period: after a failed call, no watch is opened before a call that the service answers at
-    # once.
+    # answer is refused and the whole list is requested after the minimum pause, on the same connection, which
+    # may take CONNECT_TIMEOUT to establish. The rest, ANSWER_TIME, is left for the answers. None of it
+    # depends on the asking period: after a failed call, no watch is opened before a call that the service
+    # answers at once.
     TOLD_WITHIN = 6.0
     UNREACHED = max(RETRY_PERIOD, CONNECT_TIMEOUT + MAX_PAUSE) + AGAIN + CONNECT_TIMEOUT
     ANSWER_TIME = TOLD_WITHIN - UNREACHED
