--- a/rainspindle/decisions/members/failure_detector.py
+++ b/rainspindle/decisions/members/failure_detector.py
@@ -38,7 +38,7 @@
         incarnation: Incarnation of the probed member.
         factor: Factor on the probe's time-outs, from the local health at its start.
         due_at: Time of its next step.
-        alone: Whether no helpers are asked.
+        direct_only: Whether no helpers are asked.
         step: Number of steps taken without an answer.
         helpers: Number of members that were asked to ping the target.
         nacks: Number of helpers that reported that they got no answer.
@@ -48,7 +48,7 @@
     incarnation: int
     factor: float
     due_at: float
-    alone: bool = False
+    direct_only: bool = False
     step: int = 0
     helpers: int = 0
     nacks: int = 0
@@ -108,7 +108,7 @@
         return probe is not None and probe.target == name
 
     def on_ack(self, now: float, message: wire.Message) -> None:
-        """Handles the answer to a ping of this member, or to one sent on behalf of another."""
+        """Handles the answer to a ping by this process, whether for itself or on behalf of another member."""
         probe = self._probes.get(message.echo)
         if probe is not None:
             self._on_answered(now, probe)
@@ -186,19 +186,24 @@
         """Inserts a new member at a random position of the current round."""
         self._round.insert(self._random.randrange(len(self._round) + 1), name)
 
-    def probe(self, now: float, record: MemberRecord, alone: bool = False) -> None:
-        """Starts a probe of a member; if `alone` is set, no helpers are asked, as others probe it already."""
+    def probe(self, now: float, record: MemberRecord, direct_only: bool = False) -> None:
+        """Starts a probe of a member.
+
+        If `direct_only` is set, no helpers are asked, because other members probe it as well.
+        """
         self._limits.own.take(now)
         ping = Content(
             MessageKind.PING,
             target=record.name,
             member_updates=self._messenger.update_for(now, record),
-            piggyback=record.status == Status.ALIVE and not alone,
+            piggyback=record.status == Status.ALIVE and not direct_only,
         )
         data = self._messenger.compose(now, ping)
         factor = self._health.factor
         due_at = now + self._tuning.direct_timeout * factor / DIRECT_PINGS
-        self._probes[self._messenger.number] = Probe(record.name, record.incarnation, factor, due_at, alone)
+        self._probes[self._messenger.number] = Probe(
+            record.name, record.incarnation, factor, due_at, direct_only
+        )
         self._messenger.post(record.packed_address, data)
 
     def _probe_next(self, now: float) -> None:
@@ -240,9 +245,11 @@
         requests_help = probe.step == DIRECT_PINGS or (
             probe.step == DIRECT_PINGS + 1 and self._tuning.lifeguard
         )
-        if requests_help and not probe.alone:
+        if requests_help and not probe.direct_only:
             self._request_pings(now, probe)
-        if not probe.alone or probe.step != DIRECT_PINGS:  # four pings suffice where many probes are sent
+        if (
+            not probe.direct_only or probe.step != DIRECT_PINGS
+        ):  # four pings suffice where many probes are sent
             self._ping_again(now, probe)
         probe.due_at = now + duration * probe.factor
 
@@ -260,7 +267,7 @@
         count = min(RING_PROBES, MAX_CONCURRENT_PROBES - len(probed))
         for record in self._table.nearest_in_ring(probed, now - RECENT_CONTACT_TIME, count):
             if self._limits.ring_probes.take(now):
-                self.probe(now, record, alone=True)
+                self.probe(now, record, direct_only=True)
 
     def _request_pings(self, now: float, probe: Probe) -> None:
         """Asks other members to ping the target."""
--- a/rainspindle/decisions/members/member_states.py
+++ b/rainspindle/decisions/members/member_states.py
@@ -58,8 +58,8 @@
     def add_to_round(self, name: str) -> None:
         """Adds a new member to the current round of probes."""
 
-    def probe(self, now: float, record: MemberRecord, alone: bool = False) -> None:
-        """Probes the member now; if `alone` is set, no other members are asked for help."""
+    def probe(self, now: float, record: MemberRecord, direct_only: bool = False) -> None:
+        """Probes the member now; if `direct_only` is set, no other members are asked for help."""
 
 
 class MemberStates:
@@ -162,7 +162,7 @@
         """Applies an update of the incarnation that is known already."""
         is_same_refutation = update.refutation == record.refutation
         if update.status == record.status and is_same_refutation and record.is_living:
-            self._messenger.updates.record_heard(update.name, transmission_limit(len(self._table.records)))
+            self._messenger.updates.record_received(update.name, transmission_limit(len(self._table.records)))
         if update.status == Status.LEFT:
             refutation = max(update.refutation, record.refutation)
             self.declare(now, record, Status.LEFT, refutation, float(update.age))
@@ -259,7 +259,7 @@
             self._messenger.updates.add(record.name, 1)
 
     def _notify_accusers(self, now: float, record: MemberRecord, names: Iterable[str]) -> None:
-        """Sends the suspicion to the other accusers, as a probe of this member has failed too.
+        """Sends the suspicion to the other accusers after a probe by this process has failed too.
 
         Only accusers need it: each independent accuser shortens their time-out.
         """
@@ -277,15 +277,15 @@
     def _verify_suspicion(self, now: float, record: MemberRecord, is_first_hand: bool) -> None:
         """Probes a member that others suspect, so that the suspicion is soon confirmed or refuted.
 
-        Every member does so that receives the report from the accuser itself; of the others, a few do,
-        chosen at random.
+        Every member that receives the report from the accuser itself does so, and a few random ones of those
+        that receive it from others.
         """
         if not self._tuning.lifeguard or self._own.is_leaving or self._health.is_suspended(now):
             return
         if not is_first_hand and self._random.random() * len(self._table.living()) >= VERIFYING_MEMBERS:
             return
         if self._limits.verifications.take(now):
-            self.prober.probe(now, record, alone=True)
+            self.prober.probe(now, record, direct_only=True)
 
     def _on_changed(self, now: float, record: MemberRecord, before: Member) -> None:
         self._table.update(record)
--- a/rainspindle/decisions/members/membership.py
+++ b/rainspindle/decisions/members/membership.py
@@ -258,21 +258,21 @@
         stats = self.stats
         try:
             return wire.decode(data, self._fleet)
-        except wire.ForeignFleetError as fault:
+        except wire.ForeignFleetError as error:
             stats.other_fleet += 1
-            self._log_unreadable("members: another fleet's message", stats.other_fleet, fault)
-        except wire.IncompatibleReleaseError as fault:
+            self._log_unreadable("members: another fleet's message", stats.other_fleet, error)
+        except wire.IncompatibleReleaseError as error:
             stats.other_release += 1
-            self._log_unreadable("members: another release's message", stats.other_release, fault)
-        except wire.UnreadableMessageError as fault:
+            self._log_unreadable("members: another release's message", stats.other_release, error)
+        except wire.UnreadableMessageError as error:
             stats.unreadable += 1
-            self._log_unreadable("members: unreadable message", stats.unreadable, fault)
+            self._log_unreadable("members: unreadable message", stats.unreadable, error)
         return None
 
-    def _log_unreadable(self, event: str, count: int, fault: wire.UnreadableMessageError) -> None:
+    def _log_unreadable(self, event: str, count: int, error: wire.UnreadableMessageError) -> None:
         """Logs an unreadable message, but only every LOG_EVERY-th, so that a flood does not fill the log."""
         if count % LOG_EVERY == 1:
-            self.context.host.log(event, why=str(fault), count=count)
+            self.context.host.log(event, why=str(error), count=count)
 
     def _sender(self, now: float, message: wire.Message) -> MemberRecord | None:
         """Returns the sender's record, or None if the message must not be processed further."""
@@ -404,7 +404,7 @@
             self.anti_entropy.request_state(now, record.packed_address)
 
     def _clean_up(self, now: float) -> None:
-        """Removes members that have been dead or gone for long, expired handshakes and stale registers."""
+        """Removes expired records of dead members and members that left, expired handshakes and registers."""
         self._cleanup_at = now + CLEANUP_PERIOD
         for name in self.table.gone():
             record = self.table.records[name]
--- a/rainspindle/decisions/members/suspicion.py
+++ b/rainspindle/decisions/members/suspicion.py
@@ -12,7 +12,7 @@
 from .tuning import MembershipTuning
 
 FINAL_PING_LEAD = 0.6  # seconds before a member is declared dead at which it is pinged a final time
-# A suspicion lasts longer, by this factor and this many seconds, while no probe of this member has failed.
+# A suspicion lasts longer, by this factor and this many seconds, until a probe by this process has failed.
 UNVERIFIED_FACTOR = 2.5
 UNVERIFIED_DELAY = 1.0
 
@@ -24,12 +24,12 @@
     Attributes:
         since: Time at which the suspicion began, or at which the member last answered.
         accusers: Names of the members known to suspect it.
-        is_verified: Whether a probe by this member has failed too. If so, this member may declare the suspect
-            dead; otherwise it waits for the declaration of another.
+        is_verified: Whether a probe by this process has failed too. If so, this process may declare the
+            suspect dead; otherwise it waits longer for the declaration of another member.
         is_secondary: Whether another member suspected it first, so that its declaration is due earlier.
         final_pings: Number of final pings sent before the declaration.
         is_declared: Whether another member has declared the suspect dead.
-        probe_at: Time at which this member probes the suspect because another declared it dead.
+        probe_at: Time at which this process probes the suspect because another member declared it dead.
     """
 
     since: float
--- a/rainspindle/decisions/members/suspicion_monitor.py
+++ b/rainspindle/decisions/members/suspicion_monitor.py
@@ -63,11 +63,11 @@
         if now >= suspicion.probe_at:
             suspicion.probe_at = math.inf
             if not suspicion.is_verified:
-                self._detector.probe(now, record, alone=True)
+                self._detector.probe(now, record, direct_only=True)
         timeout = suspicion.timeout(self._tuning, self._health.factor, others)
         remaining = suspicion.since + timeout - now
         if remaining <= 0 and not suspicion.is_verified and suspicion.final_pings < MAX_FINAL_PINGS:
-            # Probes the suspect first, so that it is not declared dead on the reports of others alone.
+            # Probes the suspect first, so that it is not declared dead only because others report it.
             suspicion.final_pings += 1
             suspicion.since += OWN_PROBE_TIME
             self._detector.probe(now, record)
@@ -76,7 +76,7 @@
             self._states.declare(now, record, Status.DEAD, record.refutation)
         elif self._is_final_ping_due(suspicion, remaining):
             suspicion.final_pings += 1  # the loss of a single refutation must not lead to a declaration
-            self._detector.probe(now, record, alone=self._suspects.is_mass_failure())
+            self._detector.probe(now, record, direct_only=self._suspects.is_mass_failure())
 
     def _is_final_ping_due(self, suspicion: Suspicion, remaining: float) -> bool:
         if not self._tuning.lifeguard or not suspicion.is_verified:
--- a/rainspindle/decisions/shared/broadcast_queue.py
+++ b/rainspindle/decisions/shared/broadcast_queue.py
@@ -57,7 +57,7 @@
         if count is not None:
             del self._by_count[count][key]
 
-    def record_heard(self, key: Key, limit: int) -> None:
+    def record_received(self, key: Key, limit: int) -> None:
         """Records that another member sent the same update, which counts as one transmission.
 
         This avoids traffic for updates that every member knows. As the same few members may be sending it to
--- a/rainspindle/decisions/shared/register_gossip.py
+++ b/rainspindle/decisions/shared/register_gossip.py
@@ -92,7 +92,7 @@
             return
         known = self.store.by_name.get(update.name, {}).get(update.owner)
         if known is not None and (update.incarnation, update.sequence) == known.register.order:
-            self.queue.record_heard((update.owner, update.name), transmission_limit(members))
+            self.queue.record_received((update.owner, update.name), transmission_limit(members))
         register = Register(update.owner, update.name, update.incarnation, update.sequence, update.value)
         self.store.merge(now, register, age)
 
--- a/rainspindle/protocol/members.py
+++ b/rainspindle/protocol/members.py
@@ -259,8 +259,8 @@
         raise UnreadableMessageError(f"datagram too long: expected at most {MAX_DATAGRAM} bytes")
     try:
         message = _decode_message(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise _explain(data, fleet, str(fault)) from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise _explain(data, fleet, str(error)) from None
     if message.lowest_reader > VERSION or message.fleet != fleet:
         raise _explain(data, fleet, "")
     if not _has_valid_addresses(message):
@@ -289,12 +289,12 @@
     return socket.inet_ntop(family, packed[:-2]), int.from_bytes(packed[-2:], "big")
 
 
-def _explain(data: bytes, fleet: str, fault: str) -> UnreadableMessageError:
+def _explain(data: bytes, fleet: str, error: str) -> UnreadableMessageError:
     """Returns the error for an unreadable message, as specific as its header allows."""
     try:
         header = _decode_header(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        return UnreadableMessageError(f"not a membership message: {fault}")
+        return UnreadableMessageError(f"not a membership message: {error}")
     if header.lowest_reader > VERSION:
         return IncompatibleReleaseError(
             f"message of version {header.version} requires a reader of version {header.lowest_reader};"
@@ -302,7 +302,7 @@
         )
     if header.fleet != fleet:
         return ForeignFleetError(f"message of fleet {header.fleet!r}; expected fleet {fleet!r}")
-    return UnreadableMessageError(f"not a membership message: {fault}")
+    return UnreadableMessageError(f"not a membership message: {error}")
 
 
 def _has_valid_addresses(message: Message) -> bool:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -39,7 +39,7 @@
 
 def deaths_declared(watch: Watch, *excluded: str) -> list[str]:
     """Returns who was declared dead by whom, without the members in `excluded`."""
-    return [f"{s.viewer} declared {s.name} dead" for s in watch.said("dead") if s.name not in excluded]
+    return [f"{s.viewer} declared dead {s.name}" for s in watch.said("dead") if s.name not in excluded]
 
 
 def excluding(all_names: Iterable[str], *excluded: str) -> list[str]:
