--- a/rainspindle/decisions/shared/registers.py
+++ b/rainspindle/decisions/shared/registers.py
@@ -20,7 +20,8 @@
 MAX_NAME = 100  # characters
 MAX_SUBJECTS = 8  # subjects of which registers of other members are kept
 MAX_SEQUENCE_DIGITS = 19
-SWEPT = "swept/"  # `swept/SUBJECT` holds the sequence up to which its owner has discarded its registers
+# The register `swept/SUBJECT` holds the sequence up to which its owner has discarded its registers.
+SWEPT = "swept/"
 PARTITIONS = 64  # partitions in which the registers of one owner are compared between members
 
 Subscriber = Callable[[float, "Register"], None]
--- a/rainspindle/program/fleet/members.py
+++ b/rainspindle/program/fleet/members.py
@@ -170,13 +170,12 @@
 
 
 class MembershipComponent:
-    """Runs `Membership` as its host, and is the interface of the program to it.
+    """Runs `Membership` as its host, and gives the program access to it and to the shared registers.
 
     Attributes:
         table: The `[members]` section of the fleet file.
         own_name: Name of this member.
         wire: The socket; None while a successor has the address.
-        cells: The registers that members share.
         members: The membership protocol.
     """
 
