--- a/rainspindle/decisions/wallet/account.py
+++ b/rainspindle/decisions/wallet/account.py
@@ -21,7 +21,7 @@
 
 from enum import Enum
 
-SHIFT = 10  # an account's number holds the incarnation in which it began above these low bits
+ACCOUNT_SHIFT = 10  # an account's number holds the incarnation in which it began above these low bits
 MAX_OLD_ACCOUNTS = 8  # closed accounts, the latest ones, whose transfers are still reported
 AccountId = tuple[str, int]  # a member and the number of one of its accounts
 
@@ -106,14 +106,14 @@
         self.dirty = False
 
     @property
-    def coming(self) -> int:
+    def pending(self) -> int:
         """Units written ahead whose row is not on disk yet."""
         return self.row.spent - self.kept.spent
 
     @property
     def held(self) -> int:
         """Units in this account: rights, units ready to spend, and units being written ahead."""
-        return self.rights + self.free + self.coming
+        return self.rights + self.free + self.pending
 
     # Requests: neither disk writes nor messages.
 
@@ -130,7 +130,7 @@
 
     # Changes to the row.
 
-    def ahead(self, amount: int) -> int:
+    def write_ahead(self, amount: int) -> int:
         """Records up to `amount` units as spent, to be used once that is on disk; returns how many."""
         amount = min(amount, self.rights)
         if amount > 0:
@@ -149,7 +149,7 @@
             self.dirty = True
         return max(amount, 0)
 
-    def give(self, to: AccountId, amount: int) -> int:
+    def transfer(self, to: AccountId, amount: int) -> int:
         """Transfers up to `amount` units to another account and returns how many.
 
         The recipient may be notified once the row is on disk.
@@ -161,7 +161,7 @@
             self.dirty = True
         return max(amount, 0)
 
-    def hear(self, giver: AccountId, total: int) -> int:
+    def receive(self, giver: AccountId, total: int) -> int:
         """Takes the total that another account ever transferred to this one; returns how much is new."""
         new = total - self.row.got.get(giver, 0)
         if new > 0:
@@ -227,7 +227,7 @@
     OLD = "old"  # outdated: nothing of its account is spent any more
 
 
-class Holding:
+class MemberAccounts:
     """A member's accounts in one wallet: the one that it spends from, and its closed ones."""
 
     def __init__(self, incarnation: int, nonce: int = 0) -> None:
@@ -243,7 +243,7 @@
         self.sealing = False  # spends nothing more; the account's last row is being written
         self.lost = 0  # units left in closed accounts
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
         """Loads what was found on disk.
 
         The account is closed if its row is outdated. It is also closed if the row rests and may be outdated,
@@ -253,13 +253,13 @@
         self.account = Account(row if row is not None else Row(self.number()), ids)
         self.unsure = row is not None and trust is Trust.UNSURE
         if row is not None and (trust is Trust.OLD or (row.rests and self.unsure)):
-            self.begin_anew()
+            self.open_new_account()
 
     def number(self, after: int = 0) -> int:
         """Returns a number for a new account, higher than `after`."""
-        return max(self.incarnation << SHIFT | self.nonce, after + 1)
+        return max(self.incarnation << ACCOUNT_SHIFT | self.nonce, after + 1)
 
-    def begin_anew(self) -> None:
+    def open_new_account(self) -> None:
         """Closes the account and opens a new, empty one."""
         row = self.account.kept
         self.lost += max(self.account.held, 0)
@@ -292,13 +292,13 @@
         if self.account.row.rests:
             self.account.row.rests, self.account.dirty = False, True
 
-    def others_know(self, number: int) -> bool:
+    def settle_unsure(self, number: int) -> bool:
         """Settles an unsure account by the highest row of it that other members have received.
 
         Returns True if the row on disk is the newest; otherwise closes the account and returns False.
         """
         if self.unsure and number > self.account.kept.number:
-            self.begin_anew()
+            self.open_new_account()
             return False
         self.account.dirty = self.account.dirty or self.unsure  # so that the next incarnation is sure as well
         self.unsure = False
@@ -314,13 +314,13 @@
         account.put_back(account.free)
         if home is None:
             return False
-        account.give(home, account.rights)
+        account.transfer(home, account.rights)
         if account.dirty or account.writing is not None:
             return False
-        self.begin_anew()
+        self.open_new_account()
         return True
 
-    def gifts(self, member: str) -> list[tuple[int, int, int]]:
+    def transfers_to(self, member: str) -> list[tuple[int, int, int]]:
         """Returns the transfers to a member that are on disk: own account, its account, total units."""
         return [
             (row.account, account, total)
@@ -329,7 +329,7 @@
             if peer == member
         ][-MAX_OLD_ACCOUNTS:]
 
-    def take_gifts(self, member: str, entries: list[tuple[int, int, int]]) -> int:
+    def receive_transfers(self, member: str, entries: list[tuple[int, int, int]]) -> int:
         """Takes what another member reports to have transferred to this one; returns how much is new.
 
         An unsure account takes nothing: a row written now would hide that a later row existed before.
@@ -337,7 +337,7 @@
         if self.unsure:
             return 0
         return sum(
-            self.account.hear((member, account), total)
+            self.account.receive((member, account), total)
             for account, to, total in entries
             if to == self.account.row.account
         )
--- a/rainspindle/decisions/wallet/register.py
+++ b/rainspindle/decisions/wallet/tombstones.py
@@ -112,7 +112,7 @@
 
     # Reports of other members.
 
-    def heard_own(self, register: Register) -> bool:
+    def on_own_register(self, register: Register) -> bool:
         """Takes a register that an earlier incarnation of this member wrote.
 
         Returns True if it or one before it shows that the folder is older than that incarnation's.
--- a/rainspindle/decisions/wallet/wallet.py
+++ b/rainspindle/decisions/wallet/wallet.py
@@ -30,8 +30,8 @@
     pair_cell,
     word_cell,
 )
-from .account import AccountId, Holding, Row, Trust
-from .register import TombstoneRegistry
+from .account import AccountId, MemberAccounts, Row, Trust
+from .tombstones import TombstoneRegistry
 
 # Seconds over which the rate of spending is smoothed, for deciding when to ask and how much to keep.
 RATE_TIME_CONSTANT, SLOW_RATE_TIME_CONSTANT = 0.5, 10.0
@@ -43,7 +43,7 @@
 # Seconds from a round of asks without success to the next, and the same while some member reports units.
 RETRY_INTERVAL, RETRY_INTERVAL_SOON = 1.0, 0.3
 CATCH_UP_TIME = 10.0  # seconds after its start in which a member may not know all that the others know
-MOST_AGAIN = 300.0  # seconds; the retry interval doubles up to this while clients send no requests
+MAX_RETRY_INTERVAL = 300.0  # seconds; the retry interval doubles up to this while clients send no requests
 LOW_BALANCE = 3.0  # seconds of spending left, below which reports are sent often
 ASK_ANYONE_BELOW = 1.0  # seconds of spending left, below which other members than the home are asked too
 SETTLE_TIME = 5.0  # seconds between asks while enough is held, and for which a surplus must last
@@ -95,7 +95,7 @@
         """Logs an event at level INFO."""
 
 
-class Wallet(Holding):
+class Wallet(MemberAccounts):
     """One wallet at one member."""
 
     def __init__(
@@ -122,10 +122,10 @@
             register: Deletes registers that are no longer needed. If None, the use of the wallet never ends.
         """
         self.register = register
-        self.name, self.own, self.rules, self.host = name, own_name, rules, host
+        self.name, self.own_name, self.rules, self.host = name, own_name, rules, host
         super().__init__(incarnation, nonce)
         self.loaded = self.leaving = self.inactive = self.only_reserve_left = False
-        self.words: dict[str, Word] = {}
+        self.reports: dict[str, Word] = {}
         self.reported_at: dict[str, float] = {}
         self.highest_rows: dict[AccountId, int] = {}  # the highest row reported of each account
         self.sent_pairs: dict[str, tuple[object, ...]] = {}
@@ -170,12 +170,12 @@
         if trust is Trust.UNSURE and row is not None:
             if self.rules.rejoin == "new":
                 trust = Trust.OLD
-            elif self.own == self.rules.home and not row.given and not row.got:
+            elif self.own_name == self.rules.home and not row.given and not row.got:
                 trust = Trust.SURE  # no other member can know anything of it
-        if row is not None and self.own == self.rules.home:
+        if row is not None and self.own_name == self.rules.home:
             row.rests = False  # it was not the home when it wrote that: a lost row may hold ids of top-ups
         rested = row is not None and row.rests
-        self.take(row, ids, old, trust)
+        self.restore(row, ids, old, trust)
         self.loaded, self.begun_at, self.last_use_at = True, now, now
         self.account_at_start = row.account if row is not None else None
         self.silent = row is not None and trust is Trust.SURE and self.can_be_silent()
@@ -191,7 +191,7 @@
     def start_over(self, why: str) -> None:
         """Closes the account and opens a new one; transfers of the closed one are still reported."""
         closed = self.account.row.account
-        self.begin_anew()
+        self.open_new_account()
         self.on_new_account(why, closed)
 
     def on_new_account(self, why: str, closed: int) -> None:
@@ -201,7 +201,7 @@
         )
         self.report_due, self.resting = True, False
         self.end_silence()
-        if self.own == self.rules.home:
+        if self.own_name == self.rules.home:
             self.bar_top_ups()
         self.host.save(self)
         self.host.urge(self)
@@ -244,15 +244,19 @@
 
     def on_word(self, now: float, member: str, report: Word) -> None:
         """Takes a member's report of its own account."""
-        before = self.words.get(member)
-        self.words[member], self.reported_at[member] = report, now
+        before = self.reports.get(member)
+        self.reports[member], self.reported_at[member] = report, now
         if before is not None and before.life != report.life and member in self.sent_pairs:
             self.sent_pairs[member] = ()  # to be sent once more
         account_id = member, report.account
         self.highest_rows[account_id] = max(self.highest_rows.get(account_id, 0), report.row)
         self.record_acknowledged(
             member,
-            [(account, report.account, total) for giver, account, total in report.took if giver == self.own],
+            [
+                (account, report.account, total)
+                for giver, account, total in report.took
+                if giver == self.own_name
+            ],
         )
         if not self.loaded or self.inactive:
             return
@@ -260,20 +264,20 @@
         home = self.rules.home
         if (
             report.unsure
-            and (self.own == home or member == home or self.highest_rows[account_id] > report.row)
+            and (self.own_name == home or member == home or self.highest_rows[account_id] > report.row)
         ) or (
             not self.sent_pairs.get(member)
             and (self.account.kept.off.get(member, 0) >= report.account or self.has_unacknowledged(member))
         ):
-            self.tell_pair(now, member)
+            self.send_pair(now, member)
         if report.resting:
             self.answer_resting(now, member)
-            if self.own == home and self.last_report_at == -math.inf:
+            if self.own_name == home and self.last_report_at == -math.inf:
                 self.report_due = True
                 self.host.urge(self)
         if self.sealing and member == home:
             self.on_written_off(now)
-        if report.of == self.own and (report.life, report.ask) != self.answered_asks.get(
+        if report.of == self.own_name and (report.life, report.ask) != self.answered_asks.get(
             member, (report.life, 0)
         ):
             self.grant(now, member, report)
@@ -295,12 +299,12 @@
         self.received_pairs[member] = pair.entries
         self.record_acknowledged(member, pair.took)
         without_reports = self.sends_no_reports
-        gained = self.take_gifts(member, pair.entries)
+        gained = self.receive_transfers(member, pair.entries)
         if without_reports and gained:
             self.report_due = True
         elif without_reports and pair.entries:
-            self.tell_pair(now, member)  # it has no acknowledgment of these transfers
-        elif member not in self.words:
+            self.send_pair(now, member)  # it has no acknowledgment of these transfers
+        elif member not in self.reports:
             self.delete_pair(member)
         if self.resting:
             self.host.urge(self)
@@ -325,12 +329,12 @@
         if pair.seen[:2] != (self.incarnation, own_account):
             return
         if pair.seen[2] > self.account.kept.number:
-            self.others_know(pair.seen[2])
+            self.settle_unsure(pair.seen[2])
             self.on_new_account(f"{member} has received a later row", own_account)
         elif self.register is not None and pair.mark < 0 and now - self.begun_at < CATCH_UP_TIME:
             return  # an older release doesn't know of deleted registers: wait for the batch number
-        elif self.rules.home in (member, self.own):
-            self.others_know(pair.seen[2])
+        elif self.rules.home in (member, self.own_name):
+            self.settle_unsure(pair.seen[2])
             self.report_due = True
             self.host.save(self)
             self.host.urge(self)
@@ -350,7 +354,7 @@
                 account=self.account.row.account,
                 left=self.account.held,
             )
-        home = self.words.get(self.rules.home)
+        home = self.reports.get(self.rules.home)
         self.report_due = self.seal((self.rules.home, home.account) if home is not None else None)
         self.pairs_due.add(self.rules.home)
         self.host.save(self)
@@ -365,20 +369,20 @@
             self.start_over("other members have received a later row")
         elif (
             report.topped > row.topped
-            and self.own == self.rules.home
+            and self.own_name == self.rules.home
             and report.account < row.account
             and not self.old
             and row.barred != self.rules.books
         ):
             self.bar_top_ups()
 
-    def older_folder(self, now: float) -> None:
+    def on_outdated_folder(self, now: float) -> None:
         """Handles that others know a later state of this member's folder than was found at the start."""
         if not self.loaded:
             return
         if self.account_at_start is not None and self.account.row.account == self.account_at_start:
             if self.account.row.rests:
-                self.begin_anew()
+                self.open_new_account()
                 self.account.dirty = False
             else:
                 self.start_over("other members know a later state of the folder")
@@ -390,7 +394,7 @@
 
         Ids of top-ups may have been entered there that are not known here.
         """
-        if self.own == self.rules.home and self.account.row.barred != self.rules.books:
+        if self.own_name == self.rules.home and self.account.row.barred != self.rules.books:
             self.bar_top_ups()
 
     def bar_top_ups(self) -> None:
@@ -412,11 +416,11 @@
 
     def known_reports(self) -> list[Word]:
         """Returns the last reports of the members that count; see `counted_members`."""
-        return [self.words[member] for member in self.counted_members()]
+        return [self.reports[member] for member in self.counted_members()]
 
     def counted_members(self) -> list[str]:
         """Returns the other members that are alive, have reported, and are not written off."""
-        reports, off = self.words, self.account.row.off
+        reports, off = self.reports, self.account.row.off
         return [
             member
             for member in self.host.alive()
@@ -451,30 +455,30 @@
             if (
                 amount <= 0
                 and account.held < self.rules.least
-                and (report.held, member) > (account.held, self.own)
+                and (report.held, member) > (account.held, self.own_name)
             ):
                 account.put_back(account.free)
                 amount = account.rights
         if amount > 0:
-            account.give((member, report.account), amount)
+            account.transfer((member, report.account), amount)
             self.pairs_due.add(member)
             self.host.save(self)
         self.answered_asks[member] = report.life, report.ask
         if amount <= 0:
-            self.tell_pair(now, member)
+            self.send_pair(now, member)
         return max(amount, 0)
 
     def grant_to_waiting(self, now: float) -> None:
         """Gives waiting members their share of units that have come in, without a further ask."""
         alive = set(self.host.alive())
-        for member, report in list(self.words.items()):
+        for member, report in list(self.reports.items()):
             if member in alive and report.want > 0 and report.held < max(report.rate, self.rules.top):
                 self.grant(now, member, report)
 
-    def tell_pair(self, now: float, member: str) -> None:
+    def send_pair(self, now: float, member: str) -> None:
         """Sends a member what is addressed to it alone: transfers, answers, write-offs, acknowledgments."""
-        report = self.words.get(member)
-        entries = self.gifts(member) if self.has_unacknowledged(member) else []
+        report = self.reports.get(member)
+        entries = self.transfers_to(member) if self.has_unacknowledged(member) else []
         account_id = (member, report.account) if report is not None else (member, 0)
         seen = (
             (report.life, account_id[1], self.highest_rows.get(account_id, 0))
@@ -528,10 +532,10 @@
             if self.has_unwritten_for(member):
                 self.pairs_due.add(member)
             else:
-                self.tell_pair(now, member)
+                self.send_pair(now, member)
         if self.sealing:
             self.on_written_off(now)
-        for member in [member for member, report in self.words.items() if report.resting]:
+        for member in [member for member, report in self.reports.items() if report.resting]:
             self.answer_resting(now, member)
         if self.account.kept.rests and self.account.row.rests:
             self.on_use_ended()
@@ -565,7 +569,7 @@
     def update_reserve(self, now: float) -> None:
         """Estimates whether only the reserve is left, with what others have spent since their reports."""
         aged_reports = [
-            (self.words[member], now - self.reported_at[member]) for member in self.counted_members()
+            (self.reports[member], now - self.reported_at[member]) for member in self.counted_members()
         ]
         spent = sum(
             min(report.held, report.rate * min(age, MAX_EXTRAPOLATION)) for report, age in aged_reports
@@ -619,7 +623,7 @@
             self.return_surplus(now)
         self.refused_at_last_tick = self.refused
         self.others_may_hold = any(report.held > 0 for report in self.known_reports()) or not (
-            self.own == rules.home or rules.home in self.words
+            self.own_name == rules.home or rules.home in self.reports
         )
         if account.dirty:
             self.host.save(self)
@@ -641,8 +645,8 @@
         seconds = account.held / rate if rate > MIN_RATE else math.inf
         if seconds < 2 * WRITE_AHEAD:
             piece = max(rules.top, math.ceil(account.held / 2))
-        if account.free + account.coming < low and account.rights > 0:
-            account.ahead(piece)
+        if account.free + account.pending < low and account.rights > 0:
+            account.write_ahead(piece)
         self.refill_below = math.ceil(low)
 
     def update_rates(self, now: float) -> None:
@@ -672,9 +676,9 @@
         """
         if (
             not list(self.host.alive())
-            and not self.words
+            and not self.reports
             and now - self.begun_at > 3.0
-            and self.own == self.rules.home
+            and self.own_name == self.rules.home
             and not self.account.row.given
             and not self.account.row.got
         ):
@@ -729,13 +733,13 @@
         alive = [member for member in self.host.alive() if member not in self.tried_members]
         home = rules.home
         target = ""
-        if home in alive and (home not in self.words or self.words[home].held > 0):
+        if home in alive and (home not in self.reports or self.reports[home].held > 0):
             target = home
         elif soon:
             holders = [
-                (self.words[member].held, member)
+                (self.reports[member].held, member)
                 for member in alive
-                if member in self.words and self.words[member].held > 0
+                if member in self.reports and self.reports[member].held > 0
             ]
             target = max(holders)[1] if holders else ""
         units = max(math.ceil(enough - held), least - held, rules.top - held, 1)
@@ -761,7 +765,7 @@
             # Guards against endless asks, after clients came and went, for a remainder that no member gives.
             # Too slow for an empty member without clients: it asks late for what others have to spare.
             first = SETTLE_TIME if self.paused_since is None else RETRY_INTERVAL
-            return min(math.ldexp(first, min(self.failed_rounds, 10)), MOST_AGAIN)
+            return min(math.ldexp(first, min(self.failed_rounds, 10)), MAX_RETRY_INTERVAL)
         if not soon:
             return SETTLE_TIME
         return (
@@ -781,15 +785,15 @@
         if rate <= 2 * MIN_RATE:
             rate = 0.0  # otherwise the minimum set below would raise what is kept, and ticks would never end
         keep = math.ceil(rate * rules.alone) + rules.piece
-        if self.own == rules.home or account.rights + account.free <= SURPLUS_FACTOR * keep:
+        if self.own_name == rules.home or account.rights + account.free <= SURPLUS_FACTOR * keep:
             self.surplus_since = math.inf
             return
         self.slow_rate = max(self.slow_rate, 2 * MIN_RATE)  # schedules another tick
         self.surplus_since = min(self.surplus_since, now)
-        home = self.words.get(rules.home)
+        home = self.reports.get(rules.home)
         if now - self.surplus_since < SETTLE_TIME or home is None or rules.home not in self.host.alive():
             return
-        if account.give((rules.home, home.account), account.rights + account.free - keep):
+        if account.transfer((rules.home, home.account), account.rights + account.free - keep):
             self.pairs_due.add(rules.home)
 
     def hand_back(self, now: float, last: bool = False) -> None:
@@ -803,14 +807,14 @@
         account.put_back(account.free - keep)
         if account.rights <= 0:
             return
-        alive = [member for member in self.host.alive() if member in self.words]
+        alive = [member for member in self.host.alive() if member in self.reports]
         recipient = (
             self.rules.home
             if self.rules.home in alive
-            else max(alive, key=lambda member: (self.words[member].held, member), default="")
+            else max(alive, key=lambda member: (self.reports[member].held, member), default="")
         )
         if recipient:
-            account.give((recipient, self.words[recipient].account), account.rights)
+            account.transfer((recipient, self.reports[recipient].account), account.rights)
             self.pairs_due.add(recipient)
 
     def report(self, now: float, toward: str = "") -> None:
@@ -881,7 +885,7 @@
                 self.resting, self.others_may_hold, self.report_due = False, True, True
             self.end_silence()
             return None
-        if self.own == self.rules.home:
+        if self.own_name == self.rules.home:
             return self.go_silent(now)
         if self.rules.eager:
             self.wake()
@@ -903,9 +907,9 @@
         self.cancel_ask(now)
         self.wake()
         self.paused_since, alive = None, set(self.host.alive())
-        if home in self.words and home in alive:
+        if home in self.reports and home in alive:
             account.put_back(account.free)
-            if account.give((home, self.words[home].account), account.rights):
+            if account.transfer((home, self.reports[home].account), account.rights):
                 self.pairs_due.add(home)
         if account.dirty:
             self.host.save(self)
@@ -921,9 +925,9 @@
         if not (account.dirty or account.writing is not None):
             for member in pending:
                 if self.has_unacknowledged(member) and member not in self.sent_pairs:
-                    self.tell_pair(now, member)
+                    self.send_pair(now, member)
         self.report(now)
-        if pending or home not in self.words or home not in alive or not self.may_rest():
+        if pending or home not in self.reports or home not in alive or not self.may_rest():
             return now + self.rules.rest / 5
         self.rest()
         self.host.save(self)
@@ -943,7 +947,7 @@
         """Returns whether this is the home and a claim has replaced its register."""
         return (
             self.register is not None
-            and self.own == self.rules.home
+            and self.own_name == self.rules.home
             and self.register.claim_silently(self.name, self.rules.books)
         )
 
@@ -956,7 +960,7 @@
         if self.silent:
             return math.inf
         if (
-            self.words
+            self.reports
             or self.sent_pairs
             or any(self.received_pairs.values())
             or self.last_report_at == -math.inf
@@ -990,10 +994,10 @@
 
     def has_unacknowledged(self, member: str) -> bool:
         """Returns whether a member may not have received all transfers to its account."""
-        report = self.words.get(member)
+        report = self.reports.get(member)
         return any(
             self.acknowledged.get((own_account, member, its_account), 0) < total
-            for own_account, its_account, total in self.gifts(member)
+            for own_account, its_account, total in self.transfers_to(member)
             if report is None or its_account >= report.account
         )
 
@@ -1038,18 +1042,18 @@
         """Sends a member whose use is ending what it has not acknowledged, and what it may stop reporting."""
         if self.register is None:
             return
-        entries = self.gifts(member) if self.has_unacknowledged(member) else []
+        entries = self.transfers_to(member) if self.has_unacknowledged(member) else []
         received = self.received_from(member)
         contents = entries, received, self.account.kept.off.get(member, 0)
         if (entries or received or member in self.sent_pairs) and self.sent_pairs.get(member) != contents:
-            self.tell_pair(now, member)
+            self.send_pair(now, member)
 
-    def on_gone(self, now: float, member: str) -> None:
+    def on_report_deleted(self, now: float, member: str) -> None:
         """Handles that a member's report was deleted.
 
         Its use has ended, or the report was one of an earlier incarnation.
         """
-        report = self.words.pop(member, None)
+        report = self.reports.pop(member, None)
         self.reported_at.pop(member, None)
         for account_id in [account_id for account_id in self.highest_rows if account_id[0] == member]:
             del self.highest_rows[account_id]
@@ -1057,13 +1061,13 @@
             return
         if report.resting:
             self.answered_asks.pop(member, None)
-        for own_account, its_account, total in self.gifts(member):
+        for own_account, its_account, total in self.transfers_to(member):
             if its_account < report.account:  # closed, so that the transfer can't be taken any more
                 self.acknowledged[own_account, member, its_account] = total
         self.delete_pair(member, report.account)
         self.host.urge(self)
 
-    def on_pair_gone(self, now: float, member: str) -> None:
+    def on_pair_deleted(self, now: float, member: str) -> None:
         """Handles that a member deleted what it had addressed to this one."""
         entries = self.received_pairs.pop(member, None)
         if self.loaded and self.sends_no_reports:
@@ -1103,12 +1107,12 @@
             self.host.urge(self)
         return new
 
-    def other_home(self) -> tuple[str, str] | None:
+    def conflicting_home(self) -> tuple[str, str] | None:
         """Returns a living member whose file names another home for the same books, and that home.
 
         Returns None if there is none.
         """
-        reports, rules = self.words, self.rules
+        reports, rules = self.reports, self.rules
         conflict = next(
             (
                 (member, reports[member].home)
--- a/rainspindle/lab/fleet/long/planted.py
+++ b/rainspindle/lab/fleet/long/planted.py
@@ -17,19 +17,19 @@
 
 class Soon(Early):
     @property
-    def coming(self) -> int:
+    def pending(self) -> int:
         return 0  # it is in `free` already
 
 
 class Hurried(Wallet):
     """Spends what is meant to be spent before it is on disk."""
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        super().take(row, ids, old, trust)
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+        super().restore(row, ids, old, trust)
         self.account = self.early(self.account)
 
-    def begin_anew(self) -> None:
-        super().begin_anew()
+    def open_new_account(self) -> None:
+        super().open_new_account()
         self.account = self.early(self.account)
 
     def early(self, account: Account) -> Soon:
@@ -44,8 +44,8 @@
     def on_own(self, now: float, word: words.Word) -> None:
         pass
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        super().take(row, ids, old, Trust.SURE)
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+        super().restore(row, ids, old, Trust.SURE)
 
 
 class Quick(Wallet):
@@ -54,24 +54,24 @@
     def on_own(self, now: float, word: words.Word) -> None:
         pass
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        super().take(row, ids, old, Trust.SURE if trust is Trust.UNSURE else trust)
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+        super().restore(row, ids, old, Trust.SURE if trust is Trust.UNSURE else trust)
 
 
 class Vouching(Wallet):
     """Says that it knows of no later row as soon as it has begun."""
 
-    def tell_pair(self, now: float, member: str) -> None:
+    def send_pair(self, now: float, member: str) -> None:
         begun, self.begun_at = self.begun_at, -math.inf
-        super().tell_pair(now, member)
+        super().send_pair(now, member)
         self.begun_at = begun
 
 
 class Growing(Wallet):
     """Tells each word to another in a cell of its own."""
 
-    def tell_pair(self, now: float, member: str) -> None:
-        super().tell_pair(now, member)
+    def send_pair(self, now: float, member: str) -> None:
+        super().send_pair(now, member)
         host: Any = self.host
         host.tell(now, words.pair_cell(self.name, member) + f"/{now:.0f}", b"", (member,))
 
@@ -86,13 +86,13 @@
 class Unmarked(Wallet):
     """Does not know by what number of its folder a volume that was set back is noticed."""
 
-    def tell_pair(self, now: float, member: str) -> None:
-        word = self.words.get(member)
+    def send_pair(self, now: float, member: str) -> None:
+        word = self.reports.get(member)
         if word is not None and word.unsure:
-            self.words[member] = msgspec.structs.replace(word, mark=1 << 60)
-        super().tell_pair(now, member)
+            self.reports[member] = msgspec.structs.replace(word, mark=1 << 60)
+        super().send_pair(now, member)
 
-    def older_folder(self, now: float) -> None:
+    def on_outdated_folder(self, now: float) -> None:
         pass
 
 
--- a/rainspindle/lab/fleet/long/purses.py
+++ b/rainspindle/lab/fleet/long/purses.py
@@ -15,7 +15,7 @@
 
 from ....decisions.shared.registers import SWEPT, Register, RegisterStore
 from ....decisions.wallet.account import Row, Trust
-from ....decisions.wallet.register import ABOUT, TombstoneRegistry
+from ....decisions.wallet.tombstones import ABOUT, TombstoneRegistry
 from ....decisions.wallet.wallet import Rules, Wallet
 from ....program.fleet.wallet import PACE, decode_row, encode_row
 from ....protocol import wallet as words
@@ -104,7 +104,7 @@
     def alive(self) -> Iterable[str]:
         """Of those that had ever to do with the wallet; no other is asked for."""
         world, own = self.purse.fleet.world, self.purse.member
-        known = self.wallet.words
+        known = self.wallet.reports
         home = self.wallet.rules.home
         names = known if home in known else (*known, home)
         return [name for name in names if name != own.name and world.believes(own, world.members[name])]
@@ -192,10 +192,10 @@
         """What the others have of its earlier lives."""
         fleet, own = self.fleet, self.member.name
         swept = fleet.swept.get(own)
-        if swept is not None and self.register.heard_own(swept):
+        if swept is not None and self.register.on_own_register(swept):
             homes = fleet.names[self.member.index :: len(fleet.world.list)]
             for name in dict.fromkeys([*self.disk.rows, *homes]):
-                self.use(name).wallet.older_folder(fleet.world.now)
+                self.use(name).wallet.on_outdated_folder(fleet.world.now)
         if swept is not None or fleet.owned.get(own):
             self.register.plan()
         told = {*fleet.addressed.get(own, {}).values(), *fleet.owned.get(own, {}).values()}
@@ -246,7 +246,7 @@
             return
         if not cell.value:
             if cell.owner != self.member.name:
-                (use.wallet.on_pair_gone if to else use.wallet.on_gone)(now, cell.owner)
+                (use.wallet.on_pair_deleted if to else use.wallet.on_report_deleted)(now, cell.owner)
         elif to:
             if cell.owner != self.member.name:
                 use.wallet.on_pair(now, cell.owner, words.decode_pair(cell.value))
--- a/rainspindle/lab/fleet/long/traffic.py
+++ b/rainspindle/lab/fleet/long/traffic.py
@@ -100,8 +100,8 @@
     def credit(self, wallet: Wallet, number: int, units: int) -> None:
         wallet.credit(units)
         if wallet.account.row.account != number:  # it has begun a new one meanwhile
-            self.ledger.moved((wallet.name, wallet.own, number), OUT, units)
-            self.ledger.moved((wallet.name, wallet.own, wallet.account.row.account), IN, units)
+            self.ledger.moved((wallet.name, wallet.own_name, number), OUT, units)
+            self.ledger.moved((wallet.name, wallet.own_name, wallet.account.row.account), IN, units)
 
     # Staff.
 
@@ -135,7 +135,7 @@
         if wallet.account.row.barred == rules.books:
             self.purses.other_books(name)
             return False
-        if wallet.other_home() is not None:
+        if wallet.conflicting_home() is not None:
             return False
         key = f"{rules.books}/{id}"
         known = wallet.account.ids.get(key)
--- a/rainspindle/lab/walletcheck.py
+++ b/rainspindle/lab/walletcheck.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ..decisions.wallet.account import SHIFT, Account, Holding, Row, Trust
+from ..decisions.wallet.account import ACCOUNT_SHIFT, Account, MemberAccounts, Row, Trust
 from .explore import Found, explore
 
 Frozen = tuple[Any, ...]  # a row: account, number, spent, back, topped, given, got, off, rests, barred
@@ -114,7 +114,7 @@
         self,
         size: Size,
         make_account: Callable[[Row, dict[str, int]], Account] = Account,
-        make_holding: Callable[[int], Holding] = Holding,
+        make_holding: Callable[[int], MemberAccounts] = MemberAccounts,
         notices: bool = True,
         keeps_ids: bool = True,
         returns: bool = False,
@@ -134,7 +134,7 @@
 
     # Between the classes and their states.
 
-    def holding(self, member: Member) -> Holding:
+    def holding(self, member: Member) -> MemberAccounts:
         live = member.live
         assert live is not None
         made = self.make_holding(member.life)
@@ -147,7 +147,7 @@
         made.unsure = live.unsure
         return made
 
-    def life(self, holding: Holding) -> Life:
+    def life(self, holding: MemberAccounts) -> Life:
         a = holding.account
         writing = frozen(a.writing) if a.writing is not None else None
         return Life(
@@ -164,11 +164,13 @@
             holding.unsure,
         )
 
-    def with_live(self, w: World, m: int, holding: Holding) -> World:
+    def with_live(self, w: World, m: int, holding: MemberAccounts) -> World:
         """What it has now, and what it tells of that."""
         who = name(m)
         others = [name(n) for n in range(self.size.members) if n != m]
-        told: set[tuple[Any, ...]] = {("gift", who, to, *gift) for to in others for gift in holding.gifts(to)}
+        told: set[tuple[Any, ...]] = {
+            ("gift", who, to, *gift) for to in others for gift in holding.transfers_to(to)
+        }
         kept = holding.account.kept
         if self.size.boots and not (holding.unsure or kept.rests):
             told.add(("row", who, kept.account, kept.number))
@@ -234,11 +236,13 @@
         ids = dict.fromkeys(member.disk.ids, 0)
         if rows:
             last, aged = rows[-1]
-            made.take(thawed(last), ids, [thawed(row) for row, _ in rows[:-1]], Trust.OLD if aged else trust)
+            made.restore(
+                thawed(last), ids, [thawed(row) for row, _ in rows[:-1]], Trust.OLD if aged else trust
+            )
             if aged and m == 0 and self.bars:
                 made.account.row.barred = "1"
         else:
-            made.take(None, ids, [], Trust.SURE)
+            made.restore(None, ids, [], Trust.SURE)
         return self.with_live(self.put(w, m, member), m, made)
 
     def on_disk(self, member: Member, row: Frozen, ids: tuple[str, ...]) -> Disk:
@@ -323,13 +327,13 @@
         if live.row is not None and self.holding(member).account.rights > 0:
             if w.left[AHEADS]:
                 made = self.holding(member)
-                made.account.ahead(1)
+                made.account.write_ahead(1)
                 yield f"{who} means to spend", self.with_live(self.spend(w, AHEADS), m, made)
             if w.left[GIVES]:
                 for n in range(self.size.members):
                     for account in self.accounts(w.members[n]) if n != m else ():
                         made = self.holding(member)
-                        made.account.give((name(n), account), 1)
+                        made.account.transfer((name(n), account), 1)
                         after = self.with_live(self.spend(w, GIVES), m, made)
                         yield f"{who} gives {name(n)}/{account}", after
         if live.free and w.left[BACKS]:
@@ -340,7 +344,9 @@
     def accounts(self, member: Member) -> set[int]:
         """That may have been heard of."""
         known = {row[0] for row, _ in member.disk.rows}
-        return known | ({member.live.row[0]} if member.live is not None else known or {member.life << SHIFT})
+        return known | (
+            {member.live.row[0]} if member.live is not None else known or {member.life << ACCOUNT_SHIFT}
+        )
 
     def hears(self, w: World, m: int, member: Member) -> Iterator[Next]:
         live = member.live
@@ -350,14 +356,14 @@
                 told.append(live.kept[1] + 1)  # its folder is older than it has told
             for number in [max(told, default=0)] if self.hears_last else [0, *told]:
                 made = self.holding(member)
-                made.others_know(number)
+                made.settle_unsure(number)
                 if m == 0 and made.account.row.account != live.row[0] and self.bars:
                     made.account.row.barred = "1"
                 yield f"{name(m)} hears that its row {number} is known", self.with_live(w, m, made)
         for word in sorted(w.words, key=str):
             if word[0] == "gift" and word[2] == name(m):
                 made = self.holding(member)
-                if made.take_gifts(word[1], [word[3:]]):
+                if made.receive_transfers(word[1], [word[3:]]):
                     yield f"{name(m)} hears {word[1]} gave {word[3:]}", self.with_live(w, m, made)
             elif word[0] == "off" and word[1] == name(m):
                 made = self.holding(member)
@@ -399,8 +405,8 @@
 class Early(Account):
     """Spends what is meant to be spent before it is on disk."""
 
-    def ahead(self, amount: int) -> int:
-        amount = super().ahead(amount)
+    def write_ahead(self, amount: int) -> int:
+        amount = super().write_ahead(amount)
         self.free += amount
         return amount
 
@@ -413,7 +419,7 @@
 class Adding(Account):
     """Takes each word for a further gift."""
 
-    def hear(self, giver: tuple[str, int], total: int) -> int:
+    def receive(self, giver: tuple[str, int], total: int) -> int:
         self.row.got[giver] = self.row.got.get(giver, 0) + total
         self.rights += total
         self.dirty = True
@@ -427,10 +433,10 @@
         self.written()
 
 
-class Talking(Holding):
+class Talking(MemberAccounts):
     """Tells of gifts before they are on disk."""
 
-    def gifts(self, member: str) -> list[tuple[int, int, int]]:
+    def transfers_to(self, member: str) -> list[tuple[int, int, int]]:
         return [
             (row.account, account, total)
             for row in (*self.old, self.account.row)
@@ -439,39 +445,39 @@
         ]
 
 
-class Lifeless(Holding):
+class Lifeless(MemberAccounts):
     """Goes on with the account, whatever its folder."""
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        super().take(row, ids, old, Trust.SURE)
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+        super().restore(row, ids, old, Trust.SURE)
 
 
-class Blind(Holding):
+class Blind(MemberAccounts):
     """Takes what was given to another of its accounts."""
 
-    def take_gifts(self, member: str, entries: list[tuple[int, int, int]]) -> int:
-        return sum(self.account.hear((member, account), total) for account, _, total in entries)
+    def receive_transfers(self, member: str, entries: list[tuple[int, int, int]]) -> int:
+        return sum(self.account.receive((member, account), total) for account, _, total in entries)
 
 
-class Eager(Holding):
+class Eager(MemberAccounts):
     """Takes gifts, and writes them down, while it is unsure."""
 
-    def take_gifts(self, member: str, entries: list[tuple[int, int, int]]) -> int:
+    def receive_transfers(self, member: str, entries: list[tuple[int, int, int]]) -> int:
         unsure, self.unsure = self.unsure, False
-        gained = super().take_gifts(member, entries)
+        gained = super().receive_transfers(member, entries)
         self.unsure = unsure
         return gained
 
 
-class Waking(Holding):
+class Waking(MemberAccounts):
     """Goes on with an account that rests, though a later row of it may be known."""
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        super().take(row, ids, old, Trust.SURE if row is not None and row.rests else trust)
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+        super().restore(row, ids, old, Trust.SURE if row is not None and row.rests else trust)
 
 
-class Trusting(Holding):
+class Trusting(MemberAccounts):
     """Goes on after a restart of the machine, with nobody heard."""
 
-    def take(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
-        super().take(row, ids, old, Trust.SURE if trust is Trust.UNSURE else trust)
+    def restore(self, row: Row | None, ids: dict[str, int], old: list[Row], trust: Trust) -> None:
+        super().restore(row, ids, old, Trust.SURE if trust is Trust.UNSURE else trust)
--- a/rainspindle/lab/walletday.py
+++ b/rainspindle/lab/walletday.py
@@ -15,7 +15,7 @@
 
 from ..decisions.shared.registers import SWEPT, Register, RegisterStore
 from ..decisions.wallet.account import Row, Trust
-from ..decisions.wallet.register import SWEEP, TombstoneRegistry
+from ..decisions.wallet.tombstones import SWEEP, TombstoneRegistry
 from ..decisions.wallet.wallet import Rules, Wallet
 from ..protocol import wallet as words
 
@@ -180,14 +180,14 @@
     def heard(self, now: float, cell: Register) -> None:
         _, _, to = cell.name.partition("/t/")
         if cell.owner == self.name and cell.incarnation < self.life and cell.value:
-            if self.register.heard_own(cell):
-                self.wallet.older_folder(now)
+            if self.register.on_own_register(cell):
+                self.wallet.on_outdated_folder(now)
             self.plan_sweep()
         if (to and to != self.name) or cell.name.startswith(SWEPT):
             return
         if not cell.value:
             if cell.owner != self.name:
-                (self.wallet.on_pair_gone if to else self.wallet.on_gone)(now, cell.owner)
+                (self.wallet.on_pair_deleted if to else self.wallet.on_report_deleted)(now, cell.owner)
         elif to:
             self.wallet.on_pair(now, cell.owner, words.decode_pair(cell.value))
         elif cell.owner != self.name:
--- a/rainspindle/lab/wallettable.py
+++ b/rainspindle/lab/wallettable.py
@@ -102,7 +102,7 @@
     def seat(self, name: str, life: int) -> Seat:
         seat = self.seats[name] = Seat(self, name, life, self.tables)
         for other in self.seats.values():
-            other.run.take_members()
+            other.run.update_members()
         self.digests()
         return seat
 
@@ -130,7 +130,7 @@
     def part(self, side: dict[str, int]) -> None:
         self.side = side
         for seat in self.seats.values():
-            seat.run.take_members()
+            seat.run.update_members()
         self.digests()
 
     def until(self, found: Callable[[], T | None]) -> T:
@@ -166,9 +166,9 @@
         seat.run.store.jobs.put(None)
         seat.run.store.ended = True
         seat.run.store.thread.join(PATIENCE)
-        self.loop.unwatch(seat.run.told.fileno())
+        self.loop.unwatch(seat.run.wake_reader.fileno())
         for other in self.seats.values():
-            other.run.take_members()
+            other.run.update_members()
 
     def close(self) -> None:
         for seat in self.seats.values():
--- a/rainspindle/program/fleet/wallet.py
+++ b/rainspindle/program/fleet/wallet.py
@@ -18,8 +18,8 @@
 
 from ...decisions.members.member import Member, MemberStatus
 from ...decisions.shared.registers import MAX_NAME, Register
-from ...decisions.wallet.account import SHIFT, Row, Trust
-from ...decisions.wallet.register import SWEEP, TombstoneRegistry
+from ...decisions.wallet.account import ACCOUNT_SHIFT, Row, Trust
+from ...decisions.wallet.tombstones import SWEEP, TombstoneRegistry
 from ...decisions.wallet.wallet import CATCH_UP_TIME, Rules, Wallet
 from ...errors import Trouble
 from ...protocol import wallet as words
@@ -249,17 +249,17 @@
         self.unreadable_registers = 0
         self.alive_members: tuple[str, ...] = ()
         self.others_since = math.inf  # the time since which other members have been alive
-        self.told, self.wake_writer = socket.socketpair()
-        self.told.setblocking(False)
+        self.wake_reader, self.wake_writer = socket.socketpair()
+        self.wake_reader.setblocking(False)
         self.wake_writer.setblocking(False)
-        self.loop.watch(self.told.fileno(), self)
+        self.loop.watch(self.wake_reader.fileno(), self)
         if ground.folder is None:
             raise WalletTrouble(
                 "wallets need a folder that survives restarts", "name one in [members] folder"
             )
         self.store = Kept(ground.folder, "wallets", self.own_name, self.wake_loop)
         self.tombstones = TombstoneRegistry(self.cells, self.loop.now())
-        self.take_members()
+        self.update_members()
         self.apply_tables(self.loop.now(), tables)
         self.cells.on_change("wallet/", self.on_register)
         self.cells.on_change("swept/wallet", self.on_own_register)
@@ -338,7 +338,7 @@
 
     # The members and their registers.
 
-    def take_members(self) -> None:
+    def update_members(self) -> None:
         """Notes which other members are alive."""
         if not self.alive_members:
             self.others_since = self.loop.now()
@@ -350,7 +350,7 @@
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
         """Handles a change of one member."""
-        self.take_members()
+        self.update_members()
 
     def alive(self) -> Iterable[str]:
         """Returns the other members that are alive."""
@@ -367,7 +367,7 @@
         try:
             if not cell.value:
                 if cell.owner != self.own_name:
-                    (wallet.on_pair_gone if recipient else wallet.on_gone)(now, cell.owner)
+                    (wallet.on_pair_deleted if recipient else wallet.on_report_deleted)(now, cell.owner)
             elif recipient:
                 if cell.owner != self.own_name:
                     wallet.on_pair(now, cell.owner, words.decode_pair(cell.value))
@@ -393,14 +393,14 @@
         ):
             known_before = self.tombstones.old
             if (
-                self.tombstones.heard_own(cell)
+                self.tombstones.on_own_register(cell)
                 and self.tombstones.old > known_before
                 and self.found is not None
             ):
-                self.older_folder(now)
+                self.on_outdated_folder(now)
             self.worker.wake()
 
-    def older_folder(self, now: float) -> None:
+    def on_outdated_folder(self, now: float) -> None:
         """Handles that other members know a later state of this folder than was found in it."""
         log.error(
             "wallets: other members know a later state of this folder; its units are not spent",
@@ -413,7 +413,7 @@
             },
         )
         for wallet in self.wallets.values():
-            wallet.older_folder(now)
+            wallet.on_outdated_folder(now)
 
     def replay(self, now: float, wallet: Wallet) -> None:
         """Passes on the registers that have arrived while the wallet was not in use."""
@@ -444,7 +444,7 @@
     def on_events(self, events: int) -> None:
         """Handles the results of the store; called by the event loop."""
         with contextlib.suppress(OSError):
-            while self.told.recv(4096):
+            while self.wake_reader.recv(4096):
                 pass
         now = self.loop.now()
         while self.store.results:
@@ -510,7 +510,7 @@
         for wallet in self.wallets.values():
             self.load(now, wallet)
         if self.tombstones.old > found.number:
-            self.older_folder(now)
+            self.on_outdated_folder(now)
 
     def load(self, now: float, wallet: Wallet) -> None:
         """Loads a wallet from the rows found on disk; it stays paused if one of them is unreadable."""
@@ -741,7 +741,7 @@
                 "find out which payments have been entered, then name new books for this wallet in the file",
             )
         key = f"{books}/{top_up_id}"
-        if (other := wallet.other_home()) is not None:
+        if (other := wallet.conflicting_home()) is not None:
             raise WalletTrouble(
                 f"the file of {other[0]} names {other[1]} as the home of {wallet.name}",
                 "name the same home and books in all members' files: otherwise an id could be entered twice",
@@ -791,7 +791,7 @@
             raise WalletTrouble(
                 "the home's own rights can't be written off", "name another home and other books"
             )
-        known_member, report, last = self.ground.members.member(member), wallet.words.get(member), int(life)
+        known_member, report, last = self.ground.members.member(member), wallet.reports.get(member), int(life)
         if known_member is None and report is None:
             return error_answer(404, f"nothing is known of a member {member!r:.60}", "see GET /-/wallets")
         is_living = known_member is not None and known_member.status in (
@@ -799,7 +799,7 @@
             MemberStatus.SUSPECT,
         )
         # The accounts that began in incarnations up to `last` have numbers below this.
-        account = last + 1 << SHIFT
+        account = last + 1 << ACCOUNT_SHIFT
         if (
             is_living
             and known_member is not None
@@ -854,7 +854,7 @@
             "known": wallet.balance(),
             "own": max(account.held, 0),
             "written_ahead": account.free,
-            "life": account.row.account >> SHIFT,
+            "life": account.row.account >> ACCOUNT_SHIFT,
             "rate": round(wallet.usable_rate(), 2),
             "asked": wallet.asked_units,
             "asked_of": wallet.asked_member,
@@ -873,17 +873,17 @@
             "refused": wallet.refused,
             "not_spent": wallet.lost,
             "topped_up": account.kept.topped,
-            "written_off": {member: account >> SHIFT for member, account in off.items()},
+            "written_off": {member: account >> ACCOUNT_SHIFT for member, account in off.items()},
             "others": [
                 {
                     "name": member,
-                    "life": report.account >> SHIFT,
+                    "life": report.account >> ACCOUNT_SHIFT,
                     "held": report.held,
                     "alive": member in self.alive_members,
                     "written_off": off.get(member, 0) >= report.account,
                     "heard": round(now - self.report_time(wallet, member), 2),
                 }
-                for member, report in sorted(wallet.words.items())
+                for member, report in sorted(wallet.reports.items())
             ],
         }
 
@@ -926,8 +926,8 @@
             while self.store.results:
                 self.on_store_result(now, self.store.results.popleft())
         self.store.close()
-        self.loop.unwatch(self.told.fileno())
-        self.told.close()
+        self.loop.unwatch(self.wake_reader.fileno())
+        self.wake_reader.close()
         self.wake_writer.close()
 
     def figures(self) -> Mapping[str, object]:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -11,7 +11,7 @@
 
 from rainspindle.decisions.shared.registers import MAX_SUBJECTS, Register, RegisterStore
 from rainspindle.decisions.wallet.account import Trust
-from rainspindle.decisions.wallet.wallet import MOST_AGAIN, Rules
+from rainspindle.decisions.wallet.wallet import MAX_RETRY_INTERVAL, Rules
 from rainspindle.lab.fleet.long.__main__ import main
 from rainspindle.lab.fleet.long.ledger import Ledger
 from rainspindle.lab.fleet.long.run import Plan, from_values, plan, play, shrunk, to_values
@@ -136,7 +136,7 @@
     day.members["m00"].wallet.account.top_up("rest", 2)  # too little for one that has no clients
     before, looks = own_words(member), counted_looks(member)
     day.run(3600.0)
-    assert own_words(member) - before <= 3600 / MOST_AGAIN + 20
+    assert own_words(member) - before <= 3600 / MAX_RETRY_INTERVAL + 20
     assert len(looks) < 200
 
 
@@ -147,7 +147,9 @@
     day.run(5.0)
     home, member = day.members["m00"].wallet, day.members["m01"]
     account = member.wallet.account
-    home.account.give(("m01", account.row.account), 2 * home.rules.piece + 1 - account.held)  # just too much
+    home.account.transfer(
+        ("m01", account.row.account), 2 * home.rules.piece + 1 - account.held
+    )  # just too much
     home.pairs_due.add("m01")
     day.members["m00"].save(home)
     day.run(60.0)
--- a/tests/test_wallet.py
+++ b/tests/test_wallet.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainspindle.decisions.wallet.account import SHIFT, Trust
+from rainspindle.decisions.wallet.account import ACCOUNT_SHIFT, Trust
 from rainspindle.decisions.wallet.wallet import Rules
 from rainspindle.lab import walletcheck as wc
 from rainspindle.lab.walletcheck import Checker, Size
@@ -163,7 +163,7 @@
         elif event == "top":
             day.top_up(f"t{number // 2}", 20)
         elif event == "off" and member_index and not day.members["m00"].dead:
-            day.members["m00"].wallet.write_off(day.now, name, day.lives[name] << SHIFT)
+            day.members["m00"].wallet.write_off(day.now, name, day.lives[name] << ACCOUNT_SHIFT)
         elif event in ("full", "disk"):
             day.disks[name].fails = event == "full"
         day.run(wait)
@@ -240,13 +240,13 @@
     day.top_up("a", 100)
     day.run(2.0)
     home, other = (day.members[name].wallet for name in day.names)
-    home.account.give(("m01", other.account.row.account), 40)
+    home.account.transfer(("m01", other.account.row.account), 40)
     home.pairs_due.add("m01")
     home.host.save(home)
     day.cut(["m00"], ["m01"])  # the transfer is on disk, and no member has received it
     day.run(30.0)
     held = other.account.held
-    assert home.account.kept.given["m01", 1 << SHIFT] >= 40 and home.account.held + held == 60
+    assert home.account.kept.given["m01", 1 << ACCOUNT_SHIFT] >= 40 and home.account.held + held == 60
     day.heal()
     day.run(5.0)
     assert home.account.held + other.account.held == 100
@@ -258,10 +258,10 @@
     day.run(2.0)
     home, other = (day.members[name].wallet for name in day.names)
     before = other.account.held
-    home.account.give(("m01", other.account.row.account), 40)
+    home.account.transfer(("m01", other.account.row.account), 40)
     home.host.save(home)
     assert home.account.writing is not None
-    day.disks["m00"].rows[1 << SHIFT] = home.account.writing.copy()
+    day.disks["m00"].rows[1 << ACCOUNT_SHIFT] = home.account.writing.copy()
     day.kill("m00")
     day.run(5.0)
     assert other.account.held == before
@@ -283,7 +283,9 @@
         day.restart("m01", trust)
         day.run(1.0)
         wallet = day.members["m01"].wallet
-        assert wallet.account.row.account == day.lives["m01"] << SHIFT and held > 0 and not wallet.unsure
+        assert (
+            wallet.account.row.account == day.lives["m01"] << ACCOUNT_SHIFT and held > 0 and not wallet.unsure
+        )
         assert any("starts with an empty account" in event for _, event, _ in day.members["m01"].logs)
         day.run(2.0)
         assert day.executed > done  # it resumes with what is transferred to its new account
@@ -306,7 +308,7 @@
     day.heal()
     day.run(3.0)
     assert not day.members["m01"].wallet.unsure and day.executed_at["m01"] > done
-    assert day.members["m01"].wallet.account.row.account == 1 << SHIFT
+    assert day.members["m01"].wallet.account.row.account == 1 << ACCOUNT_SHIFT
 
 
 def test_transfers_to_an_unsure_member_do_not_hide_a_later_row() -> None:
@@ -315,7 +317,7 @@
     day.traffic("m01", 20.0, 6.0)
     home, other = (day.members[name].wallet for name in ("m00", "m02"))
     day.run(2.0)
-    home.account.give(("m02", other.account.row.account), 50)
+    home.account.transfer(("m02", other.account.row.account), 50)
     home.pairs_due.add("m02")
     home.host.save(home)
     day.run(1.0)
@@ -326,7 +328,7 @@
     day.disks["m01"] = older
     day.restart("m01", Trust.UNSURE)
     for _ in range(5):  # each transfer would be recorded in a row of its own
-        other.account.give(("m01", 1 << SHIFT), 2)
+        other.account.transfer(("m01", 1 << ACCOUNT_SHIFT), 2)
         other.pairs_due.add("m01")
         other.host.save(other)
         day.run(1.0)
@@ -334,7 +336,7 @@
     day.heal()
     day.run(3.0)
     wallet = day.members["m01"].wallet
-    assert wallet.account.row.account == 2 << SHIFT and not wallet.unsure
+    assert wallet.account.row.account == 2 << ACCOUNT_SHIFT and not wallet.unsure
 
 
 def test_written_off_rights_return_to_the_home_when_the_member_restarts() -> None:
@@ -345,15 +347,15 @@
     day.kill("m01")
     home, held = day.members["m00"].wallet, day.members["m01"].wallet.account.rights
     balance = home.balance()
-    home.write_off(day.now, "m01", 1 << SHIFT)
+    home.write_off(day.now, "m01", 1 << ACCOUNT_SHIFT)
     day.run(5.0)
     assert held > 0 and home.balance() <= balance and home.lost == 0
     done = day.executed
     day.restart("m01")
     day.run(5.0)
     back = day.members["m01"].wallet
-    assert back.account.row.account == 2 << SHIFT and back.old[0].rights() == 0
-    assert home.account.row.got["m01", 1 << SHIFT] >= held
+    assert back.account.row.account == 2 << ACCOUNT_SHIFT and back.old[0].rights() == 0
+    assert home.account.row.got["m01", 1 << ACCOUNT_SHIFT] >= held
     assert day.executed == done
     day.traffic("m01", 50.0, 60.0)
     day.run(60.0)
@@ -368,7 +370,7 @@
         day.traffic(name, 5.0, 300.0)
     day.run(5.0)
     day.cut(["m00", "m02"], ["m01"])
-    day.members["m00"].wallet.write_off(day.now, "m01", 1 << SHIFT)
+    day.members["m00"].wallet.write_off(day.now, "m01", 1 << ACCOUNT_SHIFT)
     day.run(5.0)
     day.heal()
     day.run(100.0)
@@ -1035,7 +1037,7 @@
     cluster.top_up("a", "p1", 10)
     cluster.seats["b"].run.reload(time.monotonic(), [table(home="b", books="2")])
     cluster.seats["b"].run.reload(time.monotonic(), [table(home="b", books="1")])
-    cluster.until(lambda: cluster.seats["a"].run.wallets["north"].other_home())
+    cluster.until(lambda: cluster.seats["a"].run.wallets["north"].conflicting_home())
     for name in "ab":
         with pytest.raises(WalletTrouble, match="as the home of north"):
             cluster.seats[name].call("POST", "wallets", "north", "top-up", id="p2", amount="10")
