--- a/rainspindle/decisions/canary/burn.py
+++ b/rainspindle/decisions/canary/burn.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from .counts import EFFECTS, REJECTED, Sums, at
+from .counts import IDEMPOTENCIES, REJECTED, Sums, counter_index
 from .terms import Terms
 
 # Guards against false stops at low traffic: a failure count that a release within its budget reaches once in
@@ -24,8 +24,8 @@
 # Times the old side's failure share: a fault of the whole fleet does not hit both sides equally.
 BASELINE_MARGIN = 1.25
 GROUPS: tuple[tuple[str, tuple[int, ...]], ...] = (
-    ("all", tuple(range(len(EFFECTS)))),
-    *((idempotency.value, (n,)) for n, idempotency in enumerate(EFFECTS)),
+    ("all", tuple(range(len(IDEMPOTENCIES)))),
+    *((idempotency.value, (n,)) for n, idempotency in enumerate(IDEMPOTENCIES)),
 )
 
 
@@ -52,8 +52,8 @@
 
 def totals(sums: Sums, new: bool, classes: tuple[int, ...]) -> tuple[int, int]:
     """Requests of one side in these classes: all, and those that failed or were late."""
-    return sum(sums[at(new, index)] for index in classes), sum(
-        sums[at(new, index, True)] for index in classes
+    return sum(sums[counter_index(new, index)] for index in classes), sum(
+        sums[counter_index(new, index, True)] for index in classes
     )
 
 
@@ -106,5 +106,5 @@
 
 def rejected_share(sums: Sums) -> float:
     """The share of the new side's requests that were rejected because its endpoints had no capacity."""
-    rejected, answered = sums[at(True, REJECTED)], totals(sums, True, GROUPS[0][1])[0]
+    rejected, answered = sums[counter_index(True, REJECTED)], totals(sums, True, GROUPS[0][1])[0]
     return rejected / (rejected + answered) if rejected else 0.0
--- a/rainspindle/decisions/canary/canary.py
+++ b/rainspindle/decisions/canary/canary.py
@@ -20,7 +20,18 @@
 from ..members.member import Member, MemberStatus
 from . import burn, counts, state
 from .burn import BurnRates, Level
-from .counts import COARSE, EFFECTS, FINE, REJECTED, PeerReport, ReportedWindow, Ring, Sums, Told, at
+from .counts import (
+    IDEMPOTENCIES,
+    LONG_BUCKETS,
+    REJECTED,
+    SHORT_BUCKETS,
+    PeerReport,
+    ReportedWindow,
+    SlidingWindow,
+    Sums,
+    Told,
+    counter_index,
+)
 from .state import MARK_BYTES, MAX_PARDONED, State
 from .terms import Terms, point
 
@@ -96,15 +107,15 @@
 
     TICK_INTERVAL, IDLE_INTERVAL = 0.25, 0.5  # seconds between ticks, in a run and without one
     # Seconds between evaluations of the window totals: the first at least, the second for each member.
-    LOOK, EVALUATION_INTERVAL_PER_MEMBER = 0.25, 0.001
+    EVALUATION_INTERVAL, EVALUATION_INTERVAL_PER_MEMBER = 0.25, 0.001
     # The interval between reports of counts, in seconds: the first at least, the second for each member.
     # Reports stay fresh for the third, in such intervals and at least in seconds.
-    EVERY, EACH, FRESH = 1.0, 0.01, 4.0
+    REPORT_INTERVAL, REPORT_INTERVAL_PER_MEMBER, FRESHNESS_FACTOR = 1.0, 0.01, 4.0
     URGENT_FACTOR = 0.25  # shortens the interval after a request failed or was late on the new side
     STALL_THRESHOLD = 1.5  # a longer gap between ticks, in seconds, means that this process was stopped
     SETTLE_TIME = 0.3  # seconds after a stall in which messages may date from before or during it
     SOLO_AFTER = 3.0  # seconds after which a sidecar that never knew another member decides alone
-    CARRIERS = 5  # members that have the state in their register, at least
+    MIN_CARRIERS = 5  # members that have the state in their register, at least
     # A decision that all members see due is made by rank, to avoid duplicates: the first in rank makes it at
     # once, each next one so many seconds later, and all after the maximum.
     PAUSE_DELAY_PER_RANK, MAX_PAUSE_DELAY = 0.02, 1.0
@@ -144,7 +155,7 @@
         self.own_marks: set[bytes] = set()
         self.last_tick_at = self.running_since = now  # the latter: the start, or the end of the last stall
         self.confirmed_at = self.advance_blocked_until = self.published_at = -math.inf
-        self.look_at, self.stage_since, self.changed_at = now, now, now
+        self.next_evaluation_at, self.stage_since, self.changed_at = now, now, now
         self.due_since: dict[Level | None, float] = {}  # since when a decision is due; None: the advance
         self.burns: list[BurnRates] = []
         self.coverage = Coverage()
@@ -153,14 +164,17 @@
         self.harmed, self.failed_since_report = 0, False
         self.reset_counts(now)
         if kept is not None:
-            self.take_kept(now, kept)
+            self.restore(now, kept)
 
     def reset_counts(self, now: float) -> None:
         """Empties this sidecar's windows and its request counts of the stage."""
-        self.coarse, self.fine = Ring(now, self.terms.long, COARSE), Ring(now, self.terms.short, FINE)
-        self.stage_requests = [0] * len(EFFECTS)
+        self.coarse, self.fine = (
+            SlidingWindow(now, self.terms.long, LONG_BUCKETS),
+            SlidingWindow(now, self.terms.short, SHORT_BUCKETS),
+        )
+        self.stage_requests = [0] * len(IDEMPOTENCIES)
 
-    def take_kept(self, now: float, kept: bytes) -> None:
+    def restore(self, now: float, kept: bytes) -> None:
         """Restores the persisted state; logs a warning and starts without one if it cannot be decoded."""
         try:
             persisted = msgspec.msgpack.decode(kept, type=Kept)
@@ -169,7 +183,7 @@
             self.host.log("canary state unreadable", canary=self.terms.name, why=error)
             return
         self.had_peers = persisted.others
-        self.learn(now, known)
+        self.merge_state(now, known)
 
     # Assignment of requests to a side.
 
@@ -209,8 +223,12 @@
         """Counts a finished request. `bad`: it failed or exceeded its latency objective."""
         if not self.active:
             return
-        class_index = EFFECTS.index(idempotency)
-        counters = (at(new, class_index), at(new, class_index, True)) if bad else (at(new, class_index),)
+        class_index = IDEMPOTENCIES.index(idempotency)
+        counters = (
+            (counter_index(new, class_index), counter_index(new, class_index, True))
+            if bad
+            else (counter_index(new, class_index),)
+        )
         self.coarse.add(now, *counters)
         self.fine.add(now, *counters)
         if new:
@@ -221,8 +239,8 @@
     def record_rejection(self, now: float, new: bool) -> None:
         """Counts a request that its side rejected without an attempt."""
         if self.active:
-            self.coarse.add(now, at(new, REJECTED))
-            self.fine.add(now, at(new, REJECTED))
+            self.coarse.add(now, counter_index(new, REJECTED))
+            self.fine.add(now, counter_index(new, REJECTED))
 
     @property
     def active(self) -> bool:
@@ -241,7 +259,7 @@
         except ValueError:
             self.undecodable += 1
             return
-        self.learn(now, self.peer_states[owner][0])
+        self.merge_state(now, self.peer_states[owner][0])
 
     def heard_counts(
         self, now: float, owner: str, incarnation: int, sequence: int, value: bytes, held: float = math.inf
@@ -269,9 +287,11 @@
             incarnation,
             sequence,
             ReportedWindow(
-                reported_at, report.coarse, report.unit, report.coarse_age, self.terms.long, COARSE
+                reported_at, report.coarse, report.unit, report.coarse_age, self.terms.long, LONG_BUCKETS
+            ),
+            ReportedWindow(
+                reported_at, report.fine, report.unit, report.fine_age, self.terms.short, SHORT_BUCKETS
             ),
-            ReportedWindow(reported_at, report.fine, report.unit, report.fine_age, self.terms.short, FINE),
         )
         self.apply_reported_state(now, reported_at, report)
 
@@ -289,9 +309,9 @@
             # The stage in force there may be lower than the reported one, as the pause marks that lower it
             # have not arrived yet.
             known = replace(known, epoch=0, stage=0)
-        self.learn(now, known)
+        self.merge_state(now, known)
 
-    def learn(self, now: float, other: State, note: str = "") -> None:
+    def merge_state(self, now: float, other: State, note: str = "") -> None:
         """Joins `other` into the state. If that changes it, logs, persists and reports the new state."""
         before, self.state = self.state, self.state.join(other)
         s = self.state
@@ -304,7 +324,7 @@
             self.burns = []
             self.reset_counts(now)  # failures before a resume do not count against the run after it
         if s.stage_id != before.stage_id:
-            self.stage_since, self.stage_requests = now, [0] * len(EFFECTS)
+            self.stage_since, self.stage_requests = now, [0] * len(IDEMPOTENCIES)
         self.log_change(before, note)
         self.host.keep(msgspec.msgpack.encode(Kept(s.encode(), self.had_peers)))
         self.publish_counts(now)
@@ -347,7 +367,7 @@
     def decide(self, now: float, new: State, note: str) -> None:
         """Puts a decision made here into force and publishes it."""
         self.note = note
-        self.learn(now, new, note)
+        self.merge_state(now, new, note)
         self.publish_state(now, note)
 
     def publish_state(self, now: float, note: str = "") -> None:
@@ -369,8 +389,10 @@
             return now + self.IDLE_INTERVAL
         members = [m for m in self.host.members() if m.name != self.own_name]
         self.update_coverage(now, members)
-        if self.active and now >= self.look_at:
-            self.look_at = now + max(self.LOOK, self.EVALUATION_INTERVAL_PER_MEMBER * self.coverage.members)
+        if self.active and now >= self.next_evaluation_at:
+            self.next_evaluation_at = now + max(
+                self.EVALUATION_INTERVAL, self.EVALUATION_INTERVAL_PER_MEMBER * self.coverage.members
+            )
             self.evaluate(now)
             self.advance_if_ready(now)
         if now - self.published_at >= self.report_interval * (
@@ -386,7 +408,7 @@
 
         It grows with the fleet, as the traffic of reports would otherwise grow with the square of its size.
         """
-        return max(self.EVERY, self.EACH * self.coverage.members)
+        return max(self.REPORT_INTERVAL, self.REPORT_INTERVAL_PER_MEMBER * self.coverage.members)
 
     def update_coverage(self, now: float, members: list[Member]) -> None:
         """Determines which of the other members reported lately, and whether they suffice to be in touch."""
@@ -401,7 +423,8 @@
             self.peer_states = {name: self.peer_states[name] for name in counted if name in self.peer_states}
         # Guards against messages that lay in the socket of a stopped process and are as old as its own state.
         fresh_from = max(
-            now - max(self.FRESH, self.FRESH * self.report_interval), self.running_since + self.SETTLE_TIME
+            now - max(self.FRESHNESS_FACTOR, self.FRESHNESS_FACTOR * self.report_interval),
+            self.running_since + self.SETTLE_TIME,
         )
         heard = [
             name
@@ -447,7 +470,10 @@
         """The counters of all sidecars in the long and in the short window."""
         self.coarse.roll(now)
         self.fine.roll(now)
-        long, short = [counts.add_up(list(self.coarse.spans))], [counts.add_up(list(self.fine.spans))]
+        long, short = (
+            [counts.add_counters(list(self.coarse.buckets))],
+            [counts.add_counters(list(self.fine.buckets))],
+        )
         s = self.state
         for peer in self.peer_reports.values():
             if not self.alone and (peer.report.run, peer.report.digest, peer.report.epoch) == (
@@ -457,7 +483,7 @@
             ):
                 long.append(peer.long.within(now))
                 short.append(peer.short.within(now))
-        return counts.add_up(long), counts.add_up(short)
+        return counts.add_counters(long), counts.add_counters(short)
 
     def evaluate(self, now: float) -> None:
         """Computes the burn rates; pauses or aborts the run if one is too high, without asking any member."""
@@ -536,7 +562,7 @@
             for peer in self.peer_reports.values()
             if not self.alone
             and peer.report.stage_id == self.state.stage_id
-            and len(peer.report.stage_new) == len(EFFECTS)
+            and len(peer.report.stage_new) == len(IDEMPOTENCIES)
         ]
         return [sum(column) for column in zip(self.stage_requests, *reported, strict=True)]
 
@@ -562,8 +588,8 @@
             unmet.append(f"{step.time - (now - self.stage_since):.0f} s of {step.time:.0f} s are left")
         if sum(requests) < step.exchanges:
             unmet.append(f"{sum(requests)} of {step.exchanges} exchanges seen")
-        for idempotency, rates in zip(EFFECTS, self.burns[1:], strict=False):
-            seen = requests[EFFECTS.index(idempotency)]
+        for idempotency, rates in zip(IDEMPOTENCIES, self.burns[1:], strict=False):
+            seen = requests[IDEMPOTENCIES.index(idempotency)]
             if rates.old[0] + rates.new[0] and seen < terms.each_effect:
                 unmet.append(f"{seen} of {terms.each_effect} {idempotency.value} exchanges seen")
         if not self.alone and coverage.level < terms.fresh * coverage.members - 1e-9:
@@ -609,7 +635,7 @@
         carriers = sum(
             known.join(s) == known for name, (known, _) in self.peer_states.items() if name in alive
         )
-        if carriers < self.CARRIERS and self.rank() < self.CARRIERS:
+        if carriers < self.MIN_CARRIERS and self.rank() < self.MIN_CARRIERS:
             self.publish_state(now, self.note)
 
     # Calls of operators. Each is idempotent: repeated, it finds the effect of the first call.
--- a/rainspindle/decisions/canary/counts.py
+++ b/rainspindle/decisions/canary/counts.py
@@ -13,24 +13,24 @@
 from ...balancer.host import Idempotency
 
 VERSION = 1
-EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED, Idempotency.NON_IDEMPOTENT)
+IDEMPOTENCIES = (Idempotency.IDEMPOTENT, Idempotency.DEDUPLICATED, Idempotency.NON_IDEMPOTENT)
 # The class of requests that were rejected without an attempt: they say nothing about a release.
-REJECTED = len(EFFECTS)
-CLASSES = len(EFFECTS) + 1
+REJECTED = len(IDEMPOTENCIES)
+CLASSES = len(IDEMPOTENCIES) + 1
 # Counters in a bucket: for each side and class, one of all requests and one of failed and late ones.
-WIDTH = 2 * CLASSES * 2
-FINE, COARSE = 4, 8  # complete buckets in the short window and in the long one
+COUNTERS_PER_BUCKET = 2 * CLASSES * 2
+SHORT_BUCKETS, LONG_BUCKETS = 4, 8  # complete buckets in the short window and in the long one
 MAX_COUNT = 0xFFFF  # the limit for a number in an encoded report
 
 Sums = list[int]
 
 
-def at(new: bool, class_index: int, bad: bool = False) -> int:
+def counter_index(new: bool, class_index: int, bad: bool = False) -> int:
     """The index of a counter in a bucket. `bad`: the counter of requests that failed or were late."""
     return (new * CLASSES + class_index) * 2 + bad
 
 
-class Ring:
+class SlidingWindow:
     """A sliding window of time buckets of equal length, the newest and incomplete one last.
 
     The buckets cover the window and the length of one bucket more.
@@ -43,7 +43,7 @@
             now,
             bucket_count + 1,
         )
-        self.spans: deque[Sums] = deque([[0] * WIDTH], maxlen=self.max_buckets)
+        self.buckets: deque[Sums] = deque([[0] * COUNTERS_PER_BUCKET], maxlen=self.max_buckets)
 
     def roll(self, now: float) -> None:
         """Appends the buckets that have begun by now and drops those that are older than the window."""
@@ -51,13 +51,13 @@
         if elapsed > 0:
             self.newest_start += elapsed * self.bucket_seconds
             for _ in range(min(elapsed, self.max_buckets)):
-                self.spans.append([0] * WIDTH)
+                self.buckets.append([0] * COUNTERS_PER_BUCKET)
 
     def add(self, now: float, *indices: int) -> None:
         """Adds 1 to the counters at these indices in the newest bucket."""
         self.roll(now)
         for index in indices:
-            self.spans[-1][index] += 1
+            self.buckets[-1][index] += 1
 
 
 class Told(msgspec.Struct, array_like=True):
@@ -99,18 +99,18 @@
     return packed
 
 
-def encode(report: Told, fine: Ring, coarse: Ring, now: float) -> bytes:
+def encode(report: Told, fine: SlidingWindow, coarse: SlidingWindow, now: float) -> bytes:
     """Completes the report with both windows and encodes it.
 
     Takes 900 bytes at most: counts above `MAX_COUNT` are given in a larger unit.
     """
     fine.roll(now)
     coarse.roll(now)
-    highest = max(max(bucket) for window in (fine, coarse) for bucket in window.spans)
+    highest = max(max(bucket) for window in (fine, coarse) for bucket in window.buckets)
     report.unit = 1
     while highest // report.unit >= MAX_COUNT:
         report.unit *= 2
-    report.fine, report.coarse = pack(fine.spans, report.unit), pack(coarse.spans, report.unit)
+    report.fine, report.coarse = pack(fine.buckets, report.unit), pack(coarse.buckets, report.unit)
     report.fine_age, report.coarse_age = (
         round(now - fine.newest_start, 3),
         round(now - coarse.newest_start, 3),
@@ -127,8 +127,8 @@
     if (
         report.version != VERSION
         or report.unit < 1
-        or len(report.fine) > (FINE + 1) * WIDTH
-        or len(report.coarse) > (COARSE + 1) * WIDTH
+        or len(report.fine) > (SHORT_BUCKETS + 1) * COUNTERS_PER_BUCKET
+        or len(report.coarse) > (LONG_BUCKETS + 1) * COUNTERS_PER_BUCKET
         or min((0, *report.fine, *report.coarse)) < 0
         or not (0 <= report.fine_age < 1e6 and 0 <= report.coarse_age < 1e6)
         or report.run < 0
@@ -153,13 +153,15 @@
             window / bucket_count,
             bucket_count,
         )
-        self.running_totals: list[Sums] = [[0] * WIDTH]  # at index n: of the n newest buckets
-        for start in range(0, len(numbers), WIDTH):
-            bucket, last = numbers[start : start + WIDTH], self.running_totals[-1]
+        self.running_totals: list[Sums] = [[0] * COUNTERS_PER_BUCKET]  # at index n: of the n newest buckets
+        for start in range(0, len(numbers), COUNTERS_PER_BUCKET):
+            bucket, last = numbers[start : start + COUNTERS_PER_BUCKET], self.running_totals[-1]
             self.running_totals.append(
                 [
                     total + count * unit
-                    for total, count in zip(last, bucket + [0] * (WIDTH - len(bucket)), strict=True)
+                    for total, count in zip(
+                        last, bucket + [0] * (COUNTERS_PER_BUCKET - len(bucket)), strict=True
+                    )
                 ]
             )
 
@@ -182,6 +184,6 @@
     short: ReportedWindow
 
 
-def add_up(counts: list[Sums]) -> Sums:
+def add_counters(counts: list[Sums]) -> Sums:
     """Adds these lists of counters, index by index."""
-    return [sum(column) for column in zip(*counts, strict=True)] if counts else [0] * WIDTH
+    return [sum(column) for column in zip(*counts, strict=True)] if counts else [0] * COUNTERS_PER_BUCKET
--- a/rainspindle/lab/canary_figures.py
+++ b/rainspindle/lab/canary_figures.py
@@ -51,8 +51,8 @@
     """Everything that was counted anywhere, at once: what nobody can know, to measure from."""
 
     def __init__(self, net: Net) -> None:
-        self.net, self.long = net, counts.Ring(net.now, net.terms.long, counts.COARSE)
-        self.short, self.over_at = counts.Ring(net.now, net.terms.short, counts.FINE), -1.0
+        self.net, self.long = net, counts.SlidingWindow(net.now, net.terms.long, counts.LONG_BUCKETS)
+        self.short, self.over_at = counts.SlidingWindow(net.now, net.terms.short, counts.SHORT_BUCKETS), -1.0
         for node in net.nodes.values():
             self.listen(node.canary)
 
@@ -62,9 +62,12 @@
         def both(now: float, new: bool, effect: Idempotency, bad: bool) -> None:
             ended(now, new, effect, bad)
             if canary.active:  # type: ignore[attr-defined]
-                kind = counts.EFFECTS.index(effect)
+                kind = counts.IDEMPOTENCIES.index(effect)
                 for ring in (self.long, self.short):
-                    ring.add(now, *([counts.at(new, kind)] + [counts.at(new, kind, True)] * bad))
+                    ring.add(
+                        now,
+                        *([counts.counter_index(new, kind)] + [counts.counter_index(new, kind, True)] * bad),
+                    )
 
         canary.ended = both  # type: ignore[attr-defined]
 
@@ -72,7 +75,7 @@
         if self.over_at < 0:
             for ring in (self.long, self.short):
                 ring.roll(self.net.now)
-            sums = [counts.add_up(list(ring.spans)) for ring in (self.long, self.short)]
+            sums = [counts.add_counters(list(ring.buckets)) for ring in (self.long, self.short)]
             if max(b.level for b in burn.look(self.net.terms, *sums)) >= Level.PAUSE:
                 self.over_at = self.net.now
 
--- a/rainspindle/lab/canary_net.py
+++ b/rainspindle/lab/canary_net.py
@@ -213,7 +213,7 @@
         for node in self.nodes.values():
             if node not in self.listening:
                 node.canary.alone = True  # it hears decisions alone, so it makes none
-                node.canary.look_at, node.canary.CARRIERS = math.inf, 0
+                node.canary.next_evaluation_at, node.canary.MIN_CARRIERS = math.inf, 0
 
     def wrote(self, node: Node, name: str) -> None:
         seen = node.cells.read(node.name, name)
--- a/rainspindle/lab/canary_pair.py
+++ b/rainspindle/lab/canary_pair.py
@@ -12,7 +12,7 @@
 from ..balancer.host import AttemptOutcome, EndpointStatus, ListedEndpoint
 from ..decisions.canary.terms import point
 from ..decisions.shared.registers import RegisterStore
-from ..program.fleet.canary import CanaryPart, CanaryRun, split_core
+from ..program.fleet.canary import CanaryPart, CanaryRun, make_split_core
 from ..routing.core import Final, Forwarded, Given
 from ..transport.loop import Coroutine
 from .virtual import Clock
@@ -88,7 +88,7 @@
         self.part = msgspec.convert(
             {"name": "c", "stages": [{"part": 0.5, "time": 1000, "exchanges": 10}], **table}, type=CanaryPart
         )
-        self.core = split_core(
+        self.core = make_split_core(
             self.loop, self.config, [self.part], lambda directory: FakeBack(self), lambda: None, lambda: None
         )
         members = SimpleNamespace(own_name="me", own_incarnation=1, members=lambda: [])
--- a/rainspindle/lab/fleet/long/canaries.py
+++ b/rainspindle/lab/fleet/long/canaries.py
@@ -68,11 +68,13 @@
         self.canary = trial.fleet.make(
             world.now, of, member.name, member.life, self, trial.fleet.kept.get((member.name, of.name))
         )
-        self.canary.EVERY = max(self.canary.EVERY, self.canary.EACH * len(world.list))
+        self.canary.REPORT_INTERVAL = max(
+            self.canary.REPORT_INTERVAL, self.canary.REPORT_INTERVAL_PER_MEMBER * len(world.list)
+        )
         self.tick_time = TICK if judges else SLOW_TICK
-        self.canary.LOOK = LOOK if judges else SLOW_LOOK
+        self.canary.EVALUATION_INTERVAL = LOOK if judges else SLOW_LOOK
         if not judges:
-            self.canary.CARRIERS = 0  # by its view of a few every third would be one
+            self.canary.MIN_CARRIERS = 0  # by its view of a few every third would be one
         world.later(member, trial.chance.uniform(0.0, self.tick_time), self.tick)
 
     def tick(self) -> None:
@@ -164,7 +166,9 @@
         self.fallback = 0.0
         for node in self.nodes.values():
             canary = node.canary
-            self.fallback = canary.FRESH * canary.EVERY + self.terms.alone_after + SLOW_TICK + GRACE
+            self.fallback = (
+                canary.FRESHNESS_FACTOR * canary.REPORT_INTERVAL + self.terms.alone_after + SLOW_TICK + GRACE
+            )
         at = self.world.at
         at(BEFORE, self.start)
         at(BEFORE + run.abort, self.abort)
--- a/rainspindle/lab/fleet/long/planted.py
+++ b/rainspindle/lab/fleet/long/planted.py
@@ -99,8 +99,8 @@
 class Believing(Canary):
     """Goes by the stage that its folder holds, with nobody heard."""
 
-    def take_kept(self, now: float, kept: bytes) -> None:
-        super().take_kept(now, kept)
+    def restore(self, now: float, kept: bytes) -> None:
+        super().restore(now, kept)
         self.confirmed_at = now
 
 
@@ -114,9 +114,9 @@
 class Deaf(Canary):
     """Hears of no abort."""
 
-    def learn(self, now: float, other: Any, note: str = "") -> None:
+    def merge_state(self, now: float, other: Any, note: str = "") -> None:
         if not other.aborted or note == "called":
-            super().learn(now, other, note)
+            super().merge_state(now, other, note)
 
 
 @dataclass(frozen=True, slots=True)
--- a/rainspindle/lab/fleet/odd.py
+++ b/rainspindle/lab/fleet/odd.py
@@ -58,13 +58,13 @@
     from ...decisions.canary.canary import Canary
     from ...decisions.canary.state import State
 
-    learns = Canary.learn
+    learns = Canary.merge_state
 
     def learn(self: Canary, now: float, other: State, note: str = "") -> None:
         if not other.aborted or note == "called":
             learns(self, now, other, note)
 
-    Canary.learn = learn  # type: ignore[method-assign]
+    Canary.merge_state = learn  # type: ignore[method-assign]
 
 
 def bad_disk() -> None:
--- a/rainspindle/program/fleet/canary.py
+++ b/rainspindle/program/fleet/canary.py
@@ -192,7 +192,7 @@
         yield f"{path}.each_effect: {table.each_effect} is below 0"
 
 
-def split_core(
+def make_split_core(
     loop: Loop,
     config: Config,
     tables: Sequence[CanaryPart],
--- a/rainspindle/program/fleet/run.py
+++ b/rainspindle/program/fleet/run.py
@@ -15,7 +15,7 @@
 from ...routing.follow import Follower
 from ...transport.loop import Coroutine, Loop
 from ..config import Config, ConfigFault
-from .canary import CanaryRun, split_core
+from .canary import CanaryRun, make_split_core
 from .config import FleetConfig
 from .evidence import EvidenceRun
 from .ground import Answer, Ground, Joined, Part
@@ -79,7 +79,9 @@
         """One core, or one for each side where a canary has endpoints."""
         config = self.config
         if self.fleet.file.canary:
-            self.core = split_core(self.loop, config, self.fleet.file.canary, make_back, on_watch, on_tick)
+            self.core = make_split_core(
+                self.loop, config, self.fleet.file.canary, make_back, on_watch, on_tick
+            )
         else:
             directory = Directory()
             self.core = Core(
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -393,7 +393,7 @@
         b.canary.ended(net.now, True, Idempotency.NON_IDEMPOTENT, True)
     b.canary.publish_counts(net.now)
     older = b.cells.named("canary/c")["s1"].register
-    counter = counts.at(True, 2, True)
+    counter = counts.counter_index(True, 2, True)
     for _ in range(40):
         b.canary.ended(net.now, True, Idempotency.NON_IDEMPOTENT, True)
     b.canary.publish_counts(net.now)
@@ -429,8 +429,8 @@
     net = started_net(size=1)
     canary, cells = net.nodes["s0"].canary, RegisterStore("x", 1)
     for window in (canary.fine, canary.coarse):
-        for bucket in [[10**7 + n] * counts.WIDTH for n in range(window.max_buckets)]:
-            window.spans.append(bucket)
+        for bucket in [[10**7 + n] * counts.COUNTERS_PER_BUCKET for n in range(window.max_buckets)]:
+            window.buckets.append(bucket)
     canary.publish_counts(net.now)
     value = net.nodes["s0"].cells.named("canary/c")["s0"].register.value
     assert len(value) <= MAX_VALUE and cells.write(0.0, "canary/c", value)
@@ -590,7 +590,10 @@
         pair.exchange(key)
     totals = pair.run.canaries["c"].window_totals(pair.loop.now())[0]
     # Both sides are counted by the configured latency objective, so that they can be compared.
-    new, old = ((totals[counts.at(side, 0)], totals[counts.at(side, 0, True)]) for side in (True, False))
+    new, old = (
+        (totals[counts.counter_index(side, 0)], totals[counts.counter_index(side, 0, True)])
+        for side in (True, False)
+    )
     assert new[0] == old[0] == 4 and new[1] >= 3 > 1 >= old[1]
     with pytest.raises(Trouble):
         pair.run.taker(pair.taker)
