--- a/rainspindle/lab/decide.py
+++ b/rainspindle/lab/decide.py
@@ -11,15 +11,15 @@
 from .. import balancer
 from ..balancer.host import BalancerHost
 from ..protocol.settings import make_balancer, traffic_type
-from ..routing.facade import Decisions
+from ..routing.facade import BalancerInterface
 from .experiment import ExperimentFault, Variant
 from .policies import make_baseline
 
 
 def maker(
     variant: Variant, settings: dict[str, Any], seed: int, now: float
-) -> Callable[[BalancerHost], Decisions]:
-    def make(host: BalancerHost) -> Decisions:
+) -> Callable[[BalancerHost], BalancerInterface]:
+    def make(host: BalancerHost) -> BalancerInterface:
         if variant.policy == "module":
             return make_balancer(host, seed, now, settings)
         limits = settings["policy-limits"]
--- a/rainspindle/lab/virtual.py
+++ b/rainspindle/lab/virtual.py
@@ -11,7 +11,7 @@
 
 from ..balancer.balancer import Balancer
 from ..balancer.host import NEVER_EXECUTED, AttemptOutcome, EndpointStatus, ListedEndpoint
-from ..routing.facade import Did, Facade, Reject, SendThere, Terminate
+from ..routing.facade import Effects, Facade, Fail, Reject, SendAttempt
 from ..routing.follow import Follower
 from .decide import knobs, maker
 from .ledger import Asked, Ledger, Met, Run, Told
@@ -189,16 +189,16 @@
 
     # What the module did.
 
-    def apply(self, did: Did) -> None:
+    def apply(self, did: Effects) -> None:
         for exchange, step in did.steps:
             holding = self.held[exchange]
-            if isinstance(step, SendThere):
+            if isinstance(step, SendAttempt):
                 self.send(holding, exchange, step)
             else:
                 del self.held[exchange]
                 kind = "rejected" if isinstance(step, Reject) else "terminated"
-                assert isinstance(step, Reject | Terminate)
-                holding.tell(kind, step.hold_off if isinstance(step, Reject) else 0.0, "")
+                assert isinstance(step, Reject | Fail)
+                holding.tell(kind, step.retry_after if isinstance(step, Reject) else 0.0, "")
         for exchange, number in did.called_off:
             waiting = self.held.get(exchange)
             if waiting is not None and waiting.flight is not None and waiting.flight.number == number:
@@ -207,9 +207,9 @@
                 )
         if did.watch:
             self.clock.at(self.clock.now, self.living(self.ask))
-        if did.wake_at < self.looks_at:
-            self.looks_at = did.wake_at
-            self.clock.at(did.wake_at, self.living(self.tick))
+        if did.next_timer_at < self.looks_at:
+            self.looks_at = did.next_timer_at
+            self.clock.at(did.next_timer_at, self.living(self.tick))
 
     def tick(self) -> None:
         if self.clock.now >= self.looks_at:
@@ -282,7 +282,9 @@
         self.taken += 1
         self.held[self.taken] = holding
         self.apply(
-            self.facade.pick(now, self.taken, op.type, op.key or None, holding.expires, holding.tries > 1)
+            self.facade.start_request(
+                now, self.taken, op.type, op.key or None, holding.expires, holding.tries > 1
+            )
         )
 
     def leave(self, exchange: int) -> None:
@@ -290,9 +292,9 @@
         holding.left = True
         self.apply(self.facade.left(self.clock.now, exchange))
 
-    def send(self, holding: Holding, exchange: int, step: SendThere) -> None:
+    def send(self, holding: Holding, exchange: int, step: SendAttempt) -> None:
         now, node = self.clock.now, self.run.endpoints[int(step.endpoint[1:])]
-        flight = Flight(exchange, step.number, node, now, min(now + step.patience, holding.expires))
+        flight = Flight(exchange, step.number, node, now, min(now + step.timeout, holding.expires))
         holding.flight = flight
         module = self.facade.balancer
         forward = module.attempts[exchange, step.number] if isinstance(module, Balancer) else None
@@ -437,7 +439,7 @@
                 self.drop_idle(number)
         if outcome is AttemptOutcome.SERVED:
             del self.held[flight.exchange]
-        self.apply(self.facade.report(now, flight.exchange, flight.number, outcome, holding.left))
+        self.apply(self.facade.attempt_ended(now, flight.exchange, flight.number, outcome, holding.left))
         if outcome is AttemptOutcome.SERVED:
             if not holding.left:
                 holding.tell("finished", 0.0, token)
--- a/rainspindle/program/serve.py
+++ b/rainspindle/program/serve.py
@@ -281,7 +281,7 @@
 
     def heard_peer(self, who: str, message: str) -> None:
         try:
-            self.core.apply(self.core.facade.heard(self.loop.now(), who, message))
+            self.core.apply(self.core.facade.receive_message(self.loop.now(), who, message))
         except ValueError as fault:  # of another release, or cut: what it tells is old soon anyhow
             self.unread += 1
             log.debug("unreadable message", extra={"fields": {"from": who, "why": fault}})
--- a/rainspindle/routing/canary.py
+++ b/rainspindle/routing/canary.py
@@ -27,7 +27,7 @@
 from ..transport.address import Address
 from ..transport.loop import Coroutine, Loop
 from .core import Back, Core, Directory, Final, Finished, Given, Left, Rejected, nothing
-from .facade import Decisions, Did, Facade
+from .facade import BalancerInterface, Effects, Facade
 
 # The peer name under which a side's balancer receives the request rates of the sidecar's other sides.
 OWN_RATES = "~own"
@@ -53,7 +53,7 @@
 class SideFacade(Facade):
     """The host of one side's balancer."""
 
-    def __init__(self, now: float, make: Callable[[BalancerHost], Decisions]) -> None:
+    def __init__(self, now: float, make: Callable[[BalancerHost], BalancerInterface]) -> None:
         """`make` creates the balancer for this host."""
         self.next_entry = SideEntry()  # of the request that `pick` is called for next
         self.side_attempts: dict[int, SideAttempts] = {}  # by request, until `take_attempts`
@@ -62,7 +62,7 @@
         self.receive_for_others: Callable[[float, str, str], bool] = lambda now, who, message: False
         super().__init__(now, make)
 
-    def pick(
+    def start_request(
         self,
         now: float,
         request: int,
@@ -72,13 +72,13 @@
         repeat: bool,
         coming: bool = False,
         tenant: int | None = None,
-    ) -> Did:
+    ) -> Effects:
         """Picks for a request by way of `next_entry`; see `Facade.pick`."""
         entry, self.next_entry = self.next_entry, SideEntry()
         balancer = self.balancer
         if entry.is_fallback and isinstance(balancer, Balancer) and balancer.retry_budget:
             balancer.retry_budget.skip_next_request()  # the sides share one budget, which has counted it
-        did = super().pick(
+        did = super().start_request(
             now, request, type_index + entry.class_offset, key, expires_at, repeat, coming, tenant
         )
         if entry.prior_attempts:
@@ -86,25 +86,29 @@
             balancer.on_body_consumed(request)
         return did
 
-    def spent(self, now: float, request: int) -> None:
+    def body_consumed(self, now: float, request: int) -> None:
         """Records that a part of the request's body was sent and is not kept."""
         self.consumed_bodies.add(request)
-        super().spent(now, request)
+        super().body_consumed(now, request)
 
-    def final(self, request: int, step: object) -> None:
+    def finish(self, request: int, step: object) -> None:
         """Records the request's attempts together with its final response."""
-        self.side_attempts[request] = SideAttempts(self.sent.get(request, 0), request in self.consumed_bodies)
-        super().final(request, step)  # type: ignore[arg-type]
+        self.side_attempts[request] = SideAttempts(
+            self.attempt_counts.get(request, 0), request in self.consumed_bodies
+        )
+        super().finish(request, step)  # type: ignore[arg-type]
 
     def take_attempts(self, request: int) -> SideAttempts:
         """Returns what this side had done for the request, and forgets it."""
         self.consumed_bodies.discard(request)
         return self.side_attempts.pop(request, SideAttempts(0, False))
 
-    def heard(self, now: float, who: str, message: str) -> Did:
+    def receive_message(self, now: float, who: str, message: str) -> Effects:
         """Takes in a peer's message, unless it is for another side. Raises ValueError if it is malformed."""
         return (
-            self.taken() if self.receive_for_others(now, who, message) else super().heard(now, who, message)
+            self.taken()
+            if self.receive_for_others(now, who, message)
+            else super().receive_message(now, who, message)
         )
 
 
@@ -241,7 +245,7 @@
         """
         for name, core in self.other_cores.items():
             if message.startswith(side_prefix(name)):
-                core.apply(core.facade.heard(now, who, message[len(side_prefix(name)) :]))
+                core.apply(core.facade.receive_message(now, who, message[len(side_prefix(name)) :]))
                 self.share_rates(now, who, name)
                 return True
         if message.startswith(peers.LEARNED_STATE):
--- a/rainspindle/routing/core.py
+++ b/rainspindle/routing/core.py
@@ -17,7 +17,7 @@
 from ..protocol.settings import SocketSettings
 from ..transport.address import Address
 from ..transport.loop import Coroutine, Loop, Task
-from .facade import Did, Facade, Reject, SendThere, Step, Terminate
+from .facade import Effects, Facade, Fail, Reject, SendAttempt, Step
 
 ANSWER_TIME, ANSWER_PART = 0.015, 0.05  # kept back before the expiry to write the answer, the smaller one
 
@@ -169,7 +169,7 @@
 
     # What the module did.
 
-    def apply(self, did: Did) -> None:
+    def apply(self, did: Effects) -> None:
         for exchange, step in did.steps:
             held = self.held[exchange]
             held.steps.append(step)
@@ -180,11 +180,11 @@
             if waiting is not None and waiting.out == number:
                 waiting.called_off = True
                 waiting.task.wake()
-        for message in did.told:
+        for message in did.peer_messages:
             self.tell(message)
         if did.watch:
             self.on_watch()
-        if did.wake_at < self.looks_at:
+        if did.next_timer_at < self.looks_at:
             self.ticker.wake()
 
     def tick(self) -> Coroutine[None]:
@@ -193,12 +193,12 @@
             did = self.facade.tick(self.loop.now())
             self.apply(did)
             out = sum(
-                (h.out is not None) + sum(isinstance(s, SendThere) for s in h.steps)
+                (h.out is not None) + sum(isinstance(s, SendAttempt) for s in h.steps)
                 for h in self.held.values()
             )
             check_invariant(out == self.facade.in_flight(), "the module believes in flight what is in flight")
             self.on_tick()
-            self.looks_at = min(did.wake_at, self.loop.now() + 1.0)
+            self.looks_at = min(did.next_timer_at, self.loop.now() + 1.0)
             yield self.looks_at
 
     # The list.
@@ -306,15 +306,15 @@
 
         def started() -> None:
             if held.out is not None:
-                self.apply(self.facade.started(self.loop.now(), exchange, held.out))
+                self.apply(self.facade.response_started(self.loop.now(), exchange, held.out))
 
         def spent() -> None:
-            self.facade.spent(self.loop.now(), exchange)
+            self.facade.body_consumed(self.loop.now(), exchange)
 
         def written() -> float:
             if given.expiry is not None and held.out is not None:
                 given.expires_at = given.expiry()
-                patience, did = self.facade.written(self.loop.now(), exchange, held.out, given.expires_at)
+                patience, did = self.facade.body_sent(self.loop.now(), exchange, held.out, given.expires_at)
                 self.apply(did)
                 return min(self.loop.now() + patience, given.expires_at)
             return given.expires_at
@@ -325,7 +325,7 @@
             if gone():
                 return Left()
             self.apply(
-                self.facade.pick(
+                self.facade.start_request(
                     self.loop.now(),
                     exchange,
                     given.type_index,
@@ -340,15 +340,15 @@
                 step = held.steps.popleft()
                 check_invariant(not held.steps, "one step at a time for an exchange")
                 if isinstance(step, Reject):
-                    return Rejected(step.hold_off, held.ran)
-                if isinstance(step, Terminate):
+                    return Rejected(step.retry_after, held.ran)
+                if isinstance(step, Fail):
                     return Terminated()
                 held.out, sent_at = step.number, self.loop.now()
                 address = self.directory.addresses.get(step.endpoint)
                 if address is None or step.endpoint in self.directory.left_out:
                     came = Forwarded(AttemptOutcome.NOT_SENT)
                 else:
-                    until = min(self.loop.now() + step.patience, given.expires_at)
+                    until = min(self.loop.now() + step.timeout, given.expires_at)
                     came = yield from self.back.forward(
                         given, step.endpoint, address, until, before, after, started
                     )
@@ -359,7 +359,7 @@
                     held.ran = True
                     held.repeat_until = sent_at + self.settings.memory_spans[given.type_index]
                 self.apply(
-                    self.facade.report(
+                    self.facade.attempt_ended(
                         self.loop.now(),
                         exchange,
                         step.number,
@@ -378,7 +378,9 @@
             self.loop.on_fault(fault)
             self.apply(self.facade.left(self.loop.now(), exchange))
             if held.out is not None:
-                self.facade.report(self.loop.now(), exchange, held.out, AttemptOutcome.CANCELLED, over=True)
+                self.facade.attempt_ended(
+                    self.loop.now(), exchange, held.out, AttemptOutcome.CANCELLED, over=True
+                )
             return Terminated()
         finally:
             del self.held[exchange]
--- a/rainspindle/routing/facade.py
+++ b/rainspindle/routing/facade.py
@@ -31,41 +31,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendThere:
+class SendAttempt:
     """Sends an attempt to an endpoint."""
 
     endpoint: str
     number: int  # of the attempt within the request, from 0
-    patience: float  # seconds
+    timeout: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
     """Answers that the request had no effect and may be retried after some time."""
 
-    hold_off: float  # seconds
+    retry_after: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Terminate:
+class Fail:
     """Answers that the request failed and may have been executed."""
 
 
-Step = SendThere | Reject | Terminate
+Step = SendAttempt | Reject | Fail
 
 
 @dataclass(slots=True)
-class Did:
+class Effects:
     """The actions that the balancer took in one call."""
 
     steps: list[tuple[int, Step]] = field(default_factory=list)  # with request ids
     called_off: list[tuple[int, int]] = field(default_factory=list)  # request ids and attempt numbers
-    told: list[str] = field(default_factory=list)  # to be sent to the other sidecars
+    peer_messages: list[str] = field(default_factory=list)  # to be sent to the other sidecars
     watch: bool = False  # whether to start watching the endpoint list
-    wake_at: float = math.inf  # when `tick` must be called next
+    next_timer_at: float = math.inf  # when `tick` must be called next
 
 
-class Decisions(Protocol):
+class BalancerInterface(Protocol):
     """The methods of what decides: the balancer, or a baseline that the lab uses in its place."""
 
     @property
@@ -103,16 +103,16 @@
 class Facade:
     """The balancer's host: collects the actions of the balancer until the current call returns them."""
 
-    def __init__(self, now: float, make: Callable[[BalancerHost], Decisions]) -> None:
+    def __init__(self, now: float, make: Callable[[BalancerHost], BalancerInterface]) -> None:
         """Creates the balancer by calling `make` with this facade as its host."""
         self.now = now
-        self.wakes: list[tuple[float, int, Timer]] = []  # a heap; the serial number orders equal times
-        self.wakes_set = 0
-        self.sent: dict[int, int] = {}  # by request id, for requests without a final response
-        self.did = Did()  # since the last call returned
+        self.timers: list[tuple[float, int, Timer]] = []  # a heap; the serial number orders equal times
+        self.timer_serial = 0
+        self.attempt_counts: dict[int, int] = {}  # by request id, for requests without a final response
+        self.effects = Effects()  # since the last call returned
         self.balancer = make(self)
 
-    def pick(
+    def start_request(
         self,
         now: float,
         request_id: int,
@@ -122,7 +122,7 @@
         is_client_retry: bool,
         body_incomplete: bool = False,
         tenant: int | None = None,
-    ) -> Did:
+    ) -> Effects:
         """Accepts a request.
 
         Args:
@@ -136,18 +136,18 @@
                 once its endpoint has the whole body.
             tenant: The index of its tenant in the settings, or None if unknown.
         """
-        self.now, self.sent[request_id] = now, 0
+        self.now, self.attempt_counts[request_id] = now, 0
         incoming = IncomingRequest(
             request_id, class_index, key, deadline, is_client_retry, body_incomplete, tenant
         )
         self.balancer.on_request_arrived(now, incoming)
         return self.taken()
 
-    def spent(self, now: float, request_id: int) -> None:
+    def body_consumed(self, now: float, request_id: int) -> None:
         """Records that a part of the body is no longer kept, so that no further attempt is possible."""
         self.balancer.on_body_consumed(request_id)
 
-    def written(self, now: float, request_id: int, number: int, deadline: float) -> tuple[float, Did]:
+    def body_sent(self, now: float, request_id: int, number: int, deadline: float) -> tuple[float, Effects]:
         """Records that the endpoint has the whole body; returns the attempt's timeout counted from now."""
         self.now = now
         return self.balancer.on_body_sent(now, request_id, number, deadline), self.taken()
@@ -157,13 +157,13 @@
         if isinstance(self.balancer, Balancer):
             self.balancer.shorten_deadline(request_id, deadline)
 
-    def started(self, now: float, request_id: int, number: int) -> Did:
+    def response_started(self, now: float, request_id: int, number: int) -> Effects:
         """Records that a response has begun to be forwarded; later delays are not the endpoint's."""
         self.now = now
         self.balancer.on_response_started(now, request_id, number)
         return self.taken()
 
-    def report(
+    def attempt_ended(
         self,
         now: float,
         request_id: int,
@@ -171,7 +171,7 @@
         outcome: AttemptOutcome,
         over: bool = False,
         lag: float = 0.0,
-    ) -> Did:
+    ) -> Effects:
         """Records how an attempt ended.
 
         Args:
@@ -184,18 +184,20 @@
         """
         self.now = now
         if outcome is AttemptOutcome.SERVED or over:
-            self.sent.pop(request_id, None)
+            self.attempt_counts.pop(request_id, None)
         self.balancer.on_attempt_ended(now, AttemptEnd(request_id, number, outcome, over, lag))
         return self.taken()
 
-    def left(self, now: float, request_id: int) -> Did:
+    def left(self, now: float, request_id: int) -> Effects:
         """Drops a request whose client has disconnected."""
         self.now = now
-        self.sent.pop(request_id, None)
+        self.attempt_counts.pop(request_id, None)
         self.balancer.on_client_disconnected(request_id)
         return self.taken()
 
-    def list_changed(self, now: float, lines: Collection[ListedEndpoint], whole: bool, stale: bool) -> Did:
+    def list_changed(
+        self, now: float, lines: Collection[ListedEndpoint], whole: bool, stale: bool
+    ) -> Effects:
         """Applies an update of the endpoint list.
 
         Args:
@@ -208,13 +210,13 @@
         self.balancer.on_list_changed(now, EndpointListUpdate(tuple(lines), whole, cached=stale))
         return self.taken()
 
-    def list_failed(self, now: float) -> Did:
+    def list_failed(self, now: float) -> Effects:
         """Handles a failed request for the endpoint list."""
         self.now = now
         self.balancer.on_list_failed()
         return self.taken()
 
-    def leave_out(self, now: float, endpoint: str, out: bool) -> Did:
+    def leave_out(self, now: float, endpoint: str, out: bool) -> Effects:
         """Applies an operator's command: disables the endpoint if `out`, else enables it again."""
         self.now = now
         if isinstance(self.balancer, Balancer):
@@ -228,7 +230,7 @@
         """Returns what the balancer has learned, as plain values; empty for a baseline."""
         return learnt.give(self.balancer, now) if isinstance(self.balancer, Balancer) else {}
 
-    def take(self, now: float, given: dict[str, Any]) -> Did:
+    def take(self, now: float, given: dict[str, Any]) -> Effects:
         """Restores learned state that another process returned from `give`.
 
         Raises:
@@ -242,7 +244,7 @@
             raise ValueError(f"{type(error).__name__} {error}") from None
         return self.taken()
 
-    def heard(self, now: float, who: str, message: str) -> Did:
+    def receive_message(self, now: float, who: str, message: str) -> Effects:
         """Applies a message of the sidecar `who`.
 
         Raises:
@@ -258,65 +260,69 @@
         if isinstance(self.balancer, Balancer):
             self.balancer.peer_load.on_peer_gone(now, who)
 
-    def tick(self, now: float) -> Did:
+    def tick(self, now: float) -> Effects:
         """Fires the timers that are due."""
         self.now = now
-        while self.wakes and self.wakes[0][0] <= now:
-            self.balancer.on_timer(now, heapq.heappop(self.wakes)[2])
+        while self.timers and self.timers[0][0] <= now:
+            self.balancer.on_timer(now, heapq.heappop(self.timers)[2])
         return self.taken()
 
     def in_flight(self) -> int:
         """Returns the number of attempts that the balancer counts as in flight."""
         return len(self.balancer.attempts)
 
-    def taken(self) -> Did:
+    def taken(self) -> Effects:
         """Returns the actions taken since the last call, and starts a new collection."""
-        did, self.did = self.did, Did()
-        did.wake_at = self.wakes[0][0] if self.wakes else math.inf
-        return did
+        effects, self.effects = self.effects, Effects()
+        effects.next_timer_at = self.timers[0][0] if self.timers else math.inf
+        return effects
 
     # The interface BalancerHost.
 
     def send_attempt(self, request_id: int, endpoint_id: str, timeout: float) -> None:
         """Adds an attempt to the actions."""
-        check_invariant(request_id in self.sent, "a forward only for an exchange without a final answer")
-        number = self.sent.get(request_id, 0)
-        self.sent[request_id] = number + 1
-        self.did.steps.append((request_id, SendThere(endpoint_id, number, timeout)))
+        check_invariant(
+            request_id in self.attempt_counts, "a forward only for an exchange without a final answer"
+        )
+        number = self.attempt_counts.get(request_id, 0)
+        self.attempt_counts[request_id] = number + 1
+        self.effects.steps.append((request_id, SendAttempt(endpoint_id, number, timeout)))
 
     def reject(self, request_id: int, retry_after: float) -> None:
         """Adds a rejection to the actions."""
-        self.final(request_id, Reject(retry_after))
+        self.finish(request_id, Reject(retry_after))
 
     def fail(self, request_id: int) -> None:
         """Adds a failure response to the actions."""
-        self.final(request_id, Terminate())
+        self.finish(request_id, Fail())
 
-    def final(self, request_id: int, step: Step) -> None:
+    def finish(self, request_id: int, step: Step) -> None:
         """Adds a final response to the actions; the request gets no further attempts."""
-        check_invariant(self.sent.pop(request_id, None) is not None, "one final answer for each exchange")
-        self.did.steps.append((request_id, step))
+        check_invariant(
+            self.attempt_counts.pop(request_id, None) is not None, "one final answer for each exchange"
+        )
+        self.effects.steps.append((request_id, step))
 
     def cancel_attempt(self, request_id: int, number: int) -> None:
         """Adds a cancellation to the actions."""
-        self.did.called_off.append((request_id, number))
+        self.effects.called_off.append((request_id, number))
 
     def schedule_timer(self, delay: float, timer: Timer) -> None:
         """Schedules a timer, which `tick` fires."""
-        self.wakes_set += 1
-        heapq.heappush(self.wakes, (self.now + delay, self.wakes_set, timer))
+        self.timer_serial += 1
+        heapq.heappush(self.timers, (self.now + delay, self.timer_serial, timer))
 
     def watch_endpoint_list(self) -> None:
         """Adds the start of the list watch to the actions."""
-        self.did.watch = True
+        self.effects.watch = True
 
     def publish_load(self, started: Sequence[int], ended: Sequence[int], complete: bool) -> None:
         """Adds a load message to the actions."""
-        self.did.told.append(peers.encode_load(started, ended, complete))
+        self.effects.peer_messages.append(peers.encode_load(started, ended, complete))
 
     def publish_learned_state(self, state: LearnedState) -> None:
         """Adds a message with the learned state to the actions."""
-        self.did.told.append(peers.encode_learned_state(state))
+        self.effects.peer_messages.append(peers.encode_learned_state(state))
 
     def log(self, line: str) -> None:
         """Logs a line of the balancer."""
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -563,7 +563,7 @@
         pair.exchange(key)
     assert {message.startswith("~") for message in messages} == {True, False}
     for message in messages:
-        other.core.apply(other.core.facade.heard(other.loop.now(), "pair", message))
+        other.core.apply(other.core.facade.receive_message(other.loop.now(), "pair", message))
     for core, peer in ((other.core, "pair"), (other.core.other_cores["c"], "pair")):
         balancer = core.facade.balancer
         assert isinstance(balancer, Balancer) and peer in balancer.peer_load.reports
