--- a/rainspindle/decisions/shared/registers.py
+++ b/rainspindle/decisions/shared/registers.py
@@ -21,7 +21,7 @@
 MAX_SUBJECTS = 8  # subjects of which registers of other members are kept
 MAX_SEQUENCE_DIGITS = 19
 # The register `swept/SUBJECT` holds the sequence up to which its owner has discarded its registers.
-SWEPT = "swept/"
+SWEEP_PREFIX = "swept/"
 PARTITIONS = 64  # partitions in which the registers of one owner are compared between members
 
 Subscriber = Callable[[float, "Register"], None]
@@ -157,7 +157,7 @@
 
     def sweep_note(self, owner: str, subject: str) -> bytes:
         """Returns the note of the owner's last sweep of a subject; empty if there is none."""
-        seen = self.by_name.get(SWEPT + subject, {}).get(owner)
+        seen = self.by_name.get(SWEEP_PREFIX + subject, {}).get(owner)
         return b"" if seen is None else seen.register.value.partition(b" ")[2]
 
     # Writing.
@@ -208,11 +208,11 @@
         for register in own:
             if register.name not in names and register.sequence <= up_to:
                 self._put(now, replace(register, sequence=up_to + 1))
-        self.apply_sweep(now, self.write(now, SWEPT + subject, b"%d " % up_to + note))
+        self.apply_sweep(now, self.write(now, SWEEP_PREFIX + subject, b"%d " % up_to + note))
 
     def apply_sweep(self, now: float, sweep: Register) -> None:
         """Discards the registers that the owner swept; subscribers are notified with empty values."""
-        subject = sweep.name.removeprefix(SWEPT)
+        subject = sweep.name.removeprefix(SWEEP_PREFIX)
         up_to = self.swept_up_to[sweep.owner, subject]
         for name, seen in list(self.by_owner[sweep.owner].items()):
             if subject_of(name) == subject and seen.register.order <= up_to:
@@ -250,7 +250,7 @@
         if known is None and not self._has_room(register):
             return False
         self._put(now - age, register)
-        if register.name.startswith(SWEPT):
+        if register.name.startswith(SWEEP_PREFIX):
             self.apply_sweep(now, register)
         self._notify(now, register)
         return True
@@ -269,8 +269,8 @@
             self._flip_digest(seen.register)
             self.by_owner[owner].pop(name, None)
             self.unsent.pop((owner, name), None)
-            if name.startswith(SWEPT):
-                self.swept_up_to.pop((owner, name.removeprefix(SWEPT)), None)
+            if name.startswith(SWEEP_PREFIX):
+                self.swept_up_to.pop((owner, name.removeprefix(SWEEP_PREFIX)), None)
         if not owners:
             self.by_name.pop(name, None)
 
@@ -331,10 +331,10 @@
         owned = self.by_owner.setdefault(register.owner, {})
         owned.pop(register.name, None)
         owned[register.name] = seen
-        if register.name.startswith(SWEPT):
+        if register.name.startswith(SWEEP_PREFIX):
             text = register.value.partition(b" ")[0]
             sequence = int(text) if text.isdigit() and len(text) <= MAX_SEQUENCE_DIGITS else 0
-            subject = register.name.removeprefix(SWEPT)
+            subject = register.name.removeprefix(SWEEP_PREFIX)
             self.swept_up_to[register.owner, subject] = register.incarnation, sequence
 
     def _flip_digest(self, register: Register) -> None:
--- a/rainspindle/lab/fleet/long/purses.py
+++ b/rainspindle/lab/fleet/long/purses.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 from functools import partial
 
-from ....decisions.shared.registers import SWEPT, Register, RegisterStore
+from ....decisions.shared.registers import SWEEP_PREFIX, Register, RegisterStore
 from ....decisions.wallet.account import Row, Trust
 from ....decisions.wallet.tombstones import ABOUT, TombstoneRegistry
 from ....decisions.wallet.wallet import Rules, Wallet
@@ -234,7 +234,7 @@
 
     def take(self, cell: Register) -> None:
         """A cell that has come; it is about a wallet that this one has to do with, or about all of one's."""
-        if not cell.name.startswith(SWEPT):
+        if not cell.name.startswith(SWEEP_PREFIX):
             self.use(cell.name.split("/", 2)[1])
         self.cells.merge(self.fleet.world.now, cell)
         self.cells.unsent.clear()  # the model carries it on
@@ -440,7 +440,7 @@
         cells.unsent.clear()
         hearers: dict[str, Purse] = {}
         for cell in again:
-            if not cell.name.startswith(SWEPT):
+            if not cell.name.startswith(SWEEP_PREFIX):
                 self.carry(purse, cell.name.split("/", 2)[1], cell, ())
                 continue
             self.swept[owner.name], self.swept_at[owner.name] = cell, world.now
--- a/rainspindle/lab/walletday.py
+++ b/rainspindle/lab/walletday.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ..decisions.shared.registers import SWEPT, Register, RegisterStore
+from ..decisions.shared.registers import SWEEP_PREFIX, Register, RegisterStore
 from ..decisions.wallet.account import Row, Trust
 from ..decisions.wallet.tombstones import SWEEP, TombstoneRegistry
 from ..decisions.wallet.wallet import Rules, Wallet
@@ -75,7 +75,7 @@
         self.logs: list[tuple[float, str, dict[str, object]]] = []
         self.late: list[Callable[[], None]] = []  # what came while it was stalled
         self.cells.on_change("wallet/", self.heard)
-        self.cells.on_change(SWEPT, self.heard)
+        self.cells.on_change(SWEEP_PREFIX, self.heard)
         disk = day.disks[name]
         if trust is Trust.OLD:
             disk.old.update(disk.rows)
@@ -183,7 +183,7 @@
             if self.register.on_own_register(cell):
                 self.wallet.on_outdated_folder(now)
             self.plan_sweep()
-        if (to and to != self.name) or cell.name.startswith(SWEPT):
+        if (to and to != self.name) or cell.name.startswith(SWEEP_PREFIX):
             return
         if not cell.value:
             if cell.owner != self.name:
--- a/rainspindle/program/fleet/members.py
+++ b/rainspindle/program/fleet/members.py
@@ -201,11 +201,11 @@
         advertise = parse_address(table.advertise) if table.advertise else bound.address
         self._incarnations = IncarnationFile(table.folder, self._on_incarnation_fault)
         incarnation = self._incarnations.next(options.incarnation_above)
-        self.cells = RegisterStore(self.own_name, incarnation)
+        self.registers = RegisterStore(self.own_name, incarnation)
         seed = options.seed if options.seed is not None else secrets.randbits(64)
         membership = MembershipConfig(table.fleet, _seeds(table), seed, options.tuning, options.has_successor)
         own = make_own_record(self.own_name, advertise, incarnation, now)
-        self.members = Membership(own, membership, self, now, self.cells)
+        self.members = Membership(own, membership, self, now, self.registers)
         self._ticker: Task = loop.spawn(loop.lasting(self._run_timer), urgent=True)
         self.members.dissemination.wake = self._ticker.wake
         self._log_start(bound.address, advertise)
--- a/rainspindle/program/fleet/run.py
+++ b/rainspindle/program/fleet/run.py
@@ -55,8 +55,8 @@
         )
         self.members = MembershipComponent(loop, table, config, options)
         if kept is not None:
-            kept.give_cells(self.members.cells, loop.now())
-        ground = Ground(loop, config, self.members.view(), self.members.cells, fleet.folder)
+            kept.give_cells(self.members.registers, loop.now())
+        ground = Ground(loop, config, self.members.view(), self.members.registers, fleet.folder)
         chance = random.Random(secrets.randbits(64))
         self.canaries = CanaryRun(ground, fleet.file.canary, lambda names: chance.sample(names, len(names)))
         self.wallets = WalletRun(ground, fleet.file.wallet) if fleet.file.wallet else None
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -807,11 +807,11 @@
         loop.spawn(busy())
     delays: list[float] = []
     received_rounds: list[float] = []
-    components[2].cells.on_change("x/", lambda now, register: received_rounds.append(rounds))
+    components[2].registers.on_change("x/", lambda now, register: received_rounds.append(rounds))
     for n in range(5):
         received_rounds.clear()
         written = rounds
-        components[0].cells.write(loop.now(), "x/a", b"%d" % n, toward=["m2"])
+        components[0].registers.write(loop.now(), "x/a", b"%d" % n, toward=["m2"])
         step_until(loop, lambda: bool(received_rounds))
         delays.append(received_rounds[0] - written)
     assert sorted(delays)[2] < 0.25
