--- a/rainspindle/decisions/evidence/evidence.py
+++ b/rainspindle/decisions/evidence/evidence.py
@@ -73,7 +73,7 @@
     def attempts_in_flight(self) -> list[tuple[int, int]]:
         """Returns own attempts in flight by endpoint, the largest numbers first."""
 
-    def tell(self, now: float, told: Told) -> None:
+    def publish(self, now: float, told: Told) -> None:
         """Writes the own register."""
 
 
@@ -245,7 +245,7 @@
 
     # Reports of other members.
 
-    def heard(self, now: float, owner: str, told: Told) -> None:
+    def report_received(self, now: float, owner: str, told: Told) -> None:
         """Handles a changed register of another member.
 
         A report counts as older if the reporter's clock says so, but never as younger than its arrival.
@@ -507,7 +507,7 @@
             total, keys = self.host.key_counts()
         self.written_at, self.urgent, self.has_changes = now, False, False
         self.counts["told"] += 1
-        self.host.tell(
+        self.host.publish(
             now,
             Told(
                 VERSION,
--- a/rainspindle/decisions/evidence/watch.py
+++ b/rainspindle/decisions/evidence/watch.py
@@ -35,7 +35,7 @@
     on_trial: bool
 
 
-class Watch:
+class BalancerWatch:
     """Connects one balancer with the evidence."""
 
     def __init__(self, balancer: Balancer, evidence: Evidence, offset: float) -> None:
@@ -71,7 +71,7 @@
 
     # Observations of the balancer.
 
-    def look(self, now: float) -> bool:
+    def check(self, now: float) -> bool:
         """Reports changes since the last check; returns whether any endpoint is ejected."""
         self.endpoints()
         for endpoint in self.balancer.registry.active:
@@ -143,22 +143,22 @@
         return min(reported_share, 1.0)
 
 
-class Watches:
+class BalancerWatches:
     """The balancers of one sidecar, as the evidence sees them: one, or one for each side of a canary."""
 
     def __init__(self) -> None:
-        self.all: list[Watch] = []
+        self.watches: list[BalancerWatch] = []
 
-    def look(self, now: float) -> bool:
+    def check(self, now: float) -> bool:
         """Checks all balancers; returns whether any endpoint is ejected."""
-        return any([watch.look(now) for watch in self.all])
+        return any([watch.check(now) for watch in self.watches])
 
-    def find(self, mark: int) -> tuple[Watch, EndpointState] | None:
+    def find(self, mark: int) -> tuple[BalancerWatch, EndpointState] | None:
         """Returns the endpoint and its balancer's watch, None if it is not listed."""
         return next(
             (
                 (watch, endpoint)
-                for watch in self.all
+                for watch in self.watches
                 if (endpoint := watch.endpoints().get(mark)) is not None
             ),
             None,
@@ -166,7 +166,7 @@
 
     def ready(self) -> int:
         """Returns the number of ready endpoints."""
-        return sum(len(watch.balancer.registry.ready) for watch in self.all)
+        return sum(len(watch.balancer.registry.ready) for watch in self.watches)
 
     def start_of(self, mark: int) -> int | None:
         """Returns the endpoint's start in milliseconds, None if it is not listed."""
@@ -186,18 +186,18 @@
     def key_counts(self) -> tuple[int, list[tuple[int, int]]]:
         """Returns the number of recent requests, and the busiest keys among them with their counts."""
         counts: dict[str, float] = {}
-        for watch in self.all:
+        for watch in self.watches:
             for key, n in watch.balancer.popularity.counts.items():
                 counts[key] = counts.get(key, 0.0) + n
         busiest = sorted(counts, key=lambda key: (-counts[key], key))[:MAX_KEYS]
-        total = round(sum(watch.balancer.popularity.total for watch in self.all))
+        total = round(sum(watch.balancer.popularity.total for watch in self.watches))
         return total, [(mark_of(key), round(counts[key])) for key in busiest]
 
     def attempts_in_flight(self) -> list[tuple[int, int]]:
         """Returns attempts in flight by endpoint, the largest numbers first."""
         out = [
             (len(endpoint.in_flight), endpoint.id)
-            for watch in self.all
+            for watch in self.watches
             for endpoint in watch.balancer.registry.active
             if endpoint.in_flight
         ]
--- a/rainspindle/decisions/listing/relay.py
+++ b/rainspindle/decisions/listing/relay.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RelaySettings:
     """Settings of the relay."""
 
     askers: int
@@ -90,13 +90,13 @@
     def write(self, now: float, name: str, value: bytes) -> None:
         """Writes a register of the own member; an empty value deletes it."""
 
-    def cell(self, owner: str, name: str) -> bytes:
+    def read_register(self, owner: str, name: str) -> bytes:
         """Returns the value of a register, b"" if there is none."""
 
-    def take(self, now: float, version: int, lines: Lines, delta: Lines) -> bool:
+    def apply_list(self, now: float, version: int, lines: Lines, delta: Lines) -> bool:
         """Applies a list, in which `delta` holds the changed lines; returns False if it cannot be decoded."""
 
-    def urge(self) -> None:
+    def reschedule_call(self) -> None:
         """Requests a new look at when the next call is due, as it may be earlier now or the role changed."""
 
     def log(self, event: str, **fields: object) -> None:
@@ -124,11 +124,18 @@
     times: int = 1
 
 
-class Relay:
+class EndpointListRelay:
     """The relay's state in one member; see the module's description."""
 
     def __init__(
-        self, now: float, own: str, run: int, terms: Terms, at: bytes, host: RelayHost, rng: random.Random
+        self,
+        now: float,
+        own: str,
+        run: int,
+        terms: RelaySettings,
+        at: bytes,
+        host: RelayHost,
+        rng: random.Random,
     ) -> None:
         """`run` differs between processes of one name; `at` is the digest that identifies the service."""
         self.own, self.run, self.terms, self.service, self.host, self.rng = own, run, terms, at, host, rng
@@ -144,7 +151,7 @@
         self.member_count, self.membership_changed, self.ranked_at = 1, True, -math.inf
         self.awaited: dict[str, float] = {}  # by member that is to write a head: since when it is awaited
         self.live_names: set[str] = {own}
-        self.asker = self.is_publisher = self.too_large = self.head_published = self.leaving = False
+        self.is_asker = self.is_publisher = self.too_large = self.head_published = self.leaving = False
         self.withdraw_at = math.inf
         self.head_number, self.head_written_at, self.list_written_at, self.head_due = (
             0,
@@ -196,11 +203,11 @@
         self.version, self.lines = version, dict(lines)
         self.digest = codec.digest(self.lines)
 
-    def told(self, now: float, version: int, whole: bool, lines: Lines) -> None:
+    def answered(self, now: float, version: int, whole: bool, lines: Lines) -> None:
         """Handles the answer to an own call; `whole` if `lines` are the whole list."""
         self.calls, self.failures_in_row = self.calls + 1, 0
         before, known = self.version, self.lines
-        new = codec.changed({} if whole else known, list(lines.items()))
+        new = codec.apply_delta({} if whole else known, list(lines.items()))
         if before is not None and (version < before or (version == before and new != known)):
             self.distrust_reporters(now, before, self.digest)
         if before is not None and version < before:
@@ -246,7 +253,7 @@
         self.head_due = False
         self.withdraw(now)
 
-    def heard(self, now: float, owner: str, head: Head, held: float) -> None:
+    def head_received(self, now: float, owner: str, head: Head, held: float) -> None:
         """Handles the head of another member, which is known to have held it at `held`."""
         self.detect_stop(now)
         before = self.heads.get(owner)
@@ -265,7 +272,7 @@
             self.lower_reported.add(owner)
         self.reevaluate(now)
 
-    def gone(self, now: float, owner: str) -> None:
+    def head_removed(self, now: float, owner: str) -> None:
         """Handles the deletion of a member's head."""
         self.heads.pop(owner, None)
 
@@ -345,13 +352,13 @@
         self.awaited = awaited
         # In a fleet so small that all members would be askers, nobody needs them: each polls for itself.
         asker = asker and self.enabled and not self.leaving and self.member_count > self.terms.askers
-        if asker and not self.asker:
+        if asker and not self.is_asker:
             self.head_due, self.withdraw_at = True, math.inf
-        elif self.asker and not asker:
+        elif self.is_asker and not asker:
             self.withdraw_at = now + 2 * self.period
-        changed, self.asker, self.is_publisher = asker != self.asker, asker, asker and publisher
+        changed, self.is_asker, self.is_publisher = asker != self.is_asker, asker, asker and publisher
         if changed:
-            self.host.urge()
+            self.host.reschedule_call()
 
     # Reports from other members.
 
@@ -452,7 +459,7 @@
         self.choose_role(now)
         if self.enabled:
             self.apply_reports(now)
-        if self.asker:
+        if self.is_asker:
             self.publish(now)
         elif now >= self.withdraw_at:
             self.withdraw_at = math.inf
@@ -467,7 +474,7 @@
         # After a change of service the own call comes first. An asker is informed by the service, unless its
         # calls fail.
         if max(self.answered_at, self.began) > -math.inf and (
-            not self.asker or self.failed_at > self.answered_at
+            not self.is_asker or self.failed_at > self.answered_at
         ):
             recent = [entry for entry in trusted if entry[1].held_at > recent_from]
             newer = sorted(
@@ -495,7 +502,7 @@
             self.disputed_at = math.inf
         elif self.disputed_at == math.inf:
             self.disputed_at = now
-            self.host.urge()
+            self.host.reschedule_call()
         same = sorted(
             peer.confirmed
             for _, peer in trusted
@@ -506,7 +513,7 @@
         if any(self.version is None or peer.head.version > self.version for _, peer in trusted):
             if self.newer_at == math.inf:
                 self.newer_at = now
-                self.host.urge()
+                self.host.reschedule_call()
         else:
             self.newer_at = self.agreed_newer_at = math.inf
         self.service_up_at = max(
@@ -519,7 +526,7 @@
             self.failing_at = math.inf
         elif self.failing_at == math.inf:
             self.failing_at = now
-            self.host.urge()
+            self.host.reschedule_call()
 
     def assemble(
         self, now: float, trusted: list[tuple[str, KnownHead]], version: int, digest: bytes, votes: int
@@ -551,7 +558,7 @@
         for head in deltas:
             if not head.since <= base[0] <= head.version:
                 continue
-            lines = codec.changed(base[1], head.delta) if base[0] < head.version else base[1]
+            lines = codec.apply_delta(base[1], head.delta) if base[0] < head.version else base[1]
             if codec.digest(lines) != head.digest or votes < self.votes_needed(lines):
                 continue
             delta = {
@@ -559,7 +566,7 @@
                 for endpoint_id in lines.keys() | self.lines.keys()
                 if lines.get(endpoint_id) != self.lines.get(endpoint_id)
             }
-            if not self.host.take(now, head.version, lines, delta):
+            if not self.host.apply_list(now, head.version, lines, delta):
                 continue
             self.set_list(now, head.version, dict(lines))
             self.lists_applied += 1
@@ -569,7 +576,7 @@
 
     def published_list(self, owner: str, version: int) -> tuple[int, dict[str, bytes]] | None:
         """Returns a member's published list and its version, None unless all chunks are here and fit."""
-        value = self.host.cell(owner, codec.SET)
+        value = self.host.read_register(owner, codec.SET)
         try:
             published = codec.decode(value, Set) if value else None
             if (
@@ -579,7 +586,7 @@
                 or published.version > version
             ):
                 return None
-            chunks = [self.host.cell(owner, codec.chunk_name(n)) for n in range(published.chunks)]
+            chunks = [self.host.read_register(owner, codec.chunk_name(n)) for n in range(published.chunks)]
             lines = codec.join_chunks(published, chunks)
         except UnreadableList:
             return None
@@ -734,9 +741,9 @@
         """Returns a fraction from 0 to 1 that is fixed for one start of the process."""
         return rank_hash(f"{self.own}|{self.run}") / 2**64
 
-    def spared(self, now: float) -> float:
+    def deferred_until(self, now: float) -> float:
         """Returns until when the next own call may wait; if that time is past, the call is made at once."""
-        if not self.enabled or self.asker:
+        if not self.enabled or self.is_asker:
             return -math.inf
         last = LAST_CALL_FRACTION * self.terms.ask_within
         bound = (
@@ -794,9 +801,9 @@
         """Logs a change of the mode."""
         mode = (
             "asker"
-            if self.asker
+            if self.is_asker
             else "alone"
-            if self.spared(now) <= now
+            if self.deferred_until(now) <= now
             else "waits"
             if self.confirmed == -math.inf and not self.vouched
             else "spared"
--- a/rainspindle/lab/listing_net.py
+++ b/rainspindle/lab/listing_net.py
@@ -18,7 +18,7 @@
 from functools import partial
 
 from ..balancer.host import EndpointStatus, ListedEndpoint
-from ..decisions.listing.relay import Relay, Terms
+from ..decisions.listing.relay import EndpointListRelay, RelaySettings
 from ..protocol import listing as words
 from ..protocol.listing import Head, Lines
 from ..routing.follow import Follower
@@ -87,11 +87,11 @@
         self.lines = {} if net.bare else encoded(net.service.registry.whole(net.known))
         self.own_told = net.now  # the last answer of the service itself
         self.heard_whole: list[tuple[float, int]] = []
-        self.relay: Relay | None = None
+        self.relay: EndpointListRelay | None = None
         if net.relayed:
             chance = random.Random(f"{net.seed}|{self.name}|{self.run}")
-            terms = Terms(net.askers, net.ask_within, seeded=len(net.names) > 1)
-            self.relay = Relay(net.now, self.name, self.run, terms, self.service.at, self, chance)
+            terms = RelaySettings(net.askers, net.ask_within, seeded=len(net.names) > 1)
+            self.relay = EndpointListRelay(net.now, self.name, self.run, terms, self.service.at, self, chance)
             if self.lines:
                 self.relay.start(net.known, self.lines)
             net.later(net.random.random() * 0.5, self.living(self.tick))
@@ -127,15 +127,15 @@
     def write(self, now: float, name: str, value: bytes) -> None:
         self.net.spread(self, name, value)
 
-    def cell(self, owner: str, name: str) -> bytes:
+    def read_register(self, owner: str, name: str) -> bytes:
         return self.cells.get((owner, name), b"")
 
-    def take(self, now: float, version: int, lines: Lines, delta: Lines) -> bool:
+    def apply_list(self, now: float, version: int, lines: Lines, delta: Lines) -> bool:
         self.version, self.hearsay = version, True
         self.now_has(dict(lines))
         return True
 
-    def urge(self) -> None:
+    def reschedule_call(self) -> None:
         self.net.later(0.0, self.living(self.next_call))
 
     def log(self, event: str, **fields: object) -> None:
@@ -164,13 +164,13 @@
         if name != words.HEAD or self.relay is None:
             return
         if not value:
-            self.relay.gone(self.net.now, owner)
+            self.relay.head_removed(self.net.now, owner)
             return
         try:
             head = self.net.decoded(value)
         except words.UnreadableList:
             return
-        self.relay.heard(self.net.now, owner, head, self.net.now)
+        self.relay.head_received(self.net.now, owner, head, self.net.now)
 
     # The follower.
 
@@ -181,7 +181,7 @@
         if now < self.silent_until:
             self.net.later(self.silent_until - now, self.living(self.next_call))
             return
-        until = self.relay.spared(now) if self.relay is not None else -math.inf
+        until = self.relay.deferred_until(now) if self.relay is not None else -math.inf
         if now < until:
             self.hearsay = True
             self.net.later(until - now + 1e-6, self.living(self.next_call))
@@ -200,12 +200,12 @@
         if whole or known < registry.version(now):
             net.later(ANSWER, self.living(partial(self.answered, whole, known)))
             return
-        asks = self.relay is not None and self.relay.asker
+        asks = self.relay is not None and self.relay.is_asker
         wait = (
             self.relay.period
             if asks and self.relay is not None
             else Follower.drawn_wait(
-                min(Follower.WATCH_PART * net.ask_within, Follower.MOST_WATCH), net.random.random()
+                min(Follower.WATCH_FRACTION * net.ask_within, Follower.MAX_WATCH), net.random.random()
             )
         )
         news = registry.next_at(known)
@@ -232,11 +232,11 @@
         self.now_has(
             {id: data for id, data in lines.items() if data}
             if whole
-            else words.changed(self.lines, list(lines.items()))
+            else words.apply_delta(self.lines, list(lines.items()))
         )
         if self.relay is not None:
-            self.relay.told(now, told, whole, lines)
-        rest = 0.0 if before != told else Follower.REST
+            self.relay.answered(now, told, whole, lines)
+        rest = 0.0 if before != told else Follower.EMPTY_ANSWER_PAUSE
         self.net.later(rest, self.living(self.next_call))
 
     def failed(self) -> None:
@@ -245,7 +245,7 @@
             self.relay.failed(self.net.now)
         most = min(0.25 * 2.0 ** min(self.fails, 9), self.net.ask_within / 4)
         pause = most * (0.5 + self.net.random.random())
-        self.silent_until = self.net.now + max(pause, Follower.AGAIN)
+        self.silent_until = self.net.now + max(pause, Follower.MIN_PAUSE)
         self.net.later(0.0, self.living(self.next_call))
 
     def now_has(self, lines: dict[str, bytes]) -> None:
--- a/rainspindle/lab/relayed.py
+++ b/rainspindle/lab/relayed.py
@@ -9,8 +9,8 @@
 from functools import partial
 
 from ..balancer.host import EndpointStatus, ListedEndpoint
-from ..decisions.listing.relay import Relay, Terms
-from ..program.fleet.listing import kept
+from ..decisions.listing.relay import EndpointListRelay, RelaySettings
+from ..program.fleet.listing import with_known_start
 from ..protocol import listing as words
 from ..protocol.listing import Head, Lines
 from .ledger import Met
@@ -87,8 +87,8 @@
         self.knows_at = now + cells.random.uniform(*JOIN_TIME)
         self.waits, self.waiting, self.hearsay = 0, False, False
         chance = random.Random(world.seed * 100_003 + node.number * 101 + node.lives)
-        terms = Terms(ASKERS, world.x.limits.ask_within)
-        self.relay = Relay(now, self.name, node.lives, terms, AT, self, chance)
+        terms = RelaySettings(ASKERS, world.x.limits.ask_within)
+        self.relay = EndpointListRelay(now, self.name, node.lives, terms, AT, self, chance)
         self.relay.start(node.version, encoded(known))
         node.clock.at(now + cells.random.random() * 0.5, node.living(self.tick))
 
@@ -110,15 +110,15 @@
         now = self.node.clock.now
         if name == words.HEAD:
             if value:
-                self.relay.heard(now, owner, self.cells.decoded(value), now)
+                self.relay.head_received(now, owner, self.cells.decoded(value), now)
             else:
-                self.relay.gone(now, owner)
+                self.relay.head_removed(now, owner)
 
     # The follower's side.
 
     def spares(self, now: float) -> bool:
         """Whether the next call waits; it is then asked for again when its time has come."""
-        until = self.relay.spared(now)
+        until = self.relay.deferred_until(now)
         self.waits += 1
         self.waiting = now < until
         if self.waiting:
@@ -143,7 +143,7 @@
             changed = lines
         self.note(changed)
         self.hearsay = False
-        self.relay.told(now, version, whole, encoded(lines))
+        self.relay.answered(now, version, whole, encoded(lines))
         return changed
 
     def note(self, changed: Sequence[ListedEndpoint]) -> None:
@@ -162,16 +162,16 @@
     def write(self, now: float, name: str, value: bytes) -> None:
         self.cells.write(now, self, name, value)
 
-    def cell(self, owner: str, name: str) -> bytes:
+    def read_register(self, owner: str, name: str) -> bytes:
         return self.seen.get((owner, name), (0, b""))[1]
 
-    def take(self, now: float, version: int, lines: Lines, delta: Lines) -> bool:
+    def apply_list(self, now: float, version: int, lines: Lines, delta: Lines) -> bool:
         changed = []
         for id, data in delta.items():
             before = self.listed.get(id)
             if data:
                 line = words.decode_line(id, data, 0.0)[0]
-                changed.append(line if before is None else kept(line, before))
+                changed.append(line if before is None else with_known_start(line, before))
             elif before is not None:
                 changed.append(line_gone(before))
         self.note(changed)
@@ -179,7 +179,7 @@
         self.node.told(version, changed)
         return True
 
-    def urge(self) -> None:
+    def reschedule_call(self) -> None:
         self.node.clock.at(self.node.clock.now, self.node.living(partial(self.over, self.waits)))
 
     def log(self, event: str, **fields: object) -> None: ...
--- a/rainspindle/lab/virtual.py
+++ b/rainspindle/lab/virtual.py
@@ -226,10 +226,10 @@
         taken = self.run.gate.takes(now)
         self.run.ledger.met.append(Met("call", self.number, -1, now, not taken))
         if taken:
-            longest = min(Follower.WATCH_PART * x.limits.ask_within, Follower.MOST_WATCH)
+            longest = min(Follower.WATCH_FRACTION * x.limits.ask_within, Follower.MAX_WATCH)
             wait = Follower.drawn_wait(longest, self.watch_chance())
             if part is not None:
-                wait = 0.0 if part.hearsay else part.relay.period if part.relay.asker else wait
+                wait = 0.0 if part.hearsay else part.relay.period if part.relay.is_asker else wait
             self.watch(now + wait)
         else:
             self.clock.at(now + x.registry.answer, self.living(self.failed))
@@ -259,7 +259,7 @@
         if part is not None:
             lines = part.answered(now, version, lines, whole)
         self.told(version, lines)
-        rest = now + Follower.REST if part is not None and not lines else now
+        rest = now + Follower.EMPTY_ANSWER_PAUSE if part is not None and not lines else now
         self.clock.at(rest, self.living(self.ask)) if rest > now else self.ask()
 
     def told(self, version: int, lines: list[ListedEndpoint]) -> None:
--- a/rainspindle/lab/word.py
+++ b/rainspindle/lab/word.py
@@ -12,7 +12,7 @@
 
 from ..balancer.balancer import Balancer
 from ..decisions.evidence.evidence import Evidence
-from ..decisions.evidence.watch import Watch, Watches
+from ..decisions.evidence.watch import BalancerWatch, BalancerWatches
 from ..protocol.evidence import Out, Told, decode_told, encode_told, mark_of
 from .ledger import Met
 from .virtual_views import RunView, SidecarView
@@ -54,7 +54,7 @@
         return self.chance.choice(DELAYS)
 
 
-class Informed(Watches):
+class Informed(BalancerWatches):
     """One sidecar's part in it, for one of its lives."""
 
     def __init__(self, words: Words, node: SidecarView, balancer: Balancer) -> None:
@@ -71,7 +71,7 @@
         self.evidence = Evidence(
             now, node.zone, self, random.Random(world.seed * 100_003 + node.number * 101 + node.lives)
         )
-        self.all.append(Watch(balancer, self.evidence, 0.0))
+        self.watches.append(BalancerWatch(balancer, self.evidence, 0.0))
         self.next(now + words.chance.uniform(0.0, LOOK))
 
     def next(self, at: float) -> None:
@@ -87,9 +87,9 @@
             for _, news in (pair for pair in self.coming if pair[0] <= now):
                 if news.at > self.latest.get(news.owner, -2.0):  # as cells are merged by their sequence
                     self.latest[news.owner] = news.at
-                    self.evidence.heard(now, f"s{news.owner}", news.told)
+                    self.evidence.report_received(now, f"s{news.owner}", news.told)
             self.coming = [pair for pair in self.coming if pair[0] > now]
-        out = self.look(now)
+        out = self.check(now)
         if words.liar and self.node.number == 0:
             self.lie(now)
             self.next(now + 1.0)
@@ -98,7 +98,7 @@
 
     def lie(self, now: float) -> None:
         """The worst that one cell can hold, once a second."""
-        marks = sorted(self.all[0].endpoints())
+        marks = sorted(self.watches[0].endpoints())
         turn = int(now) * 16 % len(marks)
         some = (marks[turn:] + marks)[:16]
         known = [(mark, self.start_of(mark) or 0) for mark in some]
@@ -130,5 +130,5 @@
     def rank(self) -> int:
         return self.words.rank[self.node.number]
 
-    def tell(self, now: float, told: Told) -> None:
+    def publish(self, now: float, told: Told) -> None:
         self.words.write(now, self.node.number, told)
--- a/rainspindle/program/fleet/evidence.py
+++ b/rainspindle/program/fleet/evidence.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ...decisions.evidence.evidence import Evidence
-from ...decisions.evidence.watch import Watches
+from ...decisions.evidence.watch import BalancerWatches
 from ...decisions.members.member import Member, MemberStatus
 from ...decisions.shared.registers import Register
 from ...protocol.evidence import CELL, Told, UnreadableEvidence, decode_told, encode_told
@@ -47,7 +47,7 @@
         yield f"evidence.lasts: {table.lasts:g} s is not from 5 to 120: trials are 5 s apart"
 
 
-class EvidenceRun(Watches):
+class EvidenceRun(BalancerWatches):
     """Runs the `Evidence` with the balancers, the members and the register."""
 
     def __init__(self, ground: Ground, table: EvidencePart, wall: Callable[[], float] = time.time) -> None:
@@ -67,9 +67,9 @@
     def attach(self, core: Core, follower: Follower) -> None:
         """Connects the evidence with the core's balancers and the members' registers."""
         watch(core, self, self.evidence, self.ground.config.decoder.clock_offset)
-        self.ground.cells.on_change(CELL, self.heard)
+        self.ground.cells.on_change(CELL, self.report_received)
         for seen in list(self.ground.cells.named(CELL).values()):
-            self.heard(self.ground.loop.now(), seen.register)
+            self.report_received(self.ground.loop.now(), seen.register)
 
     def ready_from(self, now: float) -> float:
         """Returns `now`: the listener does not wait for this part."""
@@ -79,7 +79,7 @@
         """Returns `inner`: requests are not changed."""
         return inner
 
-    def heard(self, now: float, register: Register) -> None:
+    def report_received(self, now: float, register: Register) -> None:
         """Handles a changed register of evidence."""
         if register.name != CELL or register.owner == self.ground.members.own_name:
             return
@@ -95,7 +95,7 @@
                 extra={"fields": {"from": register.owner, "why": fault}},
             )
         else:
-            self.evidence.heard(now, register.owner, told)
+            self.evidence.report_received(now, register.owner, told)
 
     def tick(self, now: float) -> float:
         """Does what is due and returns when to be called next at the latest."""
@@ -109,7 +109,7 @@
             ]
             first = order_hash(own)
             self.member_count, self.own_rank = len(names), sum(order_hash(name) < first for name in names)
-        any_ejected = self.look(now)
+        any_ejected = self.check(now)
         return min(self.evidence.tick(now), now + (CHECK_GAP_EJECTED if any_ejected else CHECK_GAP))
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
@@ -202,7 +202,7 @@
         """Returns the own position in a pseudo-random order of the members, 0 for the first."""
         return self.own_rank
 
-    def tell(self, now: float, told: Told) -> None:
+    def publish(self, now: float, told: Told) -> None:
         """Writes the own register."""
         self.ground.cells.write(now, CELL, encode_told(told))
 
--- a/rainspindle/program/fleet/listing.py
+++ b/rainspindle/program/fleet/listing.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ...balancer.host import EndpointStatus, ListedEndpoint
-from ...decisions.listing.relay import MIN_ASK_WITHIN, Relay, Terms
+from ...decisions.listing.relay import MIN_ASK_WITHIN, EndpointListRelay, RelaySettings
 from ...decisions.members.member import Member, MemberStatus
 from ...decisions.shared.registers import Register
 from ...lazy_dataclasses import replace
@@ -66,8 +66,8 @@
         self.usual_wait = 0.0  # seconds that the follower's watch waits in a sidecar on its own
         self.undecodable = 0
         self.notify_others: Callable[[ListChange], None] = lambda change: None
-        terms = Terms(table.askers, within, seeded)
-        self.relay = Relay(
+        terms = RelaySettings(table.askers, within, seeded)
+        self.relay = EndpointListRelay(
             ground.loop.now(),
             ground.members.own_name,
             self.run,
@@ -230,9 +230,9 @@
         now = self.ground.loop.now()
         self.check_address(now)
         assert self.follower is not None
-        self.follower.wait = self.relay.period if self.relay.asker else self.usual_wait
-        self.follower.draws_wait = not self.relay.asker  # the relay spreads its members' calls itself
-        return self.relay.spared(now)
+        self.follower.wait = self.relay.period if self.relay.is_asker else self.usual_wait
+        self.follower.draws_wait = not self.relay.is_asker  # the relay spreads its members' calls itself
+        return self.relay.deferred_until(now)
 
     def on_answer(self, change: ListChange) -> None:
         """Handles an answer of the service itself to this member."""
@@ -242,7 +242,7 @@
             self.known_lines.clear()
         lines = self.encode_changes(change)
         if lines is not None:
-            self.relay.told(now, change.version, change.whole, lines)
+            self.relay.answered(now, change.version, change.whole, lines)
 
     def encode_changes(self, change: ListChange) -> dict[str, bytes] | None:
         """Returns the changed lines as they are relayed, None if they do not fit into registers."""
@@ -281,7 +281,7 @@
         else:
             self.ground.cells.delete(now, name)
 
-    def cell(self, owner: str, name: str) -> bytes:
+    def read_register(self, owner: str, name: str) -> bytes:
         """Returns the value of a register, b"" if there is none."""
         seen = self.ground.cells.read(owner, name)
         return seen.register.value if seen is not None else b""
@@ -294,7 +294,7 @@
     def on_head_changed(self, now: float, register: Register) -> None:
         """Handles a changed head of another member."""
         if not register.value:
-            self.relay.gone(now, register.owner)
+            self.relay.head_removed(now, register.owner)
             return
         seen = self.ground.cells.read(register.owner, register.name)
         try:
@@ -307,9 +307,9 @@
                 )
             return
         self.check_address(now)
-        self.relay.heard(now, register.owner, head, seen.heard_at if seen is not None else now)
+        self.relay.head_received(now, register.owner, head, seen.heard_at if seen is not None else now)
 
-    def take(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
+    def apply_list(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
         """Applies a relayed list to the core; returns False if a line cannot be decoded."""
         assert self.core is not None and self.follower is not None
         changed: list[ListedEndpoint] = []
@@ -322,7 +322,7 @@
                         changed.append(replace(before[0], status=EndpointStatus.GONE))
                     continue
                 line, address = codec.decode_line(endpoint_id, data, self.config.decoder.clock_offset)
-                changed.append(line if before is None else kept(line, before[0]))
+                changed.append(line if before is None else with_known_start(line, before[0]))
                 if address is not None:
                     addresses[endpoint_id] = address
         except UnreadableList as fault:
@@ -338,13 +338,13 @@
         self.follower.apply_report(change)
         return True
 
-    def urge(self) -> None:
+    def reschedule_call(self) -> None:
         """Makes the follower look again at when its next call is due."""
         if self.follower is None:
             return
         relay = self.relay
         # Guards against a new asker that reports nothing until its earlier, longer watch ends.
-        if relay.asker and relay.mode == "alone" and relay.answered_at > relay.failed_at:
+        if relay.is_asker and relay.mode == "alone" and relay.answered_at > relay.failed_at:
             self.follower.restart_call()
         else:
             self.follower.task.wake()
@@ -354,7 +354,7 @@
         log.log(logging.WARNING if event in WARNING_EVENTS else logging.INFO, event, extra={"fields": fields})
 
 
-def kept(line: ListedEndpoint, before: ListedEndpoint) -> ListedEndpoint:
+def with_known_start(line: ListedEndpoint, before: ListedEndpoint) -> ListedEndpoint:
     """Returns the relayed line with the start that is already known, unless the relayed one is later.
 
     Guards against an older or missing start, which would make the endpoint count as warmed up, and against a
--- a/rainspindle/protocol/listing.py
+++ b/rainspindle/protocol/listing.py
@@ -227,7 +227,7 @@
     return lines if digest(lines) == told.digest else None
 
 
-def changed(lines: Lines, delta: Sequence[tuple[str, bytes]]) -> dict[str, bytes]:
+def apply_delta(lines: Lines, delta: Sequence[tuple[str, bytes]]) -> dict[str, bytes]:
     """Returns the list after these changes."""
     updated = {**lines, **dict(delta)}
     return {endpoint_id: data for endpoint_id, data in updated.items() if data}
--- a/rainspindle/routing/evidence.py
+++ b/rainspindle/routing/evidence.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from ..decisions.evidence.evidence import Evidence
-from ..decisions.evidence.watch import Watch, Watches
+from ..decisions.evidence.watch import BalancerWatch, BalancerWatches
 from .canary import SplitCore, side_balancer
 from .core import Core
 
 
-def watch(core: Core, watches: Watches, evidence: Evidence, offset: float) -> None:
+def watch(core: Core, watches: BalancerWatches, evidence: Evidence, offset: float) -> None:
     """Watches each balancer; `offset` is what was added to the list's Unix times to give the loop's."""
     for side in core.cores.values() if isinstance(core, SplitCore) else (core,):
         balancer = side_balancer(side)
         if balancer is not None:
-            watches.all.append(Watch(balancer, evidence, offset))
+            watches.watches.append(BalancerWatch(balancer, evidence, offset))
--- a/rainspindle/routing/follow.py
+++ b/rainspindle/routing/follow.py
@@ -22,12 +22,12 @@
 class Follower:
     """Calls discovery, passes each change on to the core and decides when the next call is made."""
 
-    MOST_WATCH = 24.0  # maximum seconds that a watch waits
+    MAX_WATCH = 24.0  # maximum seconds that a watch waits
     CONNECT_TIMEOUT = 1.0  # seconds within which a connection must be established
-    AGAIN = 0.2  # minimum seconds after a failed call; where lists are pushed, the fixed pause
+    MIN_PAUSE = 0.2  # minimum seconds after a failed call; where lists are pushed, the fixed pause
     MAX_PAUSE = 2.8  # maximum seconds after a failed call
     # Seconds between two calls that bring nothing new; a watch continues only if the next comes within 0.2 s
-    REST = 0.1
+    EMPTY_ANSWER_PAUSE = 0.1
     # A watch that is not answered within this time after its wait counts as silent. A change that it misses
     # counts as notified 2 s after its wait: the next call has to be made and answered before that.
     MAX_LATENESS = 0.5
@@ -37,7 +37,7 @@
     ANSWER_TIMEOUT = 3.2
     RETRY_WAIT = 0.1  # seconds that the first call after a failed one lets the service wait for news
     # Fractions of the asking period: after a silent watch, too, the next call is made within it
-    WATCH_PART, LATENESS_FRACTION = 0.85, 0.08
+    WATCH_FRACTION, LATENESS_FRACTION = 0.85, 0.08
     # Each watch requests a wait that is shorter by a random fraction, up to this one. Sidecars that all
     # received the same change open their next watches at the same moment. If these fall silent, all would be
     # found silent and replaced at one moment too, and a service that handles calls one after another would
@@ -56,7 +56,7 @@
     # depends on the asking period: after a failed call, no watch is opened before a call that the service
     # answers at once.
     TOLD_WITHIN = 6.0
-    UNREACHED = max(RETRY_PERIOD, CONNECT_TIMEOUT + MAX_PAUSE) + AGAIN + CONNECT_TIMEOUT
+    UNREACHED = max(RETRY_PERIOD, CONNECT_TIMEOUT + MAX_PAUSE) + MIN_PAUSE + CONNECT_TIMEOUT
     ANSWER_TIME = TOLD_WITHIN - UNREACHED
 
     def __init__(
@@ -75,7 +75,7 @@
         random pause between calls, from the start on.
         """
         self.loop, self.address, self.decoder, self.pushed = loop, address, decoder, pushed
-        self.wait = min(self.WATCH_PART * ask_within or self.MOST_WATCH, self.MOST_WATCH)
+        self.wait = min(self.WATCH_FRACTION * ask_within or self.MAX_WATCH, self.MAX_WATCH)
         self.late = min(self.LATENESS_FRACTION * ask_within or self.MAX_LATENESS, self.MAX_LATENESS)
         self.version = known.version if known.lines else None
         self.call_wanted, self.abandoned = pushed, False
@@ -137,7 +137,7 @@
             # Guards against calling a dead service in a loop. Where lists are pushed, also guards against
             # news that waits for a pause: a pause spares a service with many callers, but an agent has one.
             # Elsewhere the balancer draws the pause as a part of the asking period, which may be long.
-            earliest, latest = self.loop.now() + self.AGAIN, self.loop.now() + self.max_pause
+            earliest, latest = self.loop.now() + self.MIN_PAUSE, self.loop.now() + self.max_pause
             while self.loop.now() < earliest and not self.abandoned:
                 yield earliest
             self.call_wanted = self.call_wanted or self.pushed
@@ -180,7 +180,7 @@
             core.list_changed(change.lines, change.addresses, change.whole, stale=False)
             self.version = change.version
             # Guards against flooding a service that answers every watch at once with nothing new.
-            rest_until = min(self.loop.now() + self.REST, asked_at + self.wait)
+            rest_until = min(self.loop.now() + self.EMPTY_ANSWER_PAUSE, asked_at + self.wait)
             while (
                 (not change.lines or change.version == known)
                 and self.loop.now() < rest_until
@@ -194,13 +194,13 @@
         `lower_again`: a retry was answered with a version below the known one, so the service is back.
         """
         if lower_again:
-            return self.AGAIN
+            return self.MIN_PAUSE
         left = self.RETRY_PERIOD - (self.loop.now() - began)
         if self.may_wait or left >= self.MAX_PAUSE:
             return self.MAX_PAUSE
         # Drawn here, as the balancer's pause is longer: callers that failed together do not call again
         # together.
-        return max(left * (1 + self.jitter()) / 2, self.AGAIN)
+        return max(left * (1 + self.jitter()) / 2, self.MIN_PAUSE)
 
     def next_wait(self) -> float:
         """Returns the seconds for which the next watch lets the service wait for news."""
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -23,7 +23,7 @@
     TRIAL_SPREAD,
     Evidence,
 )
-from rainspindle.decisions.evidence.watch import Watch, Watches
+from rainspindle.decisions.evidence.watch import BalancerWatch, BalancerWatches
 from rainspindle.lab.experiment import load
 from rainspindle.lab.runs import play
 from rainspindle.lab.word_bytes import cost
@@ -80,7 +80,7 @@
     def attempts_in_flight(self) -> list[tuple[int, int]]:
         return [(MARK, 2)]
 
-    def tell(self, now: float, told: Told) -> None:
+    def publish(self, now: float, told: Told) -> None:
         assert len(encode_told(told)) <= MAX_BYTES
         self.written.append(told)
 
@@ -95,7 +95,7 @@
         total: int = 0,
         keys: list[tuple[int, int]] | None = None,
     ) -> None:
-        self.evidence.heard(
+        self.evidence.report_received(
             now, owner, Told(1, now if wall is None else wall, zone, outs, list(out), total, keys or [])
         )
 
@@ -254,7 +254,7 @@
         for n, host in enumerate(hosts):
             for _, who, told in arrived:
                 if who != n and word:
-                    host.evidence.heard(now, f"m{who}", told)
+                    host.evidence.report_received(now, f"m{who}", told)
             if host.plans:
                 due[n] = host.plans.pop()[1]
                 host.plans.clear()
@@ -334,7 +334,7 @@
 # With a balancer.
 
 
-class BalancerSide(Watches):
+class BalancerSide(BalancerWatches):
     """A balancer with its evidence, as in the program and in the lab."""
 
     def __init__(self, endpoints: int = 8, seed: int = 7) -> None:
@@ -345,7 +345,7 @@
         self.fleet.now = self.fleet.now + 100.0
         self.written: list[Told] = []
         self.evidence = Evidence(self.fleet.now, 0, self, random.Random(1))
-        self.all.append(Watch(self.fleet.balancer, self.evidence, 0.0))
+        self.watches.append(BalancerWatch(self.fleet.balancer, self.evidence, 0.0))
         self.request_count = 0
         self.failing: set[str] = set()
 
@@ -358,7 +358,7 @@
     def rank(self) -> int:
         return 0
 
-    def tell(self, now: float, told: Told) -> None:
+    def publish(self, now: float, told: Told) -> None:
         self.written.append(decode_told(encode_told(told)))
 
     def send_requests(self, count: int, gap: float = 0.05, key: str = "", keys: int = 10**9) -> list[str]:
@@ -381,13 +381,13 @@
                 n += 1
             went.append(request.sent[0].endpoint)
             self.fleet.wait(gap)
-            self.look(self.fleet.now)
+            self.check(self.fleet.now)
             self.evidence.tick(self.fleet.now)
         return went
 
     def receive(self, *words: tuple[str, Out], outs: int = 0) -> None:
         for owner, out in words:
-            self.evidence.heard(self.fleet.now, owner, Told(1, self.fleet.now, 0, outs, [out]))
+            self.evidence.report_received(self.fleet.now, owner, Told(1, self.fleet.now, 0, outs, [out]))
 
     def out(self) -> set[str]:
         return {e.id for e in self.fleet.balancer.registry.by_id.values() if e.breaker}
@@ -437,13 +437,13 @@
 def test_without_word_the_same_failures_leave_the_module_as_it_was() -> None:
     """Missing or old reports change nothing: the same random draws, endpoints and ejections."""
     with_word, without = BalancerSide(), BalancerSide()
-    without.all[0].balancer.popularity.adjust_share = own_share
+    without.watches[0].balancer.popularity.adjust_share = own_share
     for side in (with_word, without):
         side.failing = {"e2", "e5"}
     side = with_word
     for who in "abcd":
         old = Told(1, side.fleet.now - 60.0, 0, 1, [endpoint_report("e2")], 10, [(mark_of("k1"), 10)])
-        side.evidence.heard(side.fleet.now, who, old)
+        side.evidence.report_received(side.fleet.now, who, old)
     assert with_word.send_requests(400, keys=3) == without.send_requests(400, keys=3)
     assert with_word.fleet.logs == without.fleet.logs and with_word.out() == {"e2", "e5"}
 
@@ -489,7 +489,7 @@
     kept.breaker, told.breaker = CircuitBreaker(side.fleet.now - 3.0), CircuitBreaker(side.fleet.now - 12.0)
     told.breaker.trial_due = True
     side.fleet.balancer.registry.active.update({kept: None, told: None})
-    side.look(side.fleet.now)
+    side.check(side.fleet.now)
     assert len(side.evidence.ejections) == 2
     side.evidence.tick(side.fleet.now + 1.0)
     assert not any(word.out for word in side.written)
@@ -506,7 +506,7 @@
         for n in range(15):
             side = BalancerSide(endpoints=40, seed=n)
             for who in range(30 if word else 0):
-                side.evidence.heard(
+                side.evidence.report_received(
                     side.fleet.now, f"m{who}", Told(1, side.fleet.now, 0, 0, [], 10, [(mark_of("hot"), 1)])
                 )
             side.fleet.wait(2.0)
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -136,7 +136,7 @@
     followed.run(8.0)
     first, lower, whole = followed.old.calls[:3]
     assert lower.wait == Follower.RETRY_WAIT and whole.wait is None
-    assert whole.at - lower.at < Follower.RETRY_WAIT + Follower.AGAIN + 0.1
+    assert whole.at - lower.at < Follower.RETRY_WAIT + Follower.MIN_PAUSE + 0.1
     assert followed.follower.version == 3 and followed.keeper.told_at < math.inf and first.answered is False
 
 
@@ -163,7 +163,7 @@
         lambda s, call, index: followed.old.answer(s, call, whole=index is None, empty=not lines)
     )
     followed.run(10.0)
-    assert len(followed.old.calls) <= 10 / Follower.REST
+    assert len(followed.old.calls) <= 10 / Follower.EMPTY_ANSWER_PAUSE
 
 
 # Descriptors.
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -13,11 +13,17 @@
 from hypothesis import strategies as st
 
 from rainspindle.balancer.host import EndpointStatus, ListedEndpoint
-from rainspindle.decisions.listing.relay import LAST_CALL_FRACTION, RETRY_RATE, Relay, Terms, rank_hash
+from rainspindle.decisions.listing.relay import (
+    LAST_CALL_FRACTION,
+    RETRY_RATE,
+    EndpointListRelay,
+    RelaySettings,
+    rank_hash,
+)
 from rainspindle.lab.listing_net import AT, Net, Service, encoded, listed, play
 from rainspindle.lab.models.registry import Change, Registry
 from rainspindle.program.config import Config
-from rainspindle.program.fleet.listing import ListPart, kept, unfit
+from rainspindle.program.fleet.listing import ListPart, unfit, with_known_start
 from rainspindle.protocol import listing as codec
 from rainspindle.protocol.listing import Head
 from rainspindle.routing.follow import Follower
@@ -252,7 +258,7 @@
         node.service, node.version, node.calling = other, None, 0
         assert node.relay is not None
         node.relay.service_changed(net.now, other.at)
-        assert node.relay.spared(net.now) < net.now
+        assert node.relay.deferred_until(net.now) < net.now
         node.next_call()
     net.run(35.0)
     for node in net.nodes.values():
@@ -285,7 +291,9 @@
     known: dict[str, bytes], least: float, most: float
 ) -> None:
     for n in range(20):
-        relay = Relay(0.0, f"s{n}", n, Terms(3, 60.0), AT, ReportHost([]), random.Random(1))
+        relay = EndpointListRelay(
+            0.0, f"s{n}", n, RelaySettings(3, 60.0), AT, ReportHost([]), random.Random(1)
+        )
         relay.lines = known
         assert least <= relay.startup_wait_until() <= most
 
@@ -365,14 +373,14 @@
 
     def write(self, now: float, name: str, value: bytes) -> None: ...
 
-    def cell(self, owner: str, name: str) -> bytes:
+    def read_register(self, owner: str, name: str) -> bytes:
         return b""
 
-    def take(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
+    def apply_list(self, now: float, version: int, lines: codec.Lines, delta: codec.Lines) -> bool:
         self.taken.append(version)
         return True
 
-    def urge(self) -> None: ...
+    def reschedule_call(self) -> None: ...
 
     def log(self, event: str, **fields: object) -> None: ...
 
@@ -438,7 +446,7 @@
             )
         )
     host = ReportHost(["a", "b", "c", "liar", "own", "y", "z"])
-    relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, host, random.Random(seed))
+    relay = EndpointListRelay(0.0, "own", 1, RelaySettings(2, WITHIN), AT, host, random.Random(seed))
     relay.start(0, lists[0])
     seen: dict[str, int] = {}
     stop_until = -math.inf
@@ -452,33 +460,35 @@
         if came >= stop_until:
             relay.tick(now)
         before = relay.version
-        relay.heard(now, owner, head, now if came < stop_until else min(held, now))
+        relay.head_received(now, owner, head, now if came < stop_until else min(held, now))
         assert before is not None and relay.version is not None and relay.version >= before
         after_three = relay.failed_at > relay.answered_at and relay.failing_at < math.inf
         if (
-            relay.spared(now) > max(now, relay.startup_wait_until(), LAST_CALL_FRACTION * WITHIN)
+            relay.deferred_until(now) > max(now, relay.startup_wait_until(), LAST_CALL_FRACTION * WITHIN)
             and not after_three
         ):
-            assert relay.version >= at_service(relay.spared(now) - LAST_CALL_FRACTION * WITHIN - 0.01)
-            assert relay.spared(now) <= relay.confirmed + LAST_CALL_FRACTION * WITHIN
+            assert relay.version >= at_service(relay.deferred_until(now) - LAST_CALL_FRACTION * WITHIN - 0.01)
+            assert relay.deferred_until(now) <= relay.confirmed + LAST_CALL_FRACTION * WITHIN
         if chance.random() < 0.02:
-            relay.told(now, at_service(now), True, lists[at_service(now)])
+            relay.answered(now, at_service(now), True, lists[at_service(now)])
         elif chance.random() < 0.02:
             relay.failed(now)
     assert all(version < 40 for version in host.taken)
 
 
 def test_what_a_head_tells_is_as_old_as_the_one_before_and_its_changes_are_held_against_the_digest() -> None:
-    relay = Relay(0.0, "own", 1, Terms(2, WITHIN), AT, ReportHost(["a", "b", "own", "y"]), random.Random(1))
+    relay = EndpointListRelay(
+        0.0, "own", 1, RelaySettings(2, WITHIN), AT, ReportHost(["a", "b", "own", "y"]), random.Random(1)
+    )
     relay.start(1, {"e": b"1"})
     for beat, now in ((1, 0.5), (2, 1.0), (3, 6.0)):  # the third head may have been written soon after 1.0
         while relay.checked_at < now:
             relay.tick(min(relay.checked_at + 0.5, now))
         for owner in "ab":
-            relay.heard(now, owner, Head(1, AT, 1, beat, 1, relay.digest, 1), now)
+            relay.head_received(now, owner, Head(1, AT, 1, beat, 1, relay.digest, 1), now)
     assert relay.confirmed == pytest.approx(0.999)
     for owner, told in (("a", b"wrong"), ("b", b"2")):
-        relay.heard(
+        relay.head_received(
             6.5, owner, Head(1, AT, 1, 4, 2, codec.digest({"e": b"2"}), 1, False, [], 1, [("e", told)]), 6.5
         )
     assert relay.version == 2 and relay.lines == {"e": b"2"}
@@ -541,7 +551,10 @@
 def test_word_of_an_older_start_makes_nothing_warm() -> None:
     known = ListedEndpoint("e", 0, 0, 1.0, EndpointStatus.READY, 100.0)
     for told, then in ((None, 100.0), (50.0, 100.0), (100.0005, 100.0), (130.0, 130.0)):
-        assert kept(ListedEndpoint("e", 0, 0, 1.0, EndpointStatus.READY, told), known).started_at == then
+        assert (
+            with_known_start(ListedEndpoint("e", 0, 0, 1.0, EndpointStatus.READY, told), known).started_at
+            == then
+        )
 
 
 def test_the_table_says_what_is_wrong() -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -779,14 +779,14 @@
         only(rig.got()).tell(40, whole, entry("e0", rig.stands[0].port))  # it would bring back what drains
         assert rig.got() == [] and rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
         follower.want()
-        rig.wait(Follower.AGAIN)
+        rig.wait(Follower.MIN_PAUSE)
         again = only(rig.got())
         assert again.target == "/v1/endpoints"
         again.tell(41, True, entry("e0", rig.stands[0].port, "DRAINING"))
     only(rig.got()).tell(3, True)
     assert rig.got() == []
     follower.want()
-    rig.wait(Follower.AGAIN)
+    rig.wait(Follower.MIN_PAUSE)
     only(rig.got()).tell(3, True, entry("e7", rig.stands[0].port))  # it counts anew
     assert "index=3" in only(rig.got()).target and "e7" in rig.balancer.registry.by_id
 
--- a/tests/test_told_within.py
+++ b/tests/test_told_within.py
@@ -88,14 +88,14 @@
         callers.loop.end()
     assert (
         max(Follower.RETRY_PERIOD, Follower.CONNECT_TIMEOUT + Follower.MAX_PAUSE)
-        + Follower.AGAIN
+        + Follower.MIN_PAUSE
         + Follower.CONNECT_TIMEOUT
         == Follower.UNREACHED
     )
     assert Follower.UNREACHED + Follower.ANSWER_TIME == Follower.TOLD_WITHIN == TOLD_WITHIN
     assert Follower.ANSWER_TIME >= 0.5, "a service that can be reached must have time to answer"
     assert Follower.ANSWER_TIMEOUT > 3.0, "a service with many callers may take 3 s for one"
-    assert Follower.RETRY_PERIOD >= Follower.ANSWER_TIMEOUT + 2 * Follower.AGAIN, "no room for jitter"
+    assert Follower.RETRY_PERIOD >= Follower.ANSWER_TIMEOUT + 2 * Follower.MIN_PAUSE, "no room for jitter"
     assert follower.wait + follower.late < max(ask_within, 0.01), "the list must not be relied on for longer"
 
 
@@ -111,7 +111,7 @@
     "away", [Away.UNCONNECTED, Away.SILENT, Away.HALF, Away.OLDER, Away.REFUSED, Away.SLOW_UNAVAILABLE]
 )
 def test_it_is_so_whatever_the_asking_period(away: Away, ask_within: float) -> None:
-    wait = min(Follower.WATCH_PART * ask_within, Follower.MOST_WATCH)
+    wait = min(Follower.WATCH_FRACTION * ask_within, Follower.MAX_WATCH)
     check_in_time(
         Outage(away, gone_at, wait + seconds, ask_within)
         for gone_at in (0.105, 0.55 * wait)
--- a/tests/test_watches_in_step.py
+++ b/tests/test_watches_in_step.py
@@ -95,7 +95,7 @@
         callers.loop.run_until(START + 60.0)
         callers.loop.end()
     waits = {call.wait for call in service.calls}
-    longest = Follower.WATCH_PART * ASK_WITHIN
+    longest = Follower.WATCH_FRACTION * ASK_WITHIN
     assert len(waits) == len(service.calls) > 60.0 / longest
     assert all(
         wait is not None and (1 - Follower.WATCH_JITTER) * longest - 0.001 <= wait <= longest
