--- a/rainspindle/fronts/__init__.py
+++ b/rainspindle/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: coroutines that speak with clients, a package a protocol, and the backs that speak it on."""
+"""Protocol handlers, one package each: fronts serve clients, and backs forward requests to endpoints."""
--- a/rainspindle/fronts/console/__init__.py
+++ b/rainspindle/fronts/console/__init__.py
@@ -1,1 +1,1 @@
-"""The second address, for staff."""
+"""The operators' console, on an address of its own."""
--- a/rainspindle/fronts/console/front.py
+++ b/rainspindle/fronts/console/front.py
@@ -1,4 +1,4 @@
-"""The second address: one call to a connection, answered before clients' work."""
+"""The listener of the operators' console: one call per connection, served before client requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 from ...transport.connection import Broken, Connection, Late, Listener, Unwanted
 from ...transport.loop import Coroutine, Loop
 
-HEAD_TIME = 1.0  # seconds from connecting until the call is whole; a caller waits no longer for its answer
-LINGER = 0.5
-MOST = 16
+HEAD_TIME = 1.0  # seconds from connecting until the call is complete; callers wait no longer for an answer
+LINGER = 0.5  # seconds for which the rest of the call is read after the answer
+MOST = 16  # connections at once
 
 
 class ConsoleFront:
+    """Accepts console connections and answers their calls."""
+
     def __init__(
         self,
         loop: Loop,
@@ -22,21 +24,27 @@
         call: Callable[[Order], tuple[int, str]],
         fleet: Callable[[FleetCall], tuple[int, str]],
     ) -> None:
-        """`call` does what is asked and gives the status and a line of text, `fleet` gives JSON.
+        """`call` executes an order and returns the status and a line of text, `fleet` the status and JSON.
 
-        Raises OSError."""
+        Raises:
+            OSError: The address cannot be listened on.
+        """
         self.loop, self.call, self.fleet = loop, call, fleet
-        self.callers: dict[Connection, bool] = {}  # the oldest first; whether its call is whole
+        self.callers: dict[Connection, bool] = {}  # oldest first; whether the call is complete
         self.listener = Listener(loop, address, self.accepted, lambda: loop.make_room(), urgent=True)
 
     def accepted(self, connection: Connection) -> None:
-        # Guards against callers that connect and finish no call: the oldest of them gives way.
+        """Serves a new connection.
+
+        Callers that connect and never complete a call must not block others: the oldest of them is closed.
+        """
         while len(self.callers) >= MOST and self.give_way():
             pass
         self.callers[connection] = False
         self.loop.spawn(self.serve(connection), lambda: self.gone(connection), urgent=True)
 
     def give_way(self) -> bool:
+        """Closes the oldest connection with an incomplete call; returns whether there was one."""
         oldest = next((c for c, whole in self.callers.items() if not whole), None)
         if oldest is None:
             return False
@@ -45,10 +53,12 @@
         return True
 
     def gone(self, connection: Connection) -> None:
+        """Closes and forgets a connection."""
         self.callers.pop(connection, None)
         connection.close()
 
     def serve(self, caller: Connection) -> Coroutine[None]:
+        """Reads one call and answers it."""
         side, until = ConsoleSide(), self.loop.now() + HEAD_TIME
         called: Order | FleetCall | No | None = None
         try:
@@ -64,7 +74,8 @@
             self.callers[caller] = True
             until = self.loop.now() + LINGER
             yield from caller.send(out, until)
-            # Guards against an answer lost in a reset: what else the caller sends is read for a moment.
+            # Closing over unread bytes would reset the connection and lose the answer, so what the caller
+            # still sends is read for a moment.
             caller.end_sending()
             while (yield from caller.await_bytes(until, lambda: caller.closed)):
                 pass
@@ -72,4 +83,5 @@
             return
 
     def close(self) -> None:
+        """Closes the listener; calls in progress go on."""
         self.listener.close()
--- a/rainspindle/fronts/http1/__init__.py
+++ b/rainspindle/fronts/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the application's side and the endpoints'."""
+"""HTTP/1.1, towards the application and towards the endpoints."""
--- a/rainspindle/fronts/http1/back.py
+++ b/rainspindle/fronts/http1/back.py
@@ -1,4 +1,4 @@
-"""Forwards over HTTP/1.1, on connections that are kept."""
+"""Makes attempts at endpoints over HTTP/1.1, on pooled connections."""
 
 from __future__ import annotations
 
@@ -18,23 +18,27 @@
 from ...transport.pool import Peer, Pool
 from .stream import SILENCE, Carried, ClientLost, Streams, bound
 
-HOLD = 0.03  # seconds for which an answer of unknown length may become whole, so that another may replace it
+HOLD = 0.03  # seconds for which an answer of unknown length is buffered, so that a retry remains possible
 
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """The payload of an answer that has gone to its client already."""
+    """The payload of an answer that has already been streamed to its client."""
 
 
 class HttpBack:
+    """Makes attempts over HTTP/1.1; implements `routing.core.Back`."""
+
     def __init__(self, loop: Loop, pool: Pool, settings: SocketSettings, directory: Directory) -> None:
         self.loop, self.pool, self.settings, self.directory = loop, pool, settings, directory
-        self.heard: dict[str, float] = {}  # when an answer last came whole, by endpoint
+        self.heard: dict[str, float] = {}  # when each endpoint last answered
 
     def drop(self, endpoint: str, address: Address) -> None:
+        """Closes the idle connections to an endpoint."""
         self.pool.drop_all((endpoint, address))
 
     def keep_only(self, endpoints: dict[str, Address]) -> None:
+        """Discards what is stored about other endpoints, which have been removed."""
         self.heard = {id: at for id, at in self.heard.items() if id in endpoints}
 
     def forward(
@@ -47,13 +51,13 @@
         after: Callable[[], bool],
         started: Callable[[], None],
     ) -> Coroutine[Forwarded]:
-        """One forward; a served one's payload is the endpoint's `Answered`, or `Passed`."""
+        """Makes one attempt; if served, the payload is `Answered`, or `Passed` if it was streamed."""
         body: Ask | Carried = given.body
         ask, streams = (body.ask, body.streams) if isinstance(body, Carried) else (body, None)
         peer: Peer = (endpoint, address)
         binding = self.settings.binding[given.type_index]
 
-        def unwanted() -> bool:  # also where the staff take the endpoint out before the first byte
+        def unwanted() -> bool:  # also where operators disable the endpoint before the first byte
             return before() or endpoint in self.directory.left_out
 
         if ask.more and streams is not None:
@@ -63,13 +67,14 @@
                 return Forwarded(AttemptOutcome.NOT_SENT)
             except Unwanted:
                 return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
-            # Guards against word on the endpoint that came during that wait: nothing is sent past the grace.
+            # Discovery may have reported during that wait that the endpoint drains or moved. Nothing may be
+            # sent after the drain grace.
             if endpoint in self.directory.draining or self.directory.addresses.get(endpoint) != address:
                 return Forwarded(AttemptOutcome.NOT_SENT)
         connection = self.pool.take(peer, binding or ask.more)
         if connection is None:
             try:
-                # Guards against a drain told while it connects: the first byte is sent within the grace.
+                # A drain may be reported while this connects; the first byte must be within its grace.
                 connect_time = min(self.settings.connect_times[given.type_index], self.settings.drain_grace)
                 connect_until = min(until, self.loop.now() + connect_time)
                 connection = yield from self.pool.connect(peer, connect_until, binding, unwanted)
@@ -81,11 +86,11 @@
                 return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
         kept = False
         try:
-            if unwanted():  # nothing is sent for a client that has left
+            if unwanted():  # the client may have disconnected, or operators disabled the endpoint
                 return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
             call, sent_at = EndpointSide(streams is not None), self.loop.now()
-            # Guards against an endpoint that works on for a client that has long left: while a body comes, it
-            # is told the time that its client will have from the last byte on.
+            # While a body is arriving, the endpoint is told the time that its client will have after the last
+            # byte. With the time of the whole upload it would work on for a client that has long left.
             told = until if given.expiry is None else min(until, given.expiry())
             out = call.forward(ask, address_text(address).encode(), told - self.loop.now())
             answer = None
@@ -97,12 +102,12 @@
                 else:
                     yield from connection.send(out, until, before)
             except (Broken, Late):
-                # An endpoint begins when the last byte has come, and it was not written.
+                # An endpoint starts to execute at the last byte, which was not written.
                 return Forwarded(AttemptOutcome.NOT_CONNECTED)
             except ClientLost:
                 return Forwarded(AttemptOutcome.NOT_SENT, broke=True)
             try:
-                long_at = math.inf  # when an answer that flows is no longer waited for to be whole
+                long_at = math.inf  # when a streamed answer is no longer buffered
                 while answer is None:
                     if streams is not None and call.call.flows():
                         long_at = min(long_at, self.loop.now() + HOLD)
@@ -110,7 +115,7 @@
                             self.heard[endpoint] = self.loop.now()
                             try:
                                 yield from streams.enter(given.expires_at, after)
-                            except Late:  # no fault of the endpoint
+                            except Late:  # the endpoint is not at fault
                                 return Forwarded(AttemptOutcome.CANCELLED)
                             started()
                             came, kept = yield from self.pass_on(connection, call, streams)
@@ -123,8 +128,8 @@
                         raise
                     answer = call.receive(data)
             except Late:
-                # Guards against further writes to a machine that has vanished: its idle connections stay open
-                # and silent, where a new one fails as unconnected, so that even a binding exchange goes on.
+                # The machine may have vanished. Its idle connections stay open and silent, whereas a new one
+                # fails to connect, after which even a non-idempotent request may be retried elsewhere.
                 if self.heard.get(endpoint, -math.inf) < sent_at:
                     self.pool.drop_all(peer)
                 return Forwarded(AttemptOutcome.TIMED_OUT)
@@ -151,8 +156,11 @@
         first: bytes,
         before: Callable[[], bool],
     ) -> Coroutine[tuple[Answered | None, float]]:
-        """Sends a body while it comes; the answer, where one comes before the body's end, and until when to
-        wait for it. What is behind in being read is not read from the client either."""
+        """Sends a body while it arrives.
+
+        No more is read from the client than the endpoint takes. Returns the answer, if it came before the
+        end of the body, and the time limit of the wait for the answer.
+        """
 
         def early() -> bool:
             return connection.readable or before()
@@ -160,7 +168,7 @@
         bound(connection)
         piece, answer = first, None
         while True:
-            if before():  # a body that has come with its end would go on without any wait
+            if before():  # a body already received to its end is sent without a wait, which would check this
                 raise Unwanted
             yield from connection.send(piece, self.loop.now() + SILENCE, before)
             if streams.whole:
@@ -173,7 +181,7 @@
                     if before():
                         raise
                     data = connection.receive()
-                    if data is not None:  # guards against sending on what the endpoint no longer reads
+                    if data is not None:  # an early answer: the endpoint may read no more of the body
                         try:
                             answer = call.receive(data)
                         except Unreadable as fault:
@@ -185,11 +193,12 @@
     def pass_on(
         self, connection: Connection, call: EndpointSide, streams: Streams
     ) -> Coroutine[tuple[Forwarded, bool]]:
-        """A long answer goes to its client while it comes; whether the connection can be used again.
+        """Streams a long answer to its client; returns the result and whether the connection is reusable.
 
-        Guards against memory that long answers fill: no more is read than the client takes."""
+        No more is read than the client takes, so that long answers do not fill the memory.
+        """
 
-        def unwanted() -> bool:  # the client's end wakes this wait: no need to ask the kernel
+        def unwanted() -> bool:  # the client's disconnection wakes this wait: no need to ask the kernel
             client = streams.client
             return client.closed or (client.ended and self.settings.may_call_off)
 
--- a/rainspindle/fronts/http1/front.py
+++ b/rainspindle/fronts/http1/front.py
@@ -1,4 +1,4 @@
-"""The application's connections: requests read, handed on as exchanges, answered."""
+"""Serves the application's connections: reads requests, submits them to the core and writes the answers."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
 from .room import Room
 from .stream import SILENCE, Carried, Streams
 
-# A request must be whole so many seconds after connecting, or after the first byte of a later one: a client
-# may take 2 s for its head; for its body it has the time that it would take at a rate near 64 kB a second.
+# Seconds within which a request must be complete, counted from connecting, or from the first byte of a later
+# request, and the bytes a second by which a body extends it. A client may take 2 s to send the head, and send
+# its body at a rate near 64 kB a second.
 REQUEST_TIME, SLOWEST = 2.4, 56_000.0
-MOST_UPLOAD = 1200.0  # seconds that a long body may take at the most: 32 MB at half of that rate
-FEW, MANY = 0.4, 0.55  # parts of the cap on clients, over which connections end that wait for a request
-LONG_WAIT, SHORT_WAIT = 2.0, 0.25  # for so long, over the one and over the other
-LINGER, MOST_LINGER = 1.0, 256 * 1024  # seconds and bytes read on after a refusal
-CLOSE_WAIT = 0.5  # seconds for which a half-closed connection waits for its client to close too
+MOST_UPLOAD = 1200.0  # seconds that a long body may take: 32 MB at half of that rate
+FEW, MANY = 0.4, 0.55  # shares of the client limit above which idle connections are closed
+LONG_WAIT, SHORT_WAIT = 2.0, 0.25  # seconds of idleness that are allowed up to MANY and above
+LINGER, MOST_LINGER = 1.0, 256 * 1024  # seconds and bytes for which input is discarded after a last answer
+CLOSE_WAIT = 0.5  # seconds for which a half-closed connection waits for its client to close
 
 
 class HttpFront:
+    """Serves HTTP/1.1 clients."""
+
     def __init__(
         self,
         loop: Loop,
@@ -35,21 +38,25 @@
         most_clients: int,
         room: int = 32 * 1024 * 1024,
     ) -> None:
-        """Exchanges go to `taker`; the core says when they expire. `room`: bytes for long bodies and answers,
-        which are passed on piece by piece; 0 where the back is not of this protocol."""
+        """Submits requests to `taker`; the core determines their expiry.
+
+        `room`: bytes for long bodies and answers, which are streamed; 0 where the back does not use HTTP/1.1.
+        """
         self.streams, self.room = room > 0, Room(loop, room)
         self.loop, self.core, self.taker, self.pool = loop, core, taker, pool
         self.most_clients = most_clients
         self.open_ids: set[bytes] = set()
         self.clients: dict[Connection, None] = {}
         self.crowd: Crowd[Connection] = Crowd()
-        self.leaving = self.closing = False  # SIGTERM has come; connections end with their next answer
+        self.leaving = self.closing = False  # SIGTERM was received; connections close with their next answer
         self.ready_from = -math.inf
 
     def accepted(self, connection: Connection) -> bool:
-        """Takes a connection; False where every place is in use and no client gives way.
+        """Accepts a connection; returns False if the limit is reached and no client can be closed.
 
-        On the way out all are taken: the listening socket closes next, and what it holds is lost with it."""
+        During shutdown all are accepted: the listening socket closes next, and connections that are still in
+        its queue would be lost.
+        """
         if not self.has_place() and not self.leaving:
             return False
         self.clients[connection] = None
@@ -59,27 +66,30 @@
         return True
 
     def has_place(self) -> bool:
-        """Whether one more client may come: in a free place, an idle client's, or one that endpoints lend.
+        """Whether one more client fits: within the limit, instead of an idle client, or on a pool's place.
 
-        Guards against clients, all with a request under way, that take the descriptors kept for discovery,
-        the console and files."""
+        Clients that all have a request in progress must not use up the descriptors that are reserved for
+        discovery, the console and files.
+        """
         return len(self.clients) < self.most_clients or self.close_idle_client() or self.pool.can_lend()
 
     def count_lent(self) -> None:
+        """Tells the pool how many of its places are in use by clients."""
         self.pool.lent = max(0, len(self.clients) - self.most_clients)
 
     def gone(self, connection: Connection) -> None:
+        """Closes and forgets a connection."""
         self.clients.pop(connection, None)
         self.count_lent()
         self.crowd.gone(connection)
         connection.close()
 
     def close_idle_client(self) -> bool:
-        """Ends the connection that is missed the least; its coroutine sees the end."""
+        """Closes a connection without a complete request, to make room; returns whether there was one."""
         return any(self.end(one) for one in self.crowd.give_way(self.loop.now()))
 
     def end(self, connection: Connection) -> bool:
-        """Ends a connection, but where bytes lie unread: then it is about to go on."""
+        """Closes a connection, unless unread bytes show that it is in use; returns whether it did."""
         if not connection.sound():
             return False
         connection.wake()
@@ -87,12 +97,15 @@
         return True
 
     def trim_clients(self) -> None:
-        """Ends connections that wait long while many are open.
+        """Closes connections that have been idle for long while many are open.
 
-        Guards against clients that ask once and keep theirs for good: the application opens only so many, and
-        then the others have none left, though none of ours is short."""
+        The application opens a limited number of connections. Clients that send one request and then keep
+        theirs would leave none to the others, even while this process has descriptors to spare.
+        """
         now, most = self.loop.now(), self.most_clients
-        asked = self.crowd.asked(len(self.clients))  # those that owe their request are ended otherwise
+        asked = self.crowd.asked(
+            len(self.clients)
+        )  # those that have not completed a request have a time limit of their own
         over = max(0, asked - int(FEW * most))
         for connection, since in list(islice(self.crowd.waiting.items(), over)):
             if now - since < (LONG_WAIT if asked <= MANY * most else SHORT_WAIT):
@@ -101,10 +114,12 @@
             self.end(connection)
 
     def finish_clients(self, idle: float = 0.0) -> bool:
-        """Half-closes the connections with no request for so many seconds; whether no client is left.
+        """Half-closes connections idle for `idle` seconds; returns whether no client is left.
 
-        Guards against cutting off a request that has begun: it has its own time to become whole; and against
-        a reset over a request that crosses: its client sees an end with no answer, and sends it again."""
+        A request that has begun is not cut off; it has its own time limit. A request that crosses the
+        half-close is not answered by a reset: its client sees the connection end without an answer, and
+        sends it again.
+        """
         for connection in self.crowd.resting(self.loop.now(), idle):
             if connection.sound():
                 self.crowd.gone(connection)
@@ -112,12 +127,15 @@
         return not self.clients
 
     def set_stream_memory(self, size: int) -> None:
+        """Sets the bytes that long bodies and answers may use together."""
         self.room.resize(size)
 
     def make_room(self) -> bool:
+        """Closes an idle connection, to an endpoint or of a client; returns whether there was one."""
         return self.pool.make_room() or self.close_idle_client()
 
     def serve(self, client: Connection) -> Coroutine[None]:
+        """Serves the requests of one connection."""
         side = ApplicationSide(self.core.settings.type_names, MOST_STREAM if self.streams else MOST_BODY)
         since = came = self.loop.now()
         while True:
@@ -150,7 +168,7 @@
                 return
             try:
                 if isinstance(message, Ask):
-                    # Guards against a second copy, sent for another's open request.
+                    # A second copy of a request in progress is refused, so that it is not executed twice.
                     if message.request_id in self.open_ids:
                         yield from self.refuse(client, side, Bad(409, "this X-Request-ID is under way"))
                         return
@@ -158,7 +176,7 @@
                         yield from self.close_gracefully(client)
                         return
                 else:
-                    # One that leaves is not ready: its successor is, under the same address.
+                    # During shutdown this process is not ready; its successor is, on the same address.
                     ready = self.core.listed and not self.leaving and self.loop.now() >= self.ready_from
                     close = self.closes(client, side)
                     yield from client.send(
@@ -173,26 +191,28 @@
                 yield from self.close_gracefully(client)
                 return
             if side.pending:
-                # Guards against one client's many requests, sent at once, that hold up all others.
+                # One client that sends many requests at once must not hold up all others.
                 yield from self.loop.yield_turn()
             since = self.loop.now()
-            if side.begun:  # the next one came with it
+            if side.begun:  # the next request arrived with this one
                 self.crowd.went_on(client, since)
             else:
                 self.crowd.rests(client, since)
 
     def closes(self, client: Connection, side: ApplicationSide) -> bool:
-        """Whether a connection ends with the answer that is written now.
+        """Whether the connection closes with the answer that is being written.
 
-        Guards against a close on requests that came together: the last of them is answered before it."""
+        Requests that have already arrived behind it are answered first.
+        """
         return self.closing and not side.follows() and not client.pending()
 
     def close_gracefully(self, client: Connection) -> Coroutine[None]:
-        """Half-closes, and gives the client a moment to read to the end and close before it is closed here.
+        """Half-closes, and gives the client a moment to read to the end and close first.
 
-        Guards against a reset, by bytes that are unread or on their way, that takes the last answer along.
-        Nothing is read meanwhile. May hurt by a descriptor held for a client that does not close: it gives
-        way to others as one that owes its first request does."""
+        Bytes that are unread or on their way would turn a close into a reset, and the client would lose the
+        last answer. Nothing is read meanwhile. Holds a descriptor for a client that does not close, but such
+        a connection gives way to others like one that has not sent its first request.
+        """
         if client.ended or client.closed:
             return
         client.half_close()
@@ -200,11 +220,11 @@
         yield from client.await_end(self.loop.now() + CLOSE_WAIT)
 
     def refuse(self, client: Connection, side: ApplicationSide, bad: Bad) -> Coroutine[None]:
-        """Answers, then reads on for a moment: else the answer would be lost in a reset."""
+        """Answers with an error and closes the connection, without the reset that would lose the answer."""
         yield from self.last(client, side.answer(bad.status, bad.reason.encode() + b"\n", close=True))
 
     def last(self, client: Connection, out: bytes) -> Coroutine[None]:
-        """Sends an answer while the client may still be sending."""
+        """Sends the last answer of a connection, whose client may still be sending, and closes it."""
         until = self.loop.now() + LINGER
         try:
             yield from client.send(out, until)
@@ -214,9 +234,11 @@
         yield from self.read_on(client, until)
 
     def read_on(self, client: Connection, until: float) -> Coroutine[None]:
-        """Ends the sending side behind an answer, drops what its client is still sending, and closes."""
+        """Half-closes behind an answer, discards what the client is still sending, and closes."""
         left = MOST_LINGER
-        self.crowd.came(client, self.loop.now())  # may be ended for others, now that its answer is written
+        self.crowd.came(
+            client, self.loop.now()
+        )  # may be closed in favour of others, now that its answer is written
         client.end_sending()
         try:
             while left > 0 and (data := (yield from client.await_bytes(until, lambda: client.closed))):
@@ -228,12 +250,13 @@
     def exchange(
         self, client: Connection, side: ApplicationSide, ask: Ask, read_at: float
     ) -> Coroutine[bool]:
-        """Hands an exchange over and gives its client the final answer; whether the connection goes on.
+        """Submits a request and writes the final answer; returns whether the connection can be used further.
 
-        `read_at` is when the bytes came of which this request is a part: while an earlier request of the same
-        bytes was served, others may have come, and their time is not this one's."""
+        `read_at` is when the bytes of this request were received. It can differ from when the connection
+        last received any: more may have arrived while an earlier request of the same bytes was served.
+        """
 
-        def expiry() -> float:  # of a body that is still coming: as if it were whole by now
+        def expiry() -> float:  # for a body that is still arriving: as if it were complete now
             came = self.loop.now() if ask.more and not streams.whole else max(read_at, streams.whole_at)
             return self.core.expiry(ask.type_index, came, ask.wait)
 
@@ -249,7 +272,7 @@
             tenant=ask.tenant,
             request_id=ask.request_id.decode("latin-1"),
         )
-        # The request's own id may come again, when a client sends it once more, but not while it is open.
+        # A client that sends a request again may reuse its id, but not while the request is in progress.
         self.open_ids.add(ask.request_id)
         try:
             final = yield from self.taker.run(given, client.left)
@@ -257,7 +280,7 @@
             streams.leave()
             self.open_ids.discard(ask.request_id)
         if isinstance(final, Left):
-            streams.break_off()  # an answer without a length must not seem whole
+            streams.break_off()  # an answer without a length must not appear complete
             return False
         if isinstance(final, Finished) and isinstance(final.payload, Passed):
             if ask.more and not streams.whole:
@@ -278,6 +301,7 @@
         return not close
 
     def final(self, side: ApplicationSide, final: Final, close: bool) -> bytes:
+        """Encodes a final answer."""
         if isinstance(final, Finished):
             payload = final.payload
             return side.finished(payload.body, payload.headers, close, payload.length)
--- a/rainspindle/fronts/http1/room.py
+++ b/rainspindle/fronts/http1/room.py
@@ -1,4 +1,4 @@
-"""Room for what is passed on piece by piece: as many streams at once as memory allows, in order of coming."""
+"""Limits the streams at one time to what the memory set aside for them allows, in order of arrival."""
 
 from __future__ import annotations
 
@@ -7,25 +7,32 @@
 from ...transport.connection import Late, Unless, Unwanted
 from ...transport.loop import Coroutine, Loop, Task
 
-STREAM = 320 * 1024  # bytes that one stream may hold: a piece read, parsed, written, and the parser's copy
-FEWEST = 4
+STREAM = 320 * 1024  # bytes that one stream may use: a part read, parsed and written, and the parser's copy
+FEWEST = 4  # streams that are allowed whatever the memory
 
 
 class Room:
+    """Admits streams, first come first served."""
+
     def __init__(self, loop: Loop, total: int) -> None:
-        """`total` bytes for all streams together."""
+        """Allows `total` bytes for all streams together."""
         self.loop = loop
         self.taken = 0
         self.waiting: deque[Task] = deque()
         self.resize(total)
 
     def resize(self, total: int) -> None:
-        """Streams under way keep their places, also where there are fewer from now on."""
+        """Changes the total; streams in progress go on even if fewer are allowed from now on."""
         self.places = max(total // STREAM, FEWEST)
         self.wake()
 
     def enter(self, until: float, unless: Unless = None) -> Coroutine[None]:
-        """Waits for a place, in the order of coming. Raises Late, and Unwanted where `unless` holds."""
+        """Waits to be admitted.
+
+        Raises:
+            Late: The time `until` has come.
+            Unwanted: `unless` holds.
+        """
         task = self.loop.current
         assert task is not None
         self.waiting.append(task)
@@ -42,9 +49,11 @@
             self.wake()
 
     def leave(self) -> None:
+        """Ends a stream that was admitted."""
         self.taken -= 1
         self.wake()
 
     def wake(self) -> None:
+        """Wakes the first waiting stream if it can be admitted."""
         if self.waiting and self.taken < self.places:
             self.waiting[0].wake()
--- a/rainspindle/fronts/http1/stream.py
+++ b/rainspindle/fronts/http1/stream.py
@@ -1,4 +1,4 @@
-"""What goes between a client and an endpoint piece by piece, seen from the client's side."""
+"""Streams bodies and answers between a client and an endpoint: the client's side."""
 
 from __future__ import annotations
 
@@ -13,43 +13,50 @@
 from ...transport.loop import Coroutine, Loop
 from .room import Room
 
-SILENCE = 10.0  # seconds without a byte, either way, after which a stream is given up
+SILENCE = 10.0  # seconds without a byte, in either direction, after which a stream fails
 
 
-# What the machine takes over for a peer that reads slowly. Guards against memory outside the process, and
-# against a peer that seems silent: the machine tells of room only when a third of the buffer is free.
+# Bytes that the kernel buffers for a peer that reads slowly. Bounds the memory outside the process, and keeps
+# a slow peer from seeming silent: the kernel reports a socket as writable only once a third of it is free.
 SEND_BUFFER = 256 * 1024
 
 
 def bound(connection: Connection) -> None:
+    """Limits the send buffer of a connection."""
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
 
 
 class ClientLost(Exception):
-    """The client is gone, or sends nothing that can be used: no fault of the endpoint."""
+    """The client has disconnected, went silent or sent an invalid body; the endpoint is not at fault."""
 
 
 class Streams:
-    """One exchange's body, while it comes, and its answer, while it goes."""
+    """The streamed body and answer of one request."""
 
     def __init__(
         self, loop: Loop, client: Connection, side: ApplicationSide, closing: Callable[[], bool], room: Room
     ) -> None:
         self.loop, self.client, self.side, self.closing, self.room = loop, client, side, closing, room
-        self.entered = False  # whether this exchange has a place for its streams, both ways
-        self.cut: Cut | None = None  # why the body came to no end
-        self.begun = False  # whether a part of an answer has gone
-        self.framed = True  # whether the client can tell an answer that is cut short
+        self.entered = False  # whether the request was admitted to stream, in both directions
+        self.cut: Cut | None = None  # why the body could not be read to its end
+        self.begun = False  # whether a part of the answer has been written
+        self.framed = True  # whether the client can detect a truncated answer
         self.whole = self.chunked = self.closed = False
-        self.whole_at = -math.inf  # when the last byte of the body came
+        self.whole_at = -math.inf  # when the last byte of the body arrived
 
     def enter(self, until: float, unless: Unless) -> Coroutine[None]:
-        """Waits for room; once for an exchange. Raises Late, and Unwanted where `unless` holds."""
+        """Waits for admission, once per request.
+
+        Raises:
+            Late: The time `until` has come.
+            Unwanted: `unless` holds.
+        """
         if not self.entered:
             yield from self.room.enter(until, unless)
             self.entered = True
 
     def leave(self) -> None:
+        """Gives the admission back, if there was one."""
         if self.entered:
             self.entered = False
             self.room.leave()
@@ -57,7 +64,12 @@
     # The body.
 
     def read(self, unless: Unless) -> Coroutine[bytes]:
-        """The next part of the body, b"" at its end. Raises ClientLost, and Unwanted where `unless` holds."""
+        """Returns the next part of the body, b"" at its end.
+
+        Raises:
+            ClientLost: The body cannot be read to its end; `cut` then says what to answer, if anything.
+            Unwanted: `unless` holds.
+        """
         try:
             while (piece := self.side.piece()) is None:
                 data = yield from self.client.await_bytes(self.loop.now() + SILENCE, unless)
@@ -67,7 +79,7 @@
             raise ClientLost(str(cut)) from None
         except Late:
             self.cut = Cut(408, "the body did not go on")
-            raise ClientLost("silent") from None
+            raise ClientLost("the client sent no byte of the body in time") from None
         except Broken as fault:
             raise ClientLost(str(fault)) from None
         if not piece:
@@ -77,6 +89,7 @@
     # The answer.
 
     def begin(self, headers: Sequence[tuple[bytes, bytes]], length: int | None) -> Coroutine[None]:
+        """Writes the head of the answer; `length` is None where the endpoint stated none."""
         self.begun, self.chunked = True, length is None and self.side.chunked()
         self.framed = length is not None or self.chunked
         self.closed = self.closing()
@@ -85,15 +98,21 @@
         yield from self.write(self.side.head(200, headers, length, self.closed))
 
     def send(self, data: bytes) -> Coroutine[None]:
+        """Writes a part of the answer's body."""
         if data:
             yield from self.write(chunk(data) if self.chunked else data)
 
     def end(self) -> Coroutine[None]:
+        """Writes the end of the answer."""
         if self.chunked:
             yield from self.write(chunk(b""))
 
     def write(self, data: bytes) -> Coroutine[None]:
-        """Raises ClientLost. A client may take its time, as long as it takes something."""
+        """Writes all of it; a slow client is given time as long as it takes some bytes.
+
+        Raises:
+            ClientLost: The client disconnected, or took no byte for SILENCE seconds.
+        """
         view = memoryview(data)
         try:
             self.client.mine()
@@ -107,14 +126,14 @@
             raise ClientLost(str(fault)) from None
 
     def break_off(self) -> None:
-        """Ends the connection so that the client can tell that its answer is not whole."""
+        """Closes the connection, with a reset where the client could not detect the truncation otherwise."""
         if self.begun and not self.framed and not self.client.closed:
             self.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.client.close()
 
 
 class Carried:
-    """What the front of this protocol hands to its back."""
+    """A request and its streams, as the front of this protocol passes them to its back."""
 
     __slots__ = ("ask", "streams")
 
--- a/rainspindle/protocol/application.py
+++ b/rainspindle/protocol/application.py
@@ -1,4 +1,4 @@
-"""The application's messages: what it asks its sidecar, and what the sidecar answers."""
+"""HTTP messages between the application and its sidecar."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from ..lazy_dataclasses import dataclass
 from . import plain
 
-MOST_BODY = 64 * 1024  # over this a body goes on piece by piece, where it may
-MOST_STREAM = 32 * 1024 * 1024
-MOST_HEAD = 16 * 1024
+MOST_BODY = 64 * 1024  # bytes; a longer body is streamed, where that is possible
+MOST_STREAM = 32 * 1024 * 1024  # bytes of a streamed body
+MOST_HEAD = 16 * 1024  # bytes
 
 REJECTED, TERMINATED = 503, 502
 METHODS = (b"GET /", b"POST /", b"PUT /", b"HEAD /", b"DELETE /", b"PATCH /", b"OPTIONS ")
@@ -36,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """One exchange as the application asked for it."""
+    """A request of the application."""
 
     request_id: bytes
     method: bytes
     target: bytes
     body: bytes
-    headers: tuple[tuple[bytes, bytes], ...]  # those that go on unchanged
+    headers: tuple[tuple[bytes, bytes], ...]  # those that are forwarded unchanged
     type_index: int
     key: str | None
-    wait: float | None  # how long the client waits, counted from its sending
-    hint: float | None
+    wait: float | None  # seconds that the client waits, counted from when it sent the request
+    hint: float | None  # estimated cost in seconds
     repeat: bool
-    tenant: int | None = None  # its number in the settings
-    more: bool = False  # whether `body` is only its first part
-    length: int | None = None  # of the whole body, where that is told
+    tenant: int | None = None  # index in the settings
+    more: bool = False  # whether `body` is only the first part of the body
+    length: int | None = None  # of the whole body, None if unstated
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bad:
-    """A request that cannot be taken."""
+    """An invalid request, with the status and the reason that its client is told."""
 
     status: int
     reason: str
@@ -68,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The client has ended the connection between requests."""
+    """The client has ended the connection, leaving no request to answer."""
 
 
 class Cut(Exception):
-    """A body that does not go on as it must: the status and the reason that its client is told."""
+    """A streamed body is invalid or too long; has the status and the reason that its client is told."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -83,11 +83,13 @@
 
 
 def attributes(text: bytes) -> dict[str, str]:
+    """Parses a comma-separated list of name=value."""
     pairs = (part.partition("=") for part in text.decode("latin-1").split(","))
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
 def cookie(text: bytes, name: str) -> str | None:
+    """Returns the value of a cookie, None if it is absent or empty."""
     for part in text.decode("latin-1").split(";"):
         found, _, value = part.strip().partition("=")
         if found == name:
@@ -96,9 +98,10 @@
 
 
 def going_on(headers: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[bytes, bytes], ...]:
-    """All but those that belong to one connection or are written anew for each forward.
+    """Returns the headers that are forwarded: all but those of the connection or of a single attempt.
 
-    Guards against dropping the mark of a fingerprinted exchange, or one that we have no use for."""
+    Unknown headers are kept, and so is the mark of a fingerprinted request.
+    """
     named = {
         word.strip().lower() for name, value in headers if name == b"connection" for word in value.split(b",")
     }
@@ -106,70 +109,76 @@
 
 
 def number(text: str) -> float:
-    """A plain decimal number; float() alone would take `nan`, `1_0` and `1e9`."""
+    """Parses a plain decimal number; float() alone would accept `nan`, `1_0` and `1e9`.
+
+    Raises:
+        ValueError: It is none.
+    """
     if not text.isascii() or not text.replace(".", "", 1).isdecimal():
         raise ValueError(text)
     return float(text)
 
 
 def unfit(request: h11.Request, most: int) -> Bad | None:
-    """What makes a request unfit to be read on, as far as its head can tell."""
-    # h11 bounds only a head that comes in pieces.
+    """Returns why a request must not be read further, judged by its head, or None."""
+    # h11 limits only a head that arrives in several parts.
     if len(request.target) + sum(len(k) + len(v) for k, v in request.headers) > MOST_HEAD:
         return Bad(431, f"a head over {MOST_HEAD} bytes")
     headers = dict(request.headers)
     length = headers.get(b"content-length")
     if length is not None and b"transfer-encoding" in headers:
         return Bad(400, "Content-Length with Transfer-Encoding")
-    if length is not None and int(length) > most:  # its digits have been checked
+    if length is not None and int(length) > most:  # h11 has validated it
         return Bad(413, f"a body over {most} bytes")
     return None
 
 
 class ApplicationSide:
-    """One connection from the application, request after request."""
+    """The state of one connection from the application, which carries one request after another."""
 
     def __init__(self, type_names: Sequence[str], most: int = MOST_BODY) -> None:
-        """`most` is what a body may hold; over MOST_BODY it is given out piece by piece."""
+        """Limits a body to `most` bytes; if that is over MOST_BODY, longer bodies are streamed."""
         self.types = {name.encode(): n for n, name in enumerate(type_names)}
         self.most = most
-        self.came: Message | None = None  # a plain request, until it is taken
+        self.came: Message | None = None  # a plain request, until `next` returns it
         self.connection: h11.Connection | None = None  # for a request that is not plain
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self.got = 0  # bytes of the body
+        self.got = 0  # bytes received of the body
 
     def receive(self, data: bytes) -> None:
-        """Takes what has come, b"" for the end."""
+        """Takes received bytes, b"" for the end of the connection."""
         if self.connection is None:
             found = plain.request(data, MOST_HEAD, MOST_BODY)
             if found is not None:
                 self.came = self.decode(*found)
                 return
             self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
-        with contextlib.suppress(RuntimeError):  # bytes after the end: the next event says what is wrong
+        with contextlib.suppress(RuntimeError):  # bytes after the end: the next event reports the error
             self.connection.receive_data(data)
 
     @property
     def begun(self) -> bool:
-        """Whether a part of the next request is there."""
+        """Whether a part of the next request has been received."""
         return self.connection is not None
 
     @property
     def pending(self) -> bool:
-        """Whether bytes have been received that belong to no message given out yet."""
+        """Whether bytes have been received of a message that `next` has not returned yet."""
         return self.came is not None or self.connection is not None
 
     @property
     def wants_continue(self) -> bool:
+        """Whether the client waits for "100 Continue" before it sends the body."""
         return self.connection is not None and self.connection.they_are_waiting_for_100_continue
 
     def go_on(self) -> bytes:
+        """Returns an encoded "100 Continue"."""
         assert self.connection is not None
         return self.connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def next(self) -> Message | None:
-        """The next message, whole or (an `Ask` with `more`) its first part; None while more must come."""
+        """Returns the next message, or None; of a long one only the first part (an `Ask` with `more`)."""
         came, self.came, connection = self.came, None, self.connection
         if connection is None:
             return came
@@ -195,22 +204,25 @@
                     return Ended()
         except h11.RemoteProtocolError as fault:
             if connection.their_state is h11.ERROR and connection.trailing_data == (b"", True):
-                return Ended()  # it left in the middle of a request
+                return Ended()  # it disconnected in the middle of a request
             return Bad(fault.error_status_hint, str(fault))
 
     def whole(self, connection: h11.Connection, more: bool) -> Message:
+        """Returns the received request; `more` says whether its body is incomplete."""
         assert self.request is not None
         follows = b"" if more else connection.trailing_data[0]
-        # Guards against a body longer than its length: the rest would be read as a request.
+        # The excess of a body longer than its stated length would be read as the next request.
         if follows and not any(word.startswith(follows[: len(word)]) for word in METHODS):
             return Bad(400, "more bytes than belong to the request")
         body, self.body = bytes(self.body), bytearray()
         return self.decode(self.request.method, self.request.target, tuple(self.request.headers), body, more)
 
     def piece(self) -> bytes | None:
-        """The next part of a body given out piece by piece, b"" at its end, None while more must come.
+        """Returns the next part of a streamed body, b"" at its end, None if more bytes are needed.
 
-        Raises Cut."""
+        Raises:
+            Cut: The body is invalid or too long.
+        """
         assert self.connection is not None
         try:
             event = self.connection.next_event()
@@ -230,6 +242,7 @@
     def decode(
         self, method: bytes, target: bytes, all_headers: plain.Headers, body: bytes, more: bool = False
     ) -> Message:
+        """Interprets the headers of a request."""
         headers = dict(all_headers)
         path = target.partition(b"?")[0]
         if path == b"/ready":
@@ -269,10 +282,11 @@
     def finished(
         self, body: bytes, headers: Sequence[tuple[bytes, bytes]], close: bool, length: int | None = None
     ) -> bytes:
-        """`length` is told to who asked for the head alone, where the endpoint told it."""
+        """Encodes an endpoint's answer; `length`: the Content-Length in answer to HEAD, if stated."""
         return self.answer(200, body, close, headers, length)
 
     def rejected(self, hold_off: float, close: bool) -> bytes:
+        """Encodes a rejection; `hold_off` is for how many seconds the client should wait, 0 if unstated."""
         headers = [(b"Retry-After", f"{hold_off:.3f}".encode())] if hold_off > 0 else []
         return self.answer(REJECTED, b"", close, headers)
 
@@ -284,13 +298,14 @@
         headers: Sequence[tuple[bytes, bytes]] = (),
         length: int | None = None,
     ) -> bytes:
+        """Encodes an answer; `length` replaces the length of the body in answer to HEAD."""
         length = length if length is not None and self.asked_head() else len(body)
         return self.head(status, headers, length, close) + (b"" if self.asked_head() else body)
 
     def head(
         self, status: int, headers: Sequence[tuple[bytes, bytes]], length: int | None, close: bool
     ) -> bytes:
-        """The head of an answer; without a length its body goes in chunks, or ends with the connection."""
+        """Encodes the head of an answer; without a length the body is chunked or ends with the connection."""
         all_headers = list(headers)
         if length is not None:
             all_headers.append((b"Content-Length", b"%d" % length))
@@ -301,25 +316,26 @@
         return plain.encode(plain.status_line(status), all_headers, b"")
 
     def chunked(self) -> bool:
-        """Whether the client understands chunks."""
+        """Whether the client supports the chunked encoding."""
         return self.request is None or self.request.http_version >= b"1.1"
 
     def follows(self) -> bool:
-        """Whether a part of the next request has come with the one that is open."""
+        """Whether a part of the next request has arrived with the current one."""
         return self.connection is not None and self.connection.trailing_data[0] != b""
 
     def goes_on(self) -> bool:
-        """Whether the connection can carry a further request."""
+        """Whether the connection can carry another request."""
         return self.connection is None or self.connection.their_state is h11.DONE
 
     def asked_head(self) -> bool:
+        """Whether the request is a HEAD, whose answer has no body."""
         return self.request is not None and self.request.method == b"HEAD"
 
     def next_cycle(self) -> bool:
-        """Whether the connection can carry a further request; made ready for it if so."""
+        """Ends the current request; returns whether the connection can carry another one."""
         goes_on = self.goes_on()
         follows = self.connection.trailing_data[0] if self.connection is not None and goes_on else b""
         self.connection, self.request = None, None
-        if follows:  # the next request came with the last one
+        if follows:  # the next request arrived with the last one
             self.receive(follows)
         return goes_on
--- a/rainspindle/protocol/client.py
+++ b/rainspindle/protocol/client.py
@@ -1,4 +1,4 @@
-"""The asking side of one HTTP exchange: a request encoded, an answer gathered from what comes back."""
+"""The client side of HTTP: encodes a request and assembles the answer from received bytes."""
 
 from __future__ import annotations
 
@@ -11,27 +11,29 @@
 
 Headers = Iterable[tuple[bytes, bytes]]
 
-MOST_HEAD = 16 * 1024
+MOST_HEAD = 16 * 1024  # bytes
 BEGINS = b"HTTP/1."
 
 
 class Unreadable(Exception):
-    """What came is not an answer, or not a whole one."""
+    """The received bytes are not a valid and complete answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
+    """A complete answer."""
+
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    reusable: bool  # whether the connection can carry a further request
+    reusable: bool  # whether the connection can carry another request
 
 
 class Call:
-    """One request and its answer; the next one on the same connection is a new Call."""
+    """One request and its answer; each request on a connection has a Call of its own."""
 
     def __init__(self, most: int, most_stream: int = 0) -> None:
-        """An answer over `most` bytes is refused, or up to `most_stream` given out piece by piece."""
+        """Refuses an answer over `most` bytes; one of up to `most_stream` bytes is streamed instead."""
         self.most, self.most_stream = most, most_stream
         self.got = 0
         self.method = b"GET"
@@ -40,21 +42,23 @@
         self.body = bytearray()
 
     def request(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
+        """Encodes the request."""
         self.method = method
         return plain.encode(b"%b %b HTTP/1.1" % (method, target), headers, body)
 
     def length(self) -> int | None:
-        """Of the answer's body, as its head tells it; a body in chunks has none, whatever the head says."""
+        """Returns the stated length of the answer's body, None if unstated or if the body is chunked."""
         if self.response is None or self.in_chunks(self.response):
             return None
         told = dict(self.response.headers).get(b"content-length")
         return None if told is None else int(told)
 
     def in_chunks(self, response: h11.Response) -> bool:
+        """Whether the body is chunked."""
         return b"transfer-encoding" in dict(response.headers)
 
     def flows(self) -> bool:
-        """Whether an answer has begun that is to be given out piece by piece: it is long, or nobody knows."""
+        """Whether an answer has begun that is to be streamed: its body is long or of unknown length."""
         return (
             self.response is not None
             and self.response.status_code == 200
@@ -64,18 +68,22 @@
         )
 
     def take(self) -> bytes:
-        """What has come of the body since the last call."""
+        """Returns what has been received of the body since the last call."""
         taken, self.body = bytes(self.body), bytearray()
         return taken
 
     def receive(self, data: bytes) -> Reply | None:
-        """Takes what has come, b"" for the end; gives the answer once it is whole."""
+        """Takes received bytes, b"" for the end of the connection; returns the answer once it is complete.
+
+        Raises:
+            Unreadable: The answer is invalid, incomplete or too long.
+        """
         if self.connection is None:
             found = plain.answer(data, MOST_HEAD, self.most) if self.method != b"HEAD" else None
             if found is not None:
                 return Reply(*found, reusable=True)
             if data and not data.startswith(BEGINS[: len(data)]):
-                raise Unreadable("not an answer from its first byte on")
+                raise Unreadable("the answer does not begin with HTTP/1")
             self.connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
             self.connection.send(h11.Request(method=self.method, target=b"/", headers=[(b"Host", b"h")]))
             self.connection.send(h11.EndOfMessage())
@@ -88,24 +96,25 @@
                 if isinstance(event, h11.Response):
                     self.response = event
                     if (self.length() or 0) > max(self.most, self.most_stream) and self.method != b"HEAD":
-                        raise Unreadable(f"an answer of {self.length()} bytes")
+                        raise Unreadable(f"the answer has {self.length()} bytes, over the limit")
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     self.got += len(event.data)
                     if self.got > (self.most_stream if self.flows() else self.most):
-                        raise Unreadable(f"an answer over {self.most} bytes")
+                        raise Unreadable(f"the answer has over {self.most} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     return self.reply(self.connection)
                 elif not isinstance(event, h11.InformationalResponse):
-                    raise Unreadable("the connection ended before the answer")
+                    raise Unreadable("the endpoint ended the connection before the answer")
         except h11.RemoteProtocolError as fault:
             raise Unreadable(str(fault)) from None
 
     def reply(self, c: h11.Connection) -> Reply:
+        """Returns the complete answer."""
         assert self.response is not None
-        # Guards against keeping a connection that has ended, or that holds bytes nobody asked for.
+        # A connection that has ended, or that holds unsolicited bytes, must not be reused.
         reusable = c.our_state is h11.DONE and c.their_state is h11.DONE and c.trailing_data == (b"", False)
-        # Guards against an endpoint that ended its body elsewhere than where its chunks end (RFC 9112, 6.3).
+        # With both headers, endpoint and sidecar may disagree on where the body ends (RFC 9112, 6.3).
         if self.in_chunks(self.response) and b"content-length" in dict(self.response.headers):
             reusable = False
         return Reply(self.response.status_code, tuple(self.response.headers), bytes(self.body), reusable)
--- a/rainspindle/protocol/endpoint.py
+++ b/rainspindle/protocol/endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoints' messages: an exchange forwarded, and what came of it."""
+"""HTTP messages between the sidecar and endpoints: attempts and their outcomes."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """How a forward ended, as the endpoint said."""
+    """An endpoint's answer to an attempt."""
 
     outcome: AttemptOutcome
-    headers: tuple[tuple[bytes, bytes], ...]  # those that go on unchanged
+    headers: tuple[tuple[bytes, bytes], ...]  # those that are forwarded unchanged
     body: bytes
     reusable: bool
-    length: int | None = None  # that the head tells, where it alone was asked for
+    length: int | None = None  # as stated in answer to HEAD, else None
 
 
 class EndpointSide:
-    """One forward on a connection to an endpoint."""
+    """One attempt on a connection to an endpoint."""
 
     def __init__(self, streams: bool = False) -> None:
-        """`streams`: whether a long answer may be given out piece by piece."""
+        """Streams a long answer if `streams`; otherwise it is refused."""
         self.call = Call(MOST_BODY, MOST_STREAM if streams else 0)
         self.chunked = False
 
     def forward(self, ask: Ask, host: bytes, patience: float) -> bytes:
-        """The request, or its head and the first part of its body."""
+        """Encodes the request, or its head and the first part of the body; `patience` is in seconds."""
         left = str(max(1, int(patience * 1000))).encode()
         headers = [(b"Host", host), (b"X-Timeout-Ms", left), *ask.headers]
         self.chunked = ask.more and ask.length is None
@@ -42,11 +42,11 @@
         )
 
     def piece(self, data: bytes) -> bytes:
-        """A further part of the body, b"" for its end."""
+        """Encodes another part of the body, b"" for its end."""
         return chunk(data) if self.chunked else data
 
     def receive(self, data: bytes) -> Answered | None:
-        """Takes what has come; gives the end once the answer is whole. Raises Unreadable."""
+        """Takes received bytes; returns the answer once it is complete. Raises `client.Unreadable`."""
         reply = self.call.receive(data)
         return (
             None
@@ -62,13 +62,14 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a body without a length; the last one for b""."""
+    """Encodes a part of a body as a chunk, b"" as the last one."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def outcome(reply: Reply) -> AttemptOutcome:
+    """Returns the outcome of an attempt that was answered."""
     if reply.status == 200:
         return AttemptOutcome.SERVED
     if reply.status in (503, 504) and (b"x-not-processed", b"1") in reply.headers:
         return AttemptOutcome.OVERLOADED
-    return AttemptOutcome.ERROR  # whatever it says, it may have run
+    return AttemptOutcome.ERROR  # whatever the status, it may have been executed
--- a/rainspindle/protocol/plain.py
+++ b/rainspindle/protocol/plain.py
@@ -1,7 +1,7 @@
-"""Messages in their plain form, read and written without a state machine.
+"""A fast path for plain HTTP messages, parsed and encoded without a state machine.
 
-Nearly all are plain: whole in one piece, of one length, with nothing that changes how a connection goes on.
-What is not is left to h11, by which alone a message is ever found bad.
+Nearly all messages are plain: received at once and complete, of one stated length, and without headers that
+change how the connection continues. All others are left to h11, and only h11 ever declares a message invalid.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def request(data: bytes, most_head: int, most_body: int) -> tuple[bytes, bytes, Headers, bytes] | None:
-    """Method, target, headers and body of a plain request."""
+    """Returns method, target, headers and body of a plain request, None if it is not plain."""
     head = REQUEST.match(data)
     if head is None or head.end() > most_head:
         return None
@@ -42,7 +42,7 @@
 
 
 def answer(data: bytes, most_head: int, most_body: int) -> tuple[int, Headers, bytes] | None:
-    """Status, headers and body of a plain answer."""
+    """Returns status, headers and body of a plain answer, None if it is not plain."""
     head = ANSWER.match(data)
     if head is None or head.end() > most_head or head[1] in (b"204", b"304"):
         return None
@@ -55,6 +55,7 @@
 
 
 def fields(block: bytes) -> Headers:
+    """Parses header lines, with the names in lower case."""
     found = []
     for line in block.split(b"\r\n")[:-1]:
         name, _, value = line.partition(b":")
@@ -63,7 +64,7 @@
 
 
 def whole(headers: Headers, names: list[bytes], length: int, most: int, bodiless: bool) -> bool:
-    """Whether just the body that the headers tell of is there."""
+    """Whether the received body is exactly the one that the headers announce."""
     if any(name in names for name in NOT_PLAIN) or (
         b"connection" in names and (b"connection", b"keep-alive") not in headers
     ):
@@ -75,9 +76,10 @@
 
 
 def encode(first: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """The headers have been read before, so none holds a line's end."""
+    """Encodes a message; the headers were parsed before, so none contains a line break."""
     return b"".join((first, b"\r\n", *(b"%b: %b\r\n" % header for header in headers), b"\r\n", body))
 
 
 def status_line(status: int) -> bytes:
+    """Encodes the first line of an answer."""
     return b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b""))
--- a/rainspindle/routing/__init__.py
+++ b/rainspindle/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The core that owns exchanges, the facade round the decision module, and what follows the list."""
+"""Request handling: the core, the facade of the decision module, and the followers of the endpoint list."""
--- a/rainspindle/routing/core.py
+++ b/rainspindle/routing/core.py
@@ -1,7 +1,7 @@
-"""The life of an exchange, whoever brought it: from its last byte to its one final answer.
+"""Carries each request from its arrival to its one final answer, independently of the protocol.
 
-A front hands over what it took and is given back the final answer; a back does each forward in its protocol.
-The core asks the decisions what to do in between, and knows neither protocol.
+A client-side handler (front) submits a request and receives the final answer. An upstream handler (back)
+performs each attempt in its own protocol. In between, the core does what the decision module decides.
 """
 
 from __future__ import annotations
@@ -19,44 +19,52 @@
 from ..transport.loop import Coroutine, Loop, Task
 from .facade import Effects, Facade, Fail, Reject, SendAttempt, Step
 
-ANSWER_TIME, ANSWER_PART = 0.015, 0.05  # kept back before the expiry to write the answer, the smaller one
+ANSWER_TIME, ANSWER_PART = (
+    0.015,
+    0.05,
+)  # reserved before expiry to write the answer: the smaller of seconds and share
 
 
 def nothing() -> None:
-    """A body that is whole is never spent."""
+    """Does nothing; the default of callbacks that a request or a caller does not need."""
 
 
 def never() -> float:
+    """Returns a time that is never reached."""
     return math.inf
 
 
 @dataclass(slots=True)
 class Given:
-    """An exchange as a front took it. `body` is between the front and the back of one protocol."""
+    """A request as a front received it. Only the front and the back of one protocol interpret `body`."""
 
     type_index: int
     key: str | None
     hint: float | None
     repeat: bool
-    expires_at: float  # on the loop's clock; the final answer is given by then
+    expires_at: float  # on the loop's clock; the final answer is due by then
     body: Any
-    # Where the body is still coming when the exchange is taken: the expiry, once its last byte has come. It
-    # goes with one forward; until then `expires_at` tells when it is given up.
+    # Set where the body is still arriving when the request is accepted: computes the expiry that applies from
+    # the last byte on. Such a body is sent in one attempt only; until its end `expires_at` bounds the upload.
     expiry: Callable[[], float] | None = None
-    spent: Callable[[], None] = nothing  # the back calls it when a part that is not kept goes to an endpoint
-    written: Callable[[], float] = never  # and this after the last byte; until when to wait for the answer
-    tenant: int | None = None  # its number in the settings
-    request_id: str = ""  # the client's own, where the protocol has one
+    spent: Callable[[], None] = nothing  # called by the back when it sends a part that is not buffered
+    written: Callable[[], float] = (
+        never  # called by the back after the last byte; returns the time limit of the wait
+    )
+    tenant: int | None = None  # index in the settings
+    request_id: str = ""  # chosen by the client; empty where the protocol has none
 
 
 @dataclass(slots=True)
 class Finished:
-    payload: Any  # of the back
+    """An endpoint served the request."""
+
+    payload: Any  # as the back returned it
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Trying again is harmless; `ran` where a forward of it may have run all the same."""
+    """The client may safely send the request again; `ran`: an attempt may nevertheless have been executed."""
 
     hold_off: float
     ran: bool
@@ -64,50 +72,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Terminated:
-    """Nothing is promised."""
+    """The request failed, and it is unknown whether it was executed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """The client has left: nothing is owed."""
+    """The client disconnected and expects no answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broke:
-    """A part of the answer has gone to the client and the rest will not: its connection is to be ended."""
+    """The answer was cut off after a part had gone to the client, whose connection must be closed."""
 
 
 Final = Finished | Rejected | Terminated | Left | Broke
 
 
 class Taker(Protocol):
-    """What a front hands its exchanges to: the core, or what chooses between it and elsewhere."""
+    """Accepts requests from a front: the core, or a router that chooses between the core and another way."""
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
-        """The final answer. `gone` tells whether the client has left; its task is woken when that changes."""
+        """Returns the final answer.
+
+        `gone` tells whether the client has disconnected; the running task is woken when that changes.
+        """
 
 
 @dataclass(slots=True)
 class Forwarded:
-    """What came of one forward."""
+    """The result of one attempt."""
 
     outcome: AttemptOutcome
-    payload: Any = None  # of a served one
-    lag: float = 0.0  # how long the answer lay unread
-    broke: bool = False  # after a part of its answer had gone to the client: nothing more can be done
+    payload: Any = None  # where the attempt was served
+    lag: float = 0.0  # seconds for which the answer lay unread
+    broke: bool = False  # it failed after a part of the answer had gone to the client; no retry is possible
 
 
 @dataclass(slots=True)
 class Directory:
-    """Where endpoints are, as the list last told: shared by the core, which fills it, and its back."""
+    """Endpoints as the endpoint list last reported them; filled by the core and read by its back too."""
 
     addresses: dict[str, Address] = field(default_factory=dict)
     started: dict[str, float | None] = field(default_factory=dict)
-    draining: dict[str, float] = field(default_factory=dict)  # since when, of those that are told to drain
-    left_out: set[str] = field(default_factory=set)  # by order of the staff
+    draining: dict[str, float] = field(
+        default_factory=dict
+    )  # the time since which each draining endpoint drains
+    left_out: set[str] = field(default_factory=set)  # disabled by the operators
 
 
 class Back(Protocol):
+    """Performs attempts in one protocol."""
+
     def forward(
         self,
         given: Given,
@@ -118,32 +133,36 @@
         after: Callable[[], bool],
         started: Callable[[], None],
     ) -> Coroutine[Forwarded]:
-        """One forward, given up when `before` holds until the last byte is written, and after it `after`.
+        """Makes one attempt.
 
-        Calls `started` when a part of the answer goes to the client before its end is here; from then on
-        `until` bounds its silence alone, and the expiry the whole."""
+        Gives it up when `before` holds while the request is being written, or `after` once it is written.
+        Calls `started` before it passes on a first part of an answer that is still incomplete. From then
+        on `until` limits only the time without data, and the expiry limits the whole attempt.
+        """
 
     def drop(self, endpoint: str, address: Address) -> None:
-        """What is kept idle to an endpoint is of no more use."""
+        """Closes the idle connections to an endpoint."""
 
     def keep_only(self, endpoints: dict[str, Address]) -> None:
-        """The others are gone: nothing is to be remembered of them."""
+        """Discards everything stored about other endpoints, which have been removed."""
 
 
 class Held:
-    """An exchange under way: what the module has decided for it and its coroutine has not yet done."""
+    """A request in progress, with the decided steps that its coroutine has not yet performed."""
 
     __slots__ = ("called_off", "given", "left", "out", "ran", "repeat_until", "steps", "task")
 
     def __init__(self, task: Task, given: Given) -> None:
         self.task, self.given = task, given
         self.steps: deque[Step] = deque()
-        self.out: int | None = None  # the number of the forward that is out
+        self.out: int | None = None  # number of the attempt in flight
         self.called_off = self.left = self.ran = False
-        self.repeat_until = math.inf  # when endpoints forget the first attempt that may have run
+        self.repeat_until = math.inf  # when endpoints forget the first attempt that may have been executed
 
 
 class Core:
+    """Runs requests by the decisions of the decision module, and keeps the directory of endpoints."""
+
     def __init__(
         self,
         loop: Loop,
@@ -154,22 +173,25 @@
         on_watch: Callable[[], None],
         on_tick: Callable[[], None] = nothing,
     ) -> None:
-        """`on_watch` is called when the list is to be watched, `on_tick` some times a second."""
+        """Calls `on_watch` when the endpoint list must be watched, and `on_tick` at least once a second."""
         self.loop, self.facade, self.settings = loop, facade, settings
         self.directory, self.back = directory, back
         self.on_watch, self.on_tick = on_watch, on_tick
-        self.tell: Callable[[str], None] = lambda message: None  # the other sidecars, where there are any
+        self.tell: Callable[[str], None] = lambda message: (
+            None
+        )  # sends to the other sidecars, where there are any
         self.held: dict[int, Held] = {}
         self.taken = 0
-        self.last_answer = math.inf  # when the last exchange must be answered, on the way out
-        self.listed = False  # whether there is a list to go by
+        self.last_answer = math.inf  # by when every request must be answered during shutdown
+        self.listed = False  # whether an endpoint list is available
         self.looks_at = -math.inf
         self.ticker = loop.spawn(loop.lasting(self.tick))
         self.apply(facade.taken())
 
-    # What the module did.
+    # Decisions.
 
     def apply(self, did: Effects) -> None:
+        """Carries out what the decision module returned."""
         for exchange, step in did.steps:
             held = self.held[exchange]
             held.steps.append(step)
@@ -188,32 +210,41 @@
             self.ticker.wake()
 
     def tick(self) -> Coroutine[None]:
+        """Calls the decision module whenever it asked to be called, and at least once a second."""
         while True:
-            self.looks_at = -math.inf  # awake
+            self.looks_at = -math.inf  # running now, so `apply` need not wake it
             did = self.facade.tick(self.loop.now())
             self.apply(did)
             out = sum(
                 (h.out is not None) + sum(isinstance(s, SendAttempt) for s in h.steps)
                 for h in self.held.values()
             )
-            check_invariant(out == self.facade.in_flight(), "the module believes in flight what is in flight")
+            check_invariant(
+                out == self.facade.in_flight(), "the module counts as many attempts in flight as there are"
+            )
             self.on_tick()
             self.looks_at = min(did.next_timer_at, self.loop.now() + 1.0)
             yield self.looks_at
 
-    # The list.
+    # The endpoint list.
 
     def list_changed(
         self, lines: tuple[ListedEndpoint, ...], addresses: dict[str, Address], whole: bool, stale: bool
     ) -> None:
+        """Applies a change of the endpoint list.
+
+        `whole`: the lines are the complete list, so that other endpoints are removed. `stale`: it was stored
+        earlier and has not been confirmed by discovery.
+        """
         directory = self.directory
         before = directory.addresses
         gone = {line.id for line in lines if line.status is EndpointStatus.GONE}
         named = addresses if whole else {**before, **addresses}
-        # Guards against growth: the ids of endpoints are ever new.
+        # Removed endpoints must be dropped: ids are not reused, so the mapping would grow without bound.
         directory.addresses = {id: address for id, address in named.items() if id not in gone}
         for line in lines:
-            # Guards against connections to a machine that has vanished: they stay open and silent.
+            # A restarted endpoint may be on another machine; connections to one that has vanished stay open
+            # and silent.
             if (
                 line.id in before
                 and line.started_at is not None
@@ -235,31 +266,33 @@
         self.listed = self.listed or bool(lines) or not stale
 
     def leave_out(self, endpoint: str, out: bool) -> None:
-        """An order of the staff, in force when this returns."""
+        """Disables an endpoint, or enables it again, by an operator's order; in force on return."""
         if out:
             self.directory.left_out.add(endpoint)
-            # Guards against what is just being connected: it is looked at again before its first byte.
+            # Wakes attempts that are still connecting, so that they check again before their first byte.
             for held in self.held.values():
                 if held.out is not None:
                     held.task.wake()
         else:
             self.directory.left_out.discard(endpoint)
-        if endpoint in self.directory.addresses:  # it is restarted meanwhile
+        if endpoint in self.directory.addresses:  # it may be restarted while disabled
             self.back.drop(endpoint, self.directory.addresses[endpoint])
         self.apply(self.facade.leave_out(self.loop.now(), endpoint, out))
 
     def peer_gone(self, who: str) -> None:
-        """Another sidecar's word counts for nothing from now on."""
+        """Discards what another sidecar reported."""
         self.facade.peer_gone(self.loop.now(), who)
 
     def list_failed(self) -> None:
+        """Reports to the decision module that discovery failed."""
         self.apply(self.facade.list_failed(self.loop.now()))
 
     def answer_by(self, deadline: float) -> None:
-        """From now on each request has its answer by then, also one that is under way.
+        """Limits the expiry of every request, also of those in progress, to `deadline`.
 
-        Guards against a process that ends while it still waits for an endpoint: such a request would have no
-        answer at all, as it was taken with more time than the process has."""
+        A request accepted with more time than the process has left would otherwise get no answer at all:
+        the process would exit while it still waits for an endpoint.
+        """
         self.last_answer = deadline
         for exchange, held in self.held.items():
             held.given.expires_at = min(held.given.expires_at, deadline)
@@ -268,21 +301,25 @@
             self.loop.spawn(self.wake_held(deadline))
 
     def wake_held(self, at: float) -> Coroutine[None]:
+        """Wakes all requests in progress once that time has come."""
         while self.loop.now() < at:
             yield at
         for held in self.held.values():
             held.task.wake()
 
-    # One exchange.
+    # One request.
 
     def expiry(self, type_index: int, came: float, wait: float | None) -> float:
-        """When an exchange must be answered whose last byte came then, and whose client waits so long."""
+        """Returns when a request must be answered.
+
+        `came` is when its last byte arrived, `wait` how many seconds its client waits, None if unstated.
+        """
         longest = self.settings.expiries[type_index]
         wait = longest if wait is None else min(wait, longest)
         return min(came + wait - min(ANSWER_TIME, ANSWER_PART * wait), self.last_answer)
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
-        """Does the steps that the module decides, until there is a final answer."""
+        """Performs the steps that the decision module chooses, until there is a final answer."""
         task = self.loop.current
         assert task is not None
         self.taken += 1
@@ -296,8 +333,9 @@
             return held.left
 
         def before() -> bool:
-            # Guards against a repeat that was decided in time and is written late: its connection came up
-            # late, or its endpoint reads slowly. It begins with its last byte, past the memory span.
+            # A retry decided in time may be written late, because its connection came up late or its
+            # endpoint reads slowly. It is executed from its last byte on, when the deduplication window may
+            # have passed, so it is given up.
             return left() or held.called_off or self.loop.now() >= min(held.repeat_until, self.last_answer)
 
         def after() -> bool:
@@ -321,7 +359,8 @@
 
         given.spent, given.written = spent, written
         try:
-            # A request that waited behind another on its connection takes no budget or place in the module.
+            # The client may have left while the request waited behind another on its connection; it then uses
+            # no budget and no place in the decision module.
             if gone():
                 return Left()
             self.apply(
@@ -338,7 +377,7 @@
             )
             while held.steps:
                 step = held.steps.popleft()
-                check_invariant(not held.steps, "one step at a time for an exchange")
+                check_invariant(not held.steps, "a request has one pending step at a time")
                 if isinstance(step, Reject):
                     return Rejected(step.retry_after, held.ran)
                 if isinstance(step, Fail):
@@ -353,7 +392,7 @@
                         given, step.endpoint, address, until, before, after, started
                     )
                 if came.outcome is not AttemptOutcome.SERVED and not came.broke:
-                    left()  # or the module would pick a further endpoint for nobody
+                    left()  # or the module would choose another endpoint for a client that has left
                 held.out, held.called_off = None, False
                 if not held.ran and came.outcome not in NEVER_EXECUTED:
                     held.ran = True
@@ -372,9 +411,9 @@
                     return Left() if held.left else Broke()
                 if came.outcome is AttemptOutcome.SERVED:
                     return Finished(came.payload)
-            check_invariant(False, "an exchange is held with nothing sent")
+            check_invariant(False, "a request is in progress with no attempt sent")
             return Terminated()
-        except Exception as fault:  # a defect: the client still gets its one answer, the module forgets it
+        except Exception as fault:  # a defect: the client still gets an answer, the module drops it
             self.loop.on_fault(fault)
             self.apply(self.facade.left(self.loop.now(), exchange))
             if held.out is not None:
--- a/rainspindle/transport/__init__.py
+++ b/rainspindle/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Loop, timers, connections and pools. Nothing here knows what the bytes mean."""
+"""Event loop, timers, connections and pools, independent of the protocols that use them."""
--- a/rainspindle/transport/address.py
+++ b/rainspindle/transport/address.py
@@ -1,4 +1,4 @@
-"""Addresses as host:port, numeric: there is no DNS."""
+"""Addresses as host:port with a numeric host; names are not resolved."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 def address_text(address: Address) -> str:
+    """Formats an address as host:port, with an IPv6 host in brackets."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def parse_address(text: str) -> Address:
-    """Of host and port, as `address_text` writes them. Raises ValueError, also for names.
+    """Parses host:port as `address_text` writes it; raises ValueError, also for a host name.
 
     >>> parse_address("[::1]:80")
     ('::1', 80)
@@ -27,10 +28,10 @@
         raise ValueError(f"not an address: {text!r}")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
-        return socket.inet_ntop(family, socket.inet_pton(family, host)), int(port)  # as it tells its peer's
+        return socket.inet_ntop(family, socket.inet_pton(family, host)), int(port)  # as getpeername() has it
     except (OSError, ValueError):
         pass
-    import ipaddress  # here, as a start need not pay for it: it also reads addresses with a zone
+    import ipaddress  # imported here to save start-up time; it also reads IPv6 zones
 
     try:
         return str(ipaddress.ip_address(host)), int(port)
--- a/rainspindle/transport/connection.py
+++ b/rainspindle/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection, read and written by coroutines, and the listening socket."""
+"""TCP connections, read and written by coroutines, and listening sockets."""
 
 from __future__ import annotations
 
@@ -22,41 +22,43 @@
 
 
 class Broken(Exception):
-    """The connection was refused, reset, or ended where more was due."""
+    """The connection was refused or reset, or ended before all expected bytes had arrived."""
 
 
 class Unwanted(Exception):
-    """What the coroutine waited for is not wanted any more: its `unless` holds."""
+    """The result of the wait is no longer wanted: its `unless` holds."""
 
 
 class Late(Exception):
-    """The time until which the coroutine would wait has come."""
+    """The wait reached its time limit."""
 
 
 class OutOfSockets(Exception):
-    """No descriptor is left for one more connection."""
+    """No file descriptor is left for another connection."""
 
 
 def family(address: Address) -> socket.AddressFamily:
+    """Returns the family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 class Connection:
-    """Edge-triggered: what epoll told is kept in flags until the socket says that it would block."""
+    """An edge-triggered connection; flags keep what epoll reported until the socket would block."""
 
     def __init__(self, loop: Loop, sock: socket.socket, connected: bool, urgent: bool = False) -> None:
         self.loop, self.sock, self.urgent = loop, sock, urgent
         self.closed = False
         self.readable = self.writable = connected
-        self.ended = False  # the other side has closed or broken it, or its sending half
-        self.half_closed = False  # this side has ended its sending, and reads no more
-        self.came = loop.came  # the earliest that the last bytes read can have come
-        self.seen = loop.looked  # when they were there at the latest
+        self.ended = False  # the peer has closed, half-closed or reset it
+        self.half_closed = False  # this side has ended its sending and reads no more
+        self.came = loop.came  # the earliest time at which the last bytes can have arrived
+        self.seen = loop.looked  # the latest time at which they can have arrived
         self.idle_since = 0.0
         self.wake: Callable[[], None] = lambda: None
         loop.watch(sock.fileno(), self, urgent)
 
     def on_events(self, events: int) -> None:
+        """Records events of epoll and wakes the waiting coroutine."""
         if events & (select.EPOLLIN | ENDED):
             self.readable, self.came, self.seen = True, self.loop.came, self.loop.looked
         if events & (select.EPOLLOUT | select.EPOLLERR | select.EPOLLHUP):
@@ -66,13 +68,18 @@
         self.wake()
 
     def mine(self) -> None:
-        """From now on the running coroutine is the one to wake."""
+        """Makes the running coroutine the one that events wake."""
         task = self.loop.current
         assert task is not None
         self.wake = task.wake
 
     def await_it(self, until: float, unless: Unless) -> Coroutine[None]:
-        """One wait, if there is still time and it is still wanted."""
+        """Waits once.
+
+        Raises:
+            Late: The time `until` has come.
+            Unwanted: `unless` holds.
+        """
         if unless is not None and unless():
             raise Unwanted
         if self.loop.now() >= until:
@@ -80,6 +87,7 @@
         yield until
 
     def establish(self, until: float, unless: Unless = None) -> Coroutine[None]:
+        """Waits until the connection is established. Raises Broken, Late and Unwanted."""
         self.mine()
         while not self.writable:
             yield from self.await_it(until, unless)
@@ -88,14 +96,19 @@
             raise Broken(errno.errorcode.get(error, str(error)))
 
     def receive(self) -> bytes | None:
-        """What has come: None while there is nothing, b"" at the end. Raises Unwanted once half closed."""
+        """Returns received bytes, None if there are none yet, b"" at the end.
+
+        Raises:
+            Broken: The connection failed.
+            Unwanted: This side has half-closed it.
+        """
         if self.half_closed:
             raise Unwanted
         if not self.readable:
             return None
         try:
             data = self.sock.recv(CHUNK)
-            # What is short has emptied the socket: the next edge tells of more. An end has been told already.
+            # A short read has emptied the socket, so the next edge reports more; an end was reported before.
             self.readable = self.ended or len(data) == CHUNK
             return data
         except BlockingIOError:
@@ -106,15 +119,22 @@
             raise Broken(str(fault)) from None
 
     def await_bytes(self, until: float, unless: Unless = None) -> Coroutine[bytes]:
-        """The next bytes, b"" at the end."""
+        """Waits for the next bytes, b"" at the end. Raises Broken, Late and Unwanted."""
         self.mine()
         while (data := self.receive()) is None:
             yield from self.await_it(until, unless)
         return data
 
     def send(self, data: bytes, until: float, unless: Unless = None) -> Coroutine[None]:
-        """Returns when the last byte is written, and only then. Raises Unwanted where `unless` holds at a
-        wait or after it; without a wait it is not asked."""
+        """Returns once the last byte is written.
+
+        `unless` is evaluated only before and after a wait; a write that never waits does not check it.
+
+        Raises:
+            Broken: The connection failed.
+            Late: The time `until` has come.
+            Unwanted: `unless` holds.
+        """
         self.mine()
         view = memoryview(data)
         while view:
@@ -122,12 +142,12 @@
                 view = view[self.send_some(view) :]
                 continue
             yield from self.await_it(until, unless)
-            # Room to write may come together with what makes the rest unwanted.
+            # The socket may become writable together with what makes the rest unwanted.
             if unless is not None and unless():
                 raise Unwanted
 
     def send_some(self, view: memoryview) -> int:
-        """How many bytes the kernel took, 0 if it takes none now."""
+        """Returns the number of bytes that the kernel accepted, 0 if it accepts none now."""
         try:
             return self.sock.send(view)
         except BlockingIOError:
@@ -138,16 +158,16 @@
             raise Broken(str(fault)) from None
 
     def rest(self, seconds: float) -> Coroutine[None]:
-        """Lets a moment pass in which the connection may show its end."""
+        """Waits for a moment; raises Broken if the peer ends the connection meanwhile."""
         self.mine()
         until = self.loop.now() + seconds
         while not self.ended and self.loop.now() < until:
             yield until
         if self.ended:
-            raise Broken("ended as soon as it was up")
+            raise Broken("the peer ended the connection right after it was established")
 
     def sound(self) -> bool:
-        """Whether an idle connection can still be used: nothing has come and nothing has ended."""
+        """Whether an idle connection can still be used: it has not ended, and no byte has arrived."""
         if self.closed or self.ended:
             return False
         try:
@@ -159,14 +179,15 @@
         return False
 
     def left(self) -> bool:
-        """Whether the other side has ended the connection, as the kernel knows it now.
+        """Whether the peer has ended the connection, as the kernel knows it now.
 
-        The loop's own events come one round later, which is late where the processor is short. An end is seen
-        behind unread bytes too: pipelined requests, or the rest of a body. Not seen is a FIN that the peer
-        can't send yet because the receive buffer is full; a reset is.
+        The loop reports events one round later, which is late where the processor is busy. An end is detected
+        behind unread bytes too, such as pipelined requests or the rest of a body. A FIN that the peer cannot
+        send yet because the receive buffer is full is not detected, but a reset is.
 
         A half-close (`shutdown(SHUT_WR)`) counts as an end: on the wire it is the same FIN as that of
-        `close()`, and only a write that is answered by a reset would tell them apart."""
+        `close()`, and only a write that is answered by a reset would distinguish them.
+        """
         if self.closed:
             return True
         if not self.ended:
@@ -180,39 +201,42 @@
         return self.ended
 
     def end_behind_unread(self) -> bool:
-        """Whether a FIN or a reset has come, whatever lies unread before it."""
+        """Whether a FIN or a reset has arrived, even behind unread bytes."""
         poll = select.poll()
         poll.register(self.sock, POLL_ENDED)
         return bool(poll.poll(0))
 
     def pending(self) -> bool:
-        """Whether bytes have come that nobody has read."""
+        """Whether there are unread bytes."""
         try:
             return not self.closed and self.sock.recv(1, socket.MSG_PEEK) != b""
         except OSError:
             return False
 
     def end_sending(self) -> None:
+        """Sends a FIN."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def half_close(self) -> None:
-        """Ends the sending side, and reads nothing more: what still comes stays unread.
+        """Ends the sending side and reads nothing more.
 
-        Guards against a reset, which a close over unread bytes is: the other side gets all that was written,
-        then the end. A request that crosses it is left unread, so that its client may send it again."""
+        A close over unread bytes would be a reset. This way the peer receives all that was written and then
+        the end. A request that crosses the FIN is left unread, so that its client may send it again.
+        """
         if not self.closed:
             self.half_closed = True
             self.end_sending()
             self.wake()
 
     def await_end(self, until: float) -> Coroutine[None]:
-        """Waits, reading nothing, until the other side ends the connection too, or it is closed here."""
+        """Waits, without reading, until the peer ends the connection too or it is closed here."""
         self.mine()
         while not self.ended and not self.closed and self.loop.now() < until:
             yield until
 
     def close(self) -> None:
+        """Closes the connection; coroutines that wait for it are not woken."""
         if not self.closed:
             self.closed = True
             self.wake = lambda: None
@@ -221,7 +245,11 @@
 
 
 def open_socket(loop: Loop, address: Address) -> socket.socket:
-    """One more descriptor; where the process has none left, another connection is asked to close for it."""
+    """Opens a socket; where no descriptor is left, the loop closes another connection to make room.
+
+    Raises:
+        OutOfSockets: None could be closed, or that was not enough.
+    """
     try:
         return socket.socket(family(address), socket.SOCK_STREAM)
     except OSError as fault:
@@ -234,7 +262,7 @@
 
 
 def open_connection(loop: Loop, address: Address) -> Connection:
-    """A connection under way; the caller waits for it with `establish`."""
+    """Starts to connect; the caller waits with `establish`. Raises Broken and OutOfSockets."""
     sock = open_socket(loop, address)
     try:
         sock.setblocking(False)
@@ -250,13 +278,13 @@
 
 
 class Listener:
-    """The listening socket: hands over every connection as it comes."""
+    """A listening socket that passes on every connection as it arrives."""
 
-    BACKLOG = 1024
-    AT_ONCE = 32  # accepted in one go: those already there must not wait for a flood to end
-    RETRY = 0.02  # seconds until the next try where nothing could be accepted
-    STEER = 51  # SO_ATTACH_REUSEPORT_CBPF, which the socket module does not name
-    TO_THE_SECOND = struct.pack("=HBBI", 0x06, 0, 0, 1)  # a program of one step: return 1
+    BACKLOG = 1024  # connections that wait in the kernel
+    AT_ONCE = 32  # connections accepted per round: existing ones must not wait for a flood to end
+    RETRY = 0.02  # seconds until accepting is retried where nothing could be accepted
+    STEER = 51  # SO_ATTACH_REUSEPORT_CBPF, which the socket module does not define
+    TO_THE_SECOND = struct.pack("=HBBI", 0x06, 0, 0, 1)  # a BPF program of one instruction: return 1
 
     def __init__(
         self,
@@ -267,14 +295,19 @@
         urgent: bool = False,
         shared: bool = False,
     ) -> None:
-        """`accepted` takes a connection, or answers False: then it is offered again until it is taken, and
-        no other is accepted. `make_room` closes another connection when no descriptor is left.
+        """Binds the socket, and listens unless `shared`.
+
+        `accepted` receives each connection. If it returns False, the connection is offered again until it is
+        taken, and no other is accepted. `make_room` closes another connection when no descriptor is left.
 
-        `shared`: a process of the same user may listen there beside this one. Then `listen` opens it,
-        else it is open at once. Raises OSError."""
+        `shared`: another process of the same user may listen on the address too; `listen` must be called.
+
+        Raises:
+            OSError: The address cannot be listened on; the message names it.
+        """
         self.loop, self.accepted, self.make_room, self.urgent = loop, accepted, make_room, urgent
         self.closed, self.open = False, False
-        self.offered: Connection | None = None  # accepted from the system, not yet taken
+        self.offered: Connection | None = None  # accepted from the kernel, not yet taken
         self.retry_pending = False
         self.sock = socket.socket(family(address), socket.SOCK_STREAM)
         try:
@@ -290,15 +323,18 @@
             raise OSError(fault.errno, f"{address_text(address)}: {fault.strerror}") from None
 
     def listen(self) -> None:
+        """Starts to listen."""
         self.sock.listen(self.BACKLOG)
         self.open = True
         self.loop.watch(self.sock.fileno(), self, self.urgent)
 
     def lead_here(self) -> bool:
-        """Of two processes that listen, the one that came second gets all that comes from now on.
+        """Steers all new connections to the second of two processes that listen on the address.
 
-        Guards against connections in the queue of the first at the moment when it closes. With one process
-        left there is no second, and the kernel goes back to its own choice. False where it cannot be had."""
+        The queue of the first is then empty when it closes, and no connection is lost with it. With one
+        process left the program's result names no socket, and the kernel chooses by itself again. Returns
+        False where the kernel does not support this.
+        """
         program = array.array("B", self.TO_THE_SECOND)
         told = struct.pack("@HP", 1, program.buffer_info()[0])
         try:
@@ -309,24 +345,29 @@
 
     @property
     def address(self) -> Address:
+        """The bound address, with the port that the kernel assigned for 0."""
         host, port = self.sock.getsockname()[:2]
         return host, port
 
     def on_events(self, events: int) -> None:
+        """Accepts connections, unless that is already scheduled."""
         if not self.retry_pending:
             self.accept_some()
 
     def accept_some(self) -> None:
-        """Accepts what has come, in parts."""
+        """Accepts one batch and schedules the next where needed."""
         delay: float | None = self.RETRY
         try:
             delay = self.accept_batch()
-        finally:  # also after a fault: the edge that told of the others is gone
+        finally:  # also after an error, as epoll does not report the other connections again
             if delay is not None:
                 self.retry_in(delay)
 
     def accept_batch(self) -> float | None:
-        """Accepts up to AT_ONCE. Seconds until the next try; None where the system tells of the next one."""
+        """Accepts up to AT_ONCE connections.
+
+        Returns the seconds until the next batch, None where epoll reports the next connection.
+        """
         taken = 0
         for _ in range(self.AT_ONCE):
             if self.closed or not self.open:
@@ -348,7 +389,7 @@
         return 0.0 if taken else self.RETRY
 
     def offer(self, connection: Connection) -> bool:
-        """Whether it has been taken; else it stays `offered`."""
+        """Offers a connection; returns whether it was taken, otherwise it stays in `offered`."""
         try:
             if self.accepted(connection) is False:
                 return False
@@ -360,7 +401,7 @@
         return True
 
     def connection(self, sock: socket.socket) -> Connection | None:
-        """None where the system has no room for it beyond its descriptor."""
+        """Wraps an accepted socket; None where the kernel cannot set it up or watch it, and it was closed."""
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -370,12 +411,13 @@
             return None
 
     def retry_in(self, delay: float) -> None:
-        """Guards against a further series of tries for each connection that comes while none is accepted."""
+        """Schedules a retry unless one is pending, so that new connections do not each start a series."""
         if not self.retry_pending:
             self.retry_pending = True
             self.loop.spawn(self.retry(delay), urgent=self.urgent)
 
     def retry(self, delay: float) -> Coroutine[None]:
+        """Accepts another batch after a delay in seconds."""
         at = self.loop.now() + delay
         while self.loop.now() < at:
             yield at
@@ -383,7 +425,7 @@
         self.accept_some()
 
     def close(self) -> None:
-        """Takes what the machine has accepted already, then closes."""
+        """Accepts what waits in the kernel's queue, then closes."""
         for _ in range(self.BACKLOG // self.AT_ONCE):
             self.accept_some()
         if not self.closed:
--- a/rainspindle/transport/datagrams.py
+++ b/rainspindle/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Short messages between sidecars over UDP: sent to all, lost without a word."""
+"""Short text messages between sidecars over UDP, sent to all; losses are not detected."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 from .address import Address, address_text
 from .loop import Coroutine, Loop
 
-MOST = 512  # bytes of a message; longer ones are cut and so are none of a sidecar's
-ROUND = 256  # messages read before others have their turn
+MOST = 512  # bytes read of a message; longer ones are truncated, and sidecars send none
+ROUND = 256  # messages read before other tasks run
 
 
 class Datagrams:
+    """Exchanges messages with the other sidecars."""
+
     def __init__(
         self,
         loop: Loop,
@@ -23,8 +25,13 @@
         came: Callable[[str, str], None],
         shared: bool = False,
     ) -> None:
-        """`came` is told the sender and the text of each message from one of the others; `shared` lets a
-        successor listen beside this process. Raises OSError."""
+        """Calls `came` with the sender and the text of each message from one of the others.
+
+        `shared`: a successor may listen on the address beside this process.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         self.others, self.came, self.closed, self.strangers = dict.fromkeys(others), came, False, 0
         self.loop = loop
         family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
@@ -41,26 +48,29 @@
         loop.watch(self.socket.fileno(), self)
 
     def tell(self, text: str) -> None:
+        """Sends a message to all others."""
         message = text.encode()
         for other in self.others:
-            with contextlib.suppress(OSError):  # full buffers, or nobody there: a message may be lost
+            with contextlib.suppress(OSError):  # a full buffer or no receiver: messages may be lost
                 self.socket.sendto(message, other)
 
     def on_events(self, events: int) -> None:
+        """Wakes the reader."""
         self.reader.wake()
 
     def read(self) -> Coroutine[None]:
+        """Reads messages for ever."""
         while True:
             yield self.loop.now() if self.read_some() else math.inf
 
     def read_some(self) -> bool:
-        """Whether there may be more: a flood must not keep the exchanges waiting."""
+        """Reads up to ROUND messages, so that a flood does not delay requests; returns whether to go on."""
         for _ in range(ROUND):
             try:
                 data, sender = self.socket.recvfrom(MOST)
             except BlockingIOError:
                 return False
-            except OSError:  # an earlier message found nobody there
+            except OSError:  # the error of an earlier message that had no receiver
                 continue
             if sender[:2] in self.others:
                 self.came(address_text(sender[:2]), data.decode("latin-1"))
--- a/rainspindle/transport/loop.py
+++ b/rainspindle/transport/loop.py
@@ -1,7 +1,7 @@
-"""select.epoll with generators as coroutines.
+"""An event loop on epoll, with generators as coroutines.
 
-A coroutine yields the time until which it will wait (math.inf: no limit) and goes on when somebody wakes it
-or that time has come. It may be woken for nothing, so every wait stands in a loop that looks again.
+A coroutine yields the time until which it waits (math.inf: no limit) and resumes when it is woken or that
+time has come. It may be woken without cause, so every wait must be in a loop that checks its condition again.
 """
 
 from __future__ import annotations
@@ -18,20 +18,22 @@
 Coroutine = Generator[float, None, T]
 
 EVENTS = select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET
-BATCH = 64
-HURRY = 0.005  # seconds after which urgent descriptors are looked at again, between any two tasks
+BATCH = 64  # events taken per poll
+HURRY = 0.005  # seconds after which urgent descriptors are polled again between two tasks
 
 
 class Watched(Protocol):
-    """What the loop tells of events: a file descriptor's owner."""
+    """The owner of a file descriptor, which receives its events."""
 
     closed: bool
 
-    def on_events(self, events: int) -> None: ...
+    def on_events(self, events: int) -> None:
+        """Handles a mask of epoll events."""
+        ...
 
 
 class Task:
-    """One coroutine under way."""
+    """A coroutine that the loop runs."""
 
     __slots__ = ("coroutine", "done", "loop", "parked", "queued", "then", "urgent")
 
@@ -40,15 +42,18 @@
     ) -> None:
         self.loop, self.coroutine, self.then, self.urgent = loop, coroutine, then, urgent
         self.done = self.queued = False
-        self.parked = 0  # counts the waits, so that a timer of an earlier wait is known as such
+        self.parked = 0  # counts the waits, so that a timer of an earlier wait is recognized as such
 
     def wake(self) -> None:
+        """Schedules the task to resume, unless it is scheduled or done."""
         if not self.queued and not self.done:
             self.queued = True
             (self.loop.urgent_ready if self.urgent else self.loop.ready).append(self)
 
 
 class Loop:
+    """Runs tasks, timers and descriptor events; urgent ones run before all others."""
+
     def __init__(
         self, on_fault: Callable[[BaseException], None], clock: Callable[[], float] = time.monotonic
     ) -> None:
@@ -56,28 +61,29 @@
         self.epoll = select.epoll()
         self.watched: dict[int, Watched] = {}
         self.ready: deque[Task] = deque()
-        self.urgent: select.epoll | None = None  # of descriptors that go before all others
+        self.urgent: select.epoll | None = None  # for the descriptors that are served before all others
         self.urgent_ready: deque[Task] = deque()
         self.hurry_at = math.inf
         self.timers: list[tuple[float, int, int, Task]] = []
         self.timers_set = 0
         self.tasks: set[Task] = set()
         self.current: Task | None = None
-        self.looked = self.came = self.now()  # the last look; the earliest that what it found can have come
+        self.looked = self.came = self.now()  # the last poll; the earliest time of the events that it found
         self.stopped = False
-        # Called when no descriptor is left: closes a connection that can be spared; whether there was one.
+        # Called when no descriptor is left: closes a dispensable connection, returns whether there was one.
         self.make_room: Callable[[], bool] = lambda: False
 
     def spawn(
         self, coroutine: Coroutine[None], then: Callable[[], None] | None = None, urgent: bool = False
     ) -> Task:
+        """Starts a coroutine as a task; `then` is called when it has ended."""
         task = Task(self, coroutine, then, urgent)
         self.tasks.add(task)
         task.wake()
         return task
 
     def lasting(self, make: Callable[[], Coroutine[None]]) -> Coroutine[None]:
-        """A coroutine that the whole depends on: after a fault it is begun anew."""
+        """Runs an essential coroutine, and restarts it a second after it has returned or failed."""
         while True:
             try:
                 yield from make()
@@ -88,24 +94,27 @@
                 yield again
 
     def yield_turn(self) -> Coroutine[None]:
-        """Lets every other ready task run, and the loop look at descriptors and timers, before going on."""
+        """Lets every other ready task run, and the loop poll descriptors and timers, before going on."""
         assert self.current is not None
         self.current.wake()
         yield math.inf
 
     def watch(self, fd: int, owner: Watched, urgent: bool = False) -> None:
+        """Reports the events of a descriptor to its owner."""
         if urgent and self.urgent is None:
             self.urgent, self.hurry_at = select.epoll(), -math.inf
-            self.epoll.register(self.urgent.fileno(), select.EPOLLIN)  # ends a wait
+            self.epoll.register(self.urgent.fileno(), select.EPOLLIN)  # so that urgent events end a wait
         at = self.urgent if urgent and self.urgent is not None else self.epoll
         at.register(fd, EVENTS)
         self.watched[fd] = owner
 
     def unwatch(self, fd: int, urgent: bool = False) -> None:
+        """Stops reporting events; `urgent` must be as in `watch`."""
         if self.watched.pop(fd, None) is not None:
             (self.urgent if urgent and self.urgent is not None else self.epoll).unregister(fd)
 
     def run(self) -> None:
+        """Runs until `stopped` is set."""
         while not self.stopped:
             self.step()
         self.epoll.close()
@@ -113,7 +122,7 @@
             self.urgent.close()
 
     def step(self) -> None:
-        """One round: what is ready, then one look at the descriptors and the clock."""
+        """Runs the ready tasks, then polls descriptors and timers once."""
         for _ in range(len(self.ready)):
             if self.urgent is not None:
                 self.hurry(self.urgent)
@@ -126,14 +135,12 @@
             return
         before = self.now()
         wait = 0.0 if self.ready or self.urgent_ready else self.timers[0][0] - before if self.timers else None
-        # epoll takes whole milliseconds, rounded up: a timer is late by one at the most.
+        # epoll waits for whole milliseconds, rounded up, so a timer is at most 1 ms late.
         events = self.look(wait)
         now = self.now()
         self.hurry_at = -math.inf
-        # What ended a wait is new; what was there at once may have come just after the last look.
+        # An event that ended a wait is new; one found at once may have occurred just after the last poll.
         self.came, self.looked = now if now - before > 0.001 else self.looked, now
-        # Guards against events for a descriptor closed in this batch, or opened anew under its number:
-        # the owners are looked up before any of them acts.
         self.tell(events)
         while self.timers and self.timers[0][0] <= now:
             _, _, parked, task = heapq.heappop(self.timers)
@@ -141,26 +148,35 @@
                 task.wake()
 
     def tell(self, events: list[tuple[int, int]]) -> None:
+        """Reports events to the owners of their descriptors.
+
+        All owners are looked up first: one of them may close a descriptor of the same batch, whose number
+        may then be in use again.
+        """
         owners = [(self.watched.get(fd), mask) for fd, mask in events]
         for owner, mask in owners:
             if owner is not None and not owner.closed:
                 try:
                     owner.on_events(mask)
-                except Exception as fault:  # one owner's fault must not end the others
+                except Exception as fault:  # an error of one owner must not affect the others
                     self.on_fault(fault)
 
     def hurry(self, urgent: select.epoll) -> None:
-        """Guards against a call that waits behind clients' work: what is urgent runs before the next task."""
+        """Serves urgent descriptors and tasks, which must not wait behind client requests."""
         if self.now() >= self.hurry_at:
             self.tell(urgent.poll(0.0, BATCH))
             self.hurry_at = self.now() + HURRY
-        for _ in range(len(self.urgent_ready)):  # guards against a flood of callers that lets nobody else run
+        for _ in range(
+            len(self.urgent_ready)
+        ):  # one round only, or a flood of urgent tasks would starve all others
             self.resume(self.urgent_ready.popleft())
 
     def look(self, wait: float | None) -> list[tuple[int, int]]:
+        """Polls the descriptors for up to `wait` seconds, without limit for None."""
         return self.epoll.poll(wait if wait is None else max(wait, 0.0), BATCH)
 
     def resume(self, task: Task) -> None:
+        """Runs a task until its next wait."""
         task.queued = False
         if task.done:
             return
@@ -170,7 +186,7 @@
             until = next(task.coroutine)
         except StopIteration:
             self.finish(task)
-        except Exception as fault:  # one coroutine's fault must not end the others
+        except Exception as fault:  # an error of one coroutine must not affect the others
             self.finish(task)
             self.on_fault(fault)
         else:
@@ -181,10 +197,11 @@
             self.current = None
 
     def finish(self, task: Task) -> None:
+        """Removes an ended task and calls its `then`."""
         task.done = True
         self.tasks.discard(task)
         if task.then is not None:
             try:
                 task.then()
-            except Exception as fault:  # must not end the loop, and with it the process
+            except Exception as fault:  # must not end the loop and with it the process
                 self.on_fault(fault)
--- a/rainspindle/transport/pool.py
+++ b/rainspindle/transport/pool.py
@@ -1,4 +1,4 @@
-"""Connections kept for further use, by whom they lead to, within a limit on all that are open."""
+"""A pool of connections to endpoints, with a limit on all that are open."""
 
 from __future__ import annotations
 
@@ -8,34 +8,39 @@
 from .connection import Connection, OutOfSockets, Unless, open_connection
 from .loop import Coroutine, Loop
 
-Peer = tuple[str, Address]  # an address alone may pass from one peer to the next
+Peer = tuple[str, Address]  # endpoint id and address: an address alone may be reused by another endpoint
 
 
 class Pool:
-    REST, NEW_REST = 0.025, 0.001  # within which an end shows after an answer, and of a new one
-    MOST_ENDS, ENDS_STEP = 0.02, 0.01  # the share of early ends that makes wary, and how fast it is learnt
-    IDLE_PART = 0.6  # of the stated idle time: what is written at its very end may be lost
+    """Keeps idle connections for reuse."""
+
+    # Seconds within which a close by the peer shows, after an answer and on a new connection.
+    REST, NEW_REST = 0.025, 0.001
+    # The share of early closes above which they count as frequent, and the weight of one in their average.
+    MOST_ENDS, ENDS_STEP = 0.02, 0.01
+    IDLE_PART = 0.6  # used share of the stated idle time: a request written at its very end may be lost
 
     def __init__(self, loop: Loop, most: int, idle_time: float) -> None:
         self.loop, self.most = loop, most
         self.keep = self.IDLE_PART * idle_time if idle_time > 0 else 30.0
-        self.idle: dict[Peer, list[Connection]] = {}  # the last used at the end
+        self.idle: dict[Peer, list[Connection]] = {}  # most recently used last
         self.open = 0
-        self.lent = 0  # of its places, those that clients hold
+        self.lent = 0  # places of the limit that are in use by clients
         self.made = self.reused = 0
-        self.ends = 0.0  # the share of kept connections that lately ended before they had rested
+        self.ends = 0.0  # moving average: share of idle connections that closed within REST
 
     def wary(self) -> bool:
-        """Whether peers often end connections, so that one that must not break is better let rest."""
+        """Whether endpoints often close connections early, so that critical requests should wait for REST."""
         return self.ends > self.MOST_ENDS
 
     def take(self, peer: Peer, careful: bool = False) -> Connection | None:
-        """An idle connection that is still sound: of those that have rested, the last used.
+        """Returns a healthy idle connection, the most recently used of those idle for at least REST, or None.
 
-        Guards against writing to one that is just being closed, and against taking what comes late behind an
-        answer for the next one's: either shows within a moment. None that has not rested is taken while a new
-        one may be opened, or for a `careful` exchange where early ends are frequent. May hurt by connections:
-        as many more as answers come within that moment."""
+        A connection that the endpoint is just closing must not be written to, and late bytes behind an
+        answer must not be taken for the next answer; both show within REST. A connection idle for less is
+        not taken while a new one may be opened, nor for a `careful` request where early closes are frequent.
+        This opens more connections: as many as answers arrive within REST.
+        """
         now, idle = self.loop.now(), self.idle.get(peer, [])
         while idle:
             connection = next((c for c in reversed(idle) if now - c.idle_since >= self.REST), idle[0])
@@ -52,9 +57,13 @@
     def connect(
         self, peer: Peer, until: float, careful: bool = False, unless: Unless = None
     ) -> Coroutine[Connection]:
+        """Opens a connection; a `careful` one is watched for an early close where these are frequent.
+
+        Raises Broken, Late, Unwanted, and OutOfSockets where the limit is reached and none is idle.
+        """
         while self.open + self.lent >= self.most:
             if not self.make_room():
-                raise OutOfSockets("every connection is in use")
+                raise OutOfSockets("the connection limit is reached and no connection is idle")
         connection = open_connection(self.loop, peer[1])
         self.open += 1
         try:
@@ -68,6 +77,7 @@
         return connection
 
     def keep_idle(self, peer: Peer, connection: Connection) -> None:
+        """Takes a connection back for reuse."""
         connection.idle_since = self.loop.now()
         self.ends -= self.ENDS_STEP * self.ends
         connection.wake = partial(self.looked_at, peer, connection)
@@ -76,29 +86,32 @@
             self.looked_at(peer, connection)
 
     def looked_at(self, peer: Peer, connection: Connection) -> None:
-        """An event on an idle connection: its end, something that nobody asked for, or old news."""
+        """Handles an event of an idle connection: its end, unsolicited bytes, or an outdated event."""
         if not connection.sound():
             if self.loop.now() - connection.idle_since < self.REST:
                 self.ends += self.ENDS_STEP
             self.drop(peer, connection)
 
     def drop(self, peer: Peer, connection: Connection) -> None:
+        """Closes a connection if it is idle."""
         idle = self.idle.get(peer, [])
         if connection in idle:
             idle.remove(connection)
             self.close(connection)
 
     def drop_all(self, peer: Peer) -> None:
+        """Closes all idle connections to a peer."""
         for connection in list(self.idle.get(peer, ())):
             self.drop(peer, connection)
 
     def close(self, connection: Connection) -> None:
+        """Closes a connection of the pool that is not idle."""
         if not connection.closed:
             self.open -= 1
             connection.close()
 
     def make_room(self) -> bool:
-        """Closes the connection that was idle the longest, if there is one."""
+        """Closes the connection that has been idle longest; returns whether there was one."""
         oldest = min(((c[0].idle_since, a) for a, c in self.idle.items() if c), default=None)
         if oldest is None:
             return False
@@ -106,13 +119,14 @@
         return True
 
     def can_lend(self) -> bool:
-        """Whether one more place, of half at most, may go to a client; an idle connection gives its own."""
+        """Whether a client may use one more place; at most half of them, and idle connections give way."""
         return self.lent < self.most // 2 and (self.open + self.lent < self.most or self.make_room())
 
     def sweep(self) -> None:
+        """Closes connections that have been idle for too long."""
         for peer, idle in list(self.idle.items()):
             for connection in list(idle):
                 if self.loop.now() - connection.idle_since >= self.keep:
                     self.drop(peer, connection)
-            if not idle:  # guards against growth by peers that are long gone
+            if not idle:  # or entries of removed endpoints would accumulate
                 del self.idle[peer]
--- a/rainspindle/transport/wire.py
+++ b/rainspindle/transport/wire.py
@@ -9,11 +9,13 @@
 from .address import Address
 from .loop import Coroutine, Loop
 
-ROUND = 64  # datagrams read before others have their turn
-BUFFER = 512 * 1024  # bytes that wait in the kernel while the process is busy or stopped
+ROUND = 64  # datagrams read before other tasks run
+BUFFER = 512 * 1024  # bytes that the kernel buffers while the process is busy or stopped
 
 
 class Wire:
+    """The socket by which a member sends and receives datagrams."""
+
     def __init__(
         self,
         loop: Loop,
@@ -23,8 +25,14 @@
         after: Callable[[], None],
         shared: bool = False,
     ) -> None:
-        """`came` is told each datagram of `most` bytes or fewer, and longer ones cut after one byte more;
-        `after` is called when some have come. `shared`: a successor may listen beside. Raises OSError."""
+        """Calls `came` with each sender and datagram, and `after` once after each batch of them.
+
+        Datagrams longer than `most` bytes are truncated to one byte more, by which `came` can tell them.
+        `shared`: a successor may listen on the address beside this process.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         self.loop, self.most, self.came, self.after, self.closed = loop, most, came, after, False
         self.unsent = 0
         family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
@@ -43,14 +51,16 @@
         loop.watch(self.socket.fileno(), self, urgent=True)
 
     def send(self, to: Address, datagram: bytes) -> None:
+        """Sends a datagram, which may be lost; does nothing once closed."""
         if self.closed:
             return
         try:
             self.socket.sendto(datagram, to)
-        except OSError:  # full buffers, no way there: a datagram may be lost
+        except OSError:  # a full buffer or no route: datagrams may be lost
             self.unsent += 1
 
     def close(self) -> None:
+        """Closes the socket."""
         if not self.closed:
             self.loop.unwatch(self.socket.fileno(), urgent=True)
             self.closed = True
@@ -58,16 +68,18 @@
             self.reader.wake()
 
     def on_events(self, events: int) -> None:
+        """Wakes the reader."""
         self.reader.wake()
 
     def read(self) -> Coroutine[None]:
+        """Reads datagrams until the socket is closed."""
         while not self.closed:
             yield self.loop.now() if self.read_some() else math.inf
-        while True:  # lasting: it is never begun anew
+        while True:  # never returns, as `Loop.lasting` would start it again
             yield math.inf
 
     def read_some(self) -> bool:
-        """Whether there may be more: a flood must not keep the exchanges waiting."""
+        """Reads up to ROUND datagrams, so that a flood does not delay requests; returns whether to go on."""
         some = False
         try:
             for _ in range(ROUND):
@@ -77,7 +89,7 @@
                     data, sender = self.socket.recvfrom(self.most + 1)
                 except BlockingIOError:
                     return False
-                except OSError:  # an earlier datagram found nobody there
+                except OSError:  # the error of an earlier datagram that had no receiver
                     continue
                 some = True
                 self.came(sender[:2], data)
