--- a/rainspindle/fronts/console/front.py
+++ b/rainspindle/fronts/console/front.py
@@ -9,9 +9,9 @@
 from ...transport.connection import Broken, Connection, Late, Listener, Unwanted
 from ...transport.loop import Coroutine, Loop
 
-HEAD_TIME = 1.0  # seconds from connecting until the call is complete; callers wait no longer for an answer
-LINGER = 0.5  # seconds for which the rest of the call is read after the answer
-MOST = 16  # connections at once
+CALL_TIMEOUT = 1.0  # seconds from connecting until the call is complete; callers wait no longer for an answer
+LINGER_TIME = 0.5  # seconds for which the rest of the call is read after the answer
+MAX_CALLERS = 16  # connections at once
 
 
 class ConsoleFront:
@@ -38,14 +38,14 @@
 
         Callers that connect and never complete a call must not block others: the oldest of them is closed.
         """
-        while len(self.callers) >= MOST and self.give_way():
+        while len(self.callers) >= MAX_CALLERS and self.give_way():
             pass
         self.callers[connection] = False
         self.loop.spawn(self.serve(connection), lambda: self.gone(connection), urgent=True)
 
     def give_way(self) -> bool:
         """Closes the oldest connection with an incomplete call; returns whether there was one."""
-        oldest = next((c for c, whole in self.callers.items() if not whole), None)
+        oldest = next((caller for caller, complete in self.callers.items() if not complete), None)
         if oldest is None:
             return False
         oldest.wake()
@@ -59,21 +59,21 @@
 
     def serve(self, caller: Connection) -> Coroutine[None]:
         """Reads one call and answers it."""
-        side, until = ConsoleSide(), self.loop.now() + HEAD_TIME
-        called: Order | FleetCall | No | None = None
+        side, until = ConsoleSide(), self.loop.now() + CALL_TIMEOUT
+        received: Order | FleetCall | No | None = None
         try:
-            while called is None:
-                called = side.receive((yield from caller.await_bytes(until, lambda: caller.closed)))
-            if isinstance(called, Order):
-                status, text = self.call(called)
-                out = side.answer(status, text)
-            elif isinstance(called, FleetCall):
-                out = side.answer(*self.fleet(called), kind=b"application/json")
+            while received is None:
+                received = side.receive((yield from caller.await_bytes(until, lambda: caller.closed)))
+            if isinstance(received, Order):
+                status, text = self.call(received)
+                answer = side.answer(status, text)
+            elif isinstance(received, FleetCall):
+                answer = side.answer(*self.fleet(received), kind=b"application/json")
             else:
-                out = side.refuse(called)
+                answer = side.refuse(received)
             self.callers[caller] = True
-            until = self.loop.now() + LINGER
-            yield from caller.send(out, until)
+            until = self.loop.now() + LINGER_TIME
+            yield from caller.send(answer, until)
             # Closing over unread bytes would reset the connection and lose the answer, so what the caller
             # still sends is read for a moment.
             caller.end_sending()
--- a/rainspindle/fronts/http1/back.py
+++ b/rainspindle/fronts/http1/back.py
@@ -16,13 +16,14 @@
 from ...transport.connection import Broken, Connection, Late, OutOfSockets, Unwanted
 from ...transport.loop import Coroutine, Loop
 from ...transport.pool import Peer, Pool
-from .stream import SILENCE, Carried, ClientLost, Streams, bound
+from .stream import IDLE_TIMEOUT, ClientLost, StreamableRequest, Streams, limit_send_buffer
 
-HOLD = 0.03  # seconds for which an answer of unknown length is buffered, so that a retry remains possible
+# Seconds for which an answer of unknown length is buffered, so that a retry remains possible.
+BUFFER_TIME = 0.03
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class Streamed:
     """The payload of an answer that has already been streamed to its client."""
 
 
@@ -31,7 +32,7 @@
 
     def __init__(self, loop: Loop, pool: Pool, settings: SocketSettings, directory: Directory) -> None:
         self.loop, self.pool, self.settings, self.directory = loop, pool, settings, directory
-        self.heard: dict[str, float] = {}  # when each endpoint last answered
+        self.last_answered: dict[str, float] = {}  # when each endpoint last answered
 
     def drop(self, endpoint: str, address: Address) -> None:
         """Closes the idle connections to an endpoint."""
@@ -39,7 +40,11 @@
 
     def keep_only(self, endpoints: dict[str, Address]) -> None:
         """Discards what is stored about other endpoints, which have been removed."""
-        self.heard = {id: at for id, at in self.heard.items() if id in endpoints}
+        self.last_answered = {
+            endpoint_id: answered_at
+            for endpoint_id, answered_at in self.last_answered.items()
+            if endpoint_id in endpoints
+        }
 
     def forward(
         self,
@@ -51,9 +56,9 @@
         after: Callable[[], bool],
         started: Callable[[], None],
     ) -> Coroutine[Forwarded]:
-        """Makes one attempt; if served, the payload is `Answered`, or `Passed` if it was streamed."""
-        body: Ask | Carried = given.body
-        ask, streams = (body.ask, body.streams) if isinstance(body, Carried) else (body, None)
+        """Makes one attempt; if served, the payload is `Answered`, or `Streamed`."""
+        body: Ask | StreamableRequest = given.body
+        ask, streams = (body.ask, body.streams) if isinstance(body, StreamableRequest) else (body, None)
         peer: Peer = (endpoint, address)
         binding = self.settings.binding[given.type_index]
 
@@ -62,7 +67,7 @@
 
         if ask.more and streams is not None:
             try:
-                yield from streams.enter(self.loop.now() + SILENCE, unwanted)
+                yield from streams.enter(self.loop.now() + IDLE_TIMEOUT, unwanted)
             except Late:
                 return Forwarded(AttemptOutcome.NOT_SENT)
             except Unwanted:
@@ -84,65 +89,67 @@
                 return Forwarded(AttemptOutcome.NOT_CONNECTED)
             except Unwanted:
                 return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
-        kept = False
+        reusable = False
         try:
             if unwanted():  # the client may have disconnected, or operators disabled the endpoint
                 return Forwarded(AttemptOutcome.CANCELLED if before() else AttemptOutcome.NOT_SENT)
-            call, sent_at = EndpointSide(streams is not None), self.loop.now()
+            attempt, sent_at = EndpointSide(streams is not None), self.loop.now()
             # While a body is arriving, the endpoint is told the time that its client will have after the last
             # byte. With the time of the whole upload it would work on for a client that has long left.
-            told = until if given.expiry is None else min(until, given.expiry())
-            out = call.forward(ask, address_text(address).encode(), told - self.loop.now())
+            time_limit = until if given.expiry is None else min(until, given.expiry())
+            first_part = attempt.forward(ask, address_text(address).encode(), time_limit - self.loop.now())
             answer = None
             try:
                 if ask.more and streams is not None:
                     given.spent()
-                    answer, until = yield from self.upload(given, streams, connection, call, out, before)
+                    answer, until = yield from self.upload(
+                        given, streams, connection, attempt, first_part, before
+                    )
                     sent_at = self.loop.now()
                 else:
-                    yield from connection.send(out, until, before)
+                    yield from connection.send(first_part, until, before)
             except (Broken, Late):
                 # An endpoint starts to execute at the last byte, which was not written.
                 return Forwarded(AttemptOutcome.NOT_CONNECTED)
             except ClientLost:
                 return Forwarded(AttemptOutcome.NOT_SENT, broke=True)
             try:
-                long_at = math.inf  # when a streamed answer is no longer buffered
+                stream_from = math.inf  # when a streamed answer is no longer buffered
                 while answer is None:
-                    if streams is not None and call.call.flows():
-                        long_at = min(long_at, self.loop.now() + HOLD)
-                        if call.call.got > MOST_BODY or self.loop.now() >= long_at:
-                            self.heard[endpoint] = self.loop.now()
+                    if streams is not None and attempt.call.is_streamed():
+                        stream_from = min(stream_from, self.loop.now() + BUFFER_TIME)
+                        if attempt.call.got > MOST_BODY or self.loop.now() >= stream_from:
+                            self.last_answered[endpoint] = self.loop.now()
                             try:
                                 yield from streams.enter(given.expires_at, after)
                             except Late:  # the endpoint is not at fault
                                 return Forwarded(AttemptOutcome.CANCELLED)
                             started()
-                            came, kept = yield from self.pass_on(connection, call, streams)
-                            return came
+                            result, reusable = yield from self.stream_answer(connection, attempt, streams)
+                            return result
                     try:
-                        data = yield from connection.await_bytes(min(until, long_at), after)
+                        data = yield from connection.await_bytes(min(until, stream_from), after)
                     except Late:
                         if self.loop.now() < until:
                             continue
                         raise
-                    answer = call.receive(data)
+                    answer = attempt.receive(data)
             except Late:
                 # The machine may have vanished. Its idle connections stay open and silent, whereas a new one
                 # fails to connect, after which even a non-idempotent request may be retried elsewhere.
-                if self.heard.get(endpoint, -math.inf) < sent_at:
+                if self.last_answered.get(endpoint, -math.inf) < sent_at:
                     self.pool.drop_all(peer)
                 return Forwarded(AttemptOutcome.TIMED_OUT)
             except (Broken, Unreadable):
                 return Forwarded(AttemptOutcome.RESET)
-            self.heard[endpoint] = self.loop.now()
-            kept = answer.reusable and not (ask.more and streams is not None and not streams.whole)
+            self.last_answered[endpoint] = self.loop.now()
+            reusable = answer.reusable and not (ask.more and streams is not None and not streams.whole)
             lag = self.loop.now() - (connection.came + connection.seen) / 2
             return Forwarded(answer.outcome, answer, lag)
         except Unwanted:
             return Forwarded(AttemptOutcome.CANCELLED)
         finally:
-            if kept and self.directory.addresses.get(endpoint) == address:
+            if reusable and self.directory.addresses.get(endpoint) == address:
                 self.pool.keep_idle(peer, connection)
             else:
                 self.pool.close(connection)
@@ -152,8 +159,8 @@
         given: Given,
         streams: Streams,
         connection: Connection,
-        call: EndpointSide,
-        first: bytes,
+        attempt: EndpointSide,
+        first_part: bytes,
         before: Callable[[], bool],
     ) -> Coroutine[tuple[Answered | None, float]]:
         """Sends a body while it arrives.
@@ -162,36 +169,36 @@
         end of the body, and the time limit of the wait for the answer.
         """
 
-        def early() -> bool:
+        def readable_or_cancelled() -> bool:
             return connection.readable or before()
 
-        bound(connection)
-        piece, answer = first, None
+        limit_send_buffer(connection)
+        part, answer = first_part, None
         while True:
             if before():  # a body already received to its end is sent without a wait, which would check this
                 raise Unwanted
-            yield from connection.send(piece, self.loop.now() + SILENCE, before)
+            yield from connection.send(part, self.loop.now() + IDLE_TIMEOUT, before)
             if streams.whole:
                 return None, given.written()
-            piece = b""
-            while not piece and not streams.whole:
+            part = b""
+            while not part and not streams.whole:
                 try:
-                    piece = call.piece((yield from streams.read(early)))
+                    part = attempt.piece((yield from streams.read(readable_or_cancelled)))
                 except Unwanted:
                     if before():
                         raise
                     data = connection.receive()
                     if data is not None:  # an early answer: the endpoint may read no more of the body
                         try:
-                            answer = call.receive(data)
+                            answer = attempt.receive(data)
                         except Unreadable as fault:
                             raise Broken(str(fault)) from None
                         return answer, given.written()
-            if not piece:
+            if not part:
                 return None, given.written()
 
-    def pass_on(
-        self, connection: Connection, call: EndpointSide, streams: Streams
+    def stream_answer(
+        self, connection: Connection, attempt: EndpointSide, streams: Streams
     ) -> Coroutine[tuple[Forwarded, bool]]:
         """Streams a long answer to its client; returns the result and whether the connection is reusable.
 
@@ -202,18 +209,18 @@
             client = streams.client
             return client.closed or (client.ended and self.settings.may_call_off)
 
-        assert call.call.response is not None
+        assert attempt.call.response is not None
         try:
-            yield from streams.begin(going_on(call.call.response.headers), call.call.length())
+            yield from streams.begin(going_on(attempt.call.response.headers), attempt.call.length())
             answer = None
             while True:
-                yield from streams.send(call.call.take())
-                data = yield from connection.await_bytes(self.loop.now() + SILENCE, unwanted)
-                answer = call.receive(data)
+                yield from streams.send(attempt.call.take())
+                data = yield from connection.await_bytes(self.loop.now() + IDLE_TIMEOUT, unwanted)
+                answer = attempt.receive(data)
                 if answer is not None:
                     yield from streams.send(answer.body)
                     yield from streams.end()
-                    return Forwarded(AttemptOutcome.SERVED, Passed()), answer.reusable
+                    return Forwarded(AttemptOutcome.SERVED, Streamed()), answer.reusable
         except (Broken, Unreadable, Late):
             return Forwarded(AttemptOutcome.RESET, broke=True), False
         except (ClientLost, Unwanted):
--- a/rainspindle/fronts/http1/front.py
+++ b/rainspindle/fronts/http1/front.py
@@ -11,19 +11,20 @@
 from ...transport.connection import Broken, Connection, Late, Unwanted
 from ...transport.loop import Coroutine, Loop
 from ...transport.pool import Pool
-from .back import Passed
+from .back import Streamed
 from .room import Room
-from .stream import SILENCE, Carried, Streams
+from .stream import IDLE_TIMEOUT, StreamableRequest, Streams
 
 # Seconds within which a request must be complete, counted from connecting, or from the first byte of a later
 # request, and the bytes a second by which a body extends it. A client may take 2 s to send the head, and send
 # its body at a rate near 64 kB a second.
-REQUEST_TIME, SLOWEST = 2.4, 56_000.0
-MOST_UPLOAD = 1200.0  # seconds that a long body may take: 32 MB at half of that rate
-FEW, MANY = 0.4, 0.55  # shares of the client limit above which idle connections are closed
-LONG_WAIT, SHORT_WAIT = 2.0, 0.25  # seconds of idleness that are allowed up to MANY and above
-LINGER, MOST_LINGER = 1.0, 256 * 1024  # seconds and bytes for which input is discarded after a last answer
-CLOSE_WAIT = 0.5  # seconds for which a half-closed connection waits for its client to close
+REQUEST_TIMEOUT, MIN_BODY_RATE = 2.4, 56_000.0
+MAX_UPLOAD_TIME = 1200.0  # seconds that a long body may take: 32 MB at half of that rate
+LOW_LOAD, HIGH_LOAD = 0.4, 0.55  # shares of the client limit above which idle connections are closed
+LONG_IDLE_TIMEOUT, SHORT_IDLE_TIMEOUT = 2.0, 0.25  # seconds of idleness allowed up to HIGH_LOAD and above
+# Seconds and bytes for which input is discarded after a last answer.
+LINGER_TIME, MAX_LINGER_BYTES = 1.0, 256 * 1024
+CLOSE_TIMEOUT = 0.5  # seconds for which a half-closed connection waits for its client to close
 
 
 class HttpFront:
@@ -57,15 +58,15 @@
         During shutdown all are accepted: the listening socket closes next, and connections that are still in
         its queue would be lost.
         """
-        if not self.has_place() and not self.leaving:
+        if not self.has_capacity() and not self.leaving:
             return False
         self.clients[connection] = None
-        self.count_lent()
+        self.update_lent_places()
         self.crowd.came(connection, self.loop.now())
         self.loop.spawn(self.serve(connection), lambda: self.gone(connection))
         return True
 
-    def has_place(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more client fits: within the limit, instead of an idle client, or on a pool's place.
 
         Clients that all have a request in progress must not use up the descriptors that are reserved for
@@ -73,20 +74,20 @@
         """
         return len(self.clients) < self.most_clients or self.close_idle_client() or self.pool.can_lend()
 
-    def count_lent(self) -> None:
+    def update_lent_places(self) -> None:
         """Tells the pool how many of its places are in use by clients."""
         self.pool.lent = max(0, len(self.clients) - self.most_clients)
 
     def gone(self, connection: Connection) -> None:
         """Closes and forgets a connection."""
         self.clients.pop(connection, None)
-        self.count_lent()
+        self.update_lent_places()
         self.crowd.gone(connection)
         connection.close()
 
     def close_idle_client(self) -> bool:
         """Closes a connection without a complete request, to make room; returns whether there was one."""
-        return any(self.end(one) for one in self.crowd.give_way(self.loop.now()))
+        return any(self.end(connection) for connection in self.crowd.give_way(self.loop.now()))
 
     def end(self, connection: Connection) -> bool:
         """Closes a connection, unless unread bytes show that it is in use; returns whether it did."""
@@ -102,15 +103,16 @@
         The application opens a limited number of connections. Clients that send one request and then keep
         theirs would leave none to the others, even while this process has descriptors to spare.
         """
-        now, most = self.loop.now(), self.most_clients
-        asked = self.crowd.asked(
-            len(self.clients)
-        )  # those that have not completed a request have a time limit of their own
-        over = max(0, asked - int(FEW * most))
-        for connection, since in list(islice(self.crowd.waiting.items(), over)):
-            if now - since < (LONG_WAIT if asked <= MANY * most else SHORT_WAIT):
+        now, max_clients = self.loop.now(), self.most_clients
+        # Those that have not completed a request have a time limit of their own.
+        idle_or_busy = self.crowd.asked(len(self.clients))
+        excess = max(0, idle_or_busy - int(LOW_LOAD * max_clients))
+        for connection, since in list(islice(self.crowd.waiting.items(), excess)):
+            if now - since < (
+                LONG_IDLE_TIMEOUT if idle_or_busy <= HIGH_LOAD * max_clients else SHORT_IDLE_TIMEOUT
+            ):
                 break
-            asked -= 1
+            idle_or_busy -= 1
             self.end(connection)
 
     def finish_clients(self, idle: float = 0.0) -> bool:
@@ -137,12 +139,12 @@
     def serve(self, client: Connection) -> Coroutine[None]:
         """Serves the requests of one connection."""
         side = ApplicationSide(self.core.settings.type_names, MOST_STREAM if self.streams else MOST_BODY)
-        since = came = self.loop.now()
+        waiting_since = received_at = self.loop.now()
         while True:
             message = side.next()
             if message is None:
-                owes = since + REQUEST_TIME + side.got / SLOWEST
-                until = math.inf if client in self.crowd.waiting else owes
+                request_deadline = waiting_since + REQUEST_TIMEOUT + side.got / MIN_BODY_RATE
+                until = math.inf if client in self.crowd.waiting else request_deadline
                 try:
                     if side.wants_continue:
                         yield from client.send(side.go_on(), until)
@@ -155,8 +157,8 @@
                         yield from self.refuse(client, side, Bad(408, "the request did not become whole"))
                     return
                 if client in self.crowd.waiting:
-                    since = self.loop.now()
-                came = client.came
+                    waiting_since = self.loop.now()
+                received_at = client.came
                 side.receive(data)
                 self.crowd.went_on(client, self.loop.now())
                 continue
@@ -172,7 +174,7 @@
                     if message.request_id in self.open_ids:
                         yield from self.refuse(client, side, Bad(409, "this X-Request-ID is under way"))
                         return
-                    if not (yield from self.exchange(client, side, message, came)):
+                    if not (yield from self.exchange(client, side, message, received_at)):
                         yield from self.close_gracefully(client)
                         return
                 else:
@@ -180,7 +182,7 @@
                     ready = self.core.listed and not self.leaving and self.loop.now() >= self.ready_from
                     close = self.closes(client, side)
                     yield from client.send(
-                        side.answer(200 if ready else 503, b"", close), self.loop.now() + SILENCE
+                        side.answer(200 if ready else 503, b"", close), self.loop.now() + IDLE_TIMEOUT
                     )
                     if close:
                         yield from self.close_gracefully(client)
@@ -193,11 +195,11 @@
             if side.pending:
                 # One client that sends many requests at once must not hold up all others.
                 yield from self.loop.yield_turn()
-            since = self.loop.now()
+            waiting_since = self.loop.now()
             if side.begun:  # the next request arrived with this one
-                self.crowd.went_on(client, since)
+                self.crowd.went_on(client, waiting_since)
             else:
-                self.crowd.rests(client, since)
+                self.crowd.rests(client, waiting_since)
 
     def closes(self, client: Connection, side: ApplicationSide) -> bool:
         """Whether the connection closes with the answer that is being written.
@@ -217,7 +219,7 @@
             return
         client.half_close()
         self.crowd.came(client, self.loop.now())
-        yield from client.await_end(self.loop.now() + CLOSE_WAIT)
+        yield from client.await_end(self.loop.now() + CLOSE_TIMEOUT)
 
     def refuse(self, client: Connection, side: ApplicationSide, bad: Bad) -> Coroutine[None]:
         """Answers with an error and closes the connection, without the reset that would lose the answer."""
@@ -225,24 +227,24 @@
 
     def last(self, client: Connection, out: bytes) -> Coroutine[None]:
         """Sends the last answer of a connection, whose client may still be sending, and closes it."""
-        until = self.loop.now() + LINGER
+        until = self.loop.now() + LINGER_TIME
         try:
             yield from client.send(out, until)
         except (Broken, Late):
             client.close()
             return
-        yield from self.read_on(client, until)
+        yield from self.discard_input(client, until)
 
-    def read_on(self, client: Connection, until: float) -> Coroutine[None]:
+    def discard_input(self, client: Connection, until: float) -> Coroutine[None]:
         """Half-closes behind an answer, discards what the client is still sending, and closes."""
-        left = MOST_LINGER
+        remaining = MAX_LINGER_BYTES
         self.crowd.came(
             client, self.loop.now()
         )  # may be closed in favour of others, now that its answer is written
         client.end_sending()
         try:
-            while left > 0 and (data := (yield from client.await_bytes(until, lambda: client.closed))):
-                left -= len(data)
+            while remaining > 0 and (data := (yield from client.await_bytes(until, lambda: client.closed))):
+                remaining -= len(data)
         except (Broken, Late, Unwanted):
             pass
         client.close()
@@ -257,8 +259,10 @@
         """
 
         def expiry() -> float:  # for a body that is still arriving: as if it were complete now
-            came = self.loop.now() if ask.more and not streams.whole else max(read_at, streams.whole_at)
-            return self.core.expiry(ask.type_index, came, ask.wait)
+            complete_at = (
+                self.loop.now() if ask.more and not streams.whole else max(read_at, streams.complete_at)
+            )
+            return self.core.expiry(ask.type_index, complete_at, ask.wait)
 
         streams = Streams(self.loop, client, side, lambda: self.closes(client, side), self.room)
         given = Given(
@@ -266,8 +270,8 @@
             ask.key,
             ask.hint,
             ask.repeat,
-            self.loop.now() + MOST_UPLOAD if ask.more else expiry(),
-            Carried(ask, streams) if self.streams else ask,
+            self.loop.now() + MAX_UPLOAD_TIME if ask.more else expiry(),
+            StreamableRequest(ask, streams) if self.streams else ask,
             expiry if ask.more else None,
             tenant=ask.tenant,
             request_id=ask.request_id.decode("latin-1"),
@@ -282,14 +286,14 @@
         if isinstance(final, Left):
             streams.break_off()  # an answer without a length must not appear complete
             return False
-        if isinstance(final, Finished) and isinstance(final.payload, Passed):
+        if isinstance(final, Finished) and isinstance(final.payload, Streamed):
             if ask.more and not streams.whole:
-                yield from self.read_on(client, self.loop.now() + LINGER)
+                yield from self.discard_input(client, self.loop.now() + LINGER_TIME)
                 return False
-            return streams.framed and not streams.closed
+            return streams.truncation_detectable and not streams.closed
         if isinstance(final, Broke):
-            if streams.cut is not None and not streams.begun:
-                yield from self.refuse(client, side, Bad(streams.cut.status, str(streams.cut)))
+            if streams.body_error is not None and not streams.begun:
+                yield from self.refuse(client, side, Bad(streams.body_error.status, str(streams.body_error)))
             streams.break_off()
             return False
         close = self.closes(client, side)
@@ -297,7 +301,7 @@
         if ask.more and not streams.whole:
             yield from self.last(client, out)
             return False
-        yield from client.send(out, self.loop.now() + SILENCE)
+        yield from client.send(out, self.loop.now() + IDLE_TIMEOUT)
         return not close
 
     def final(self, side: ApplicationSide, final: Final, close: bool) -> bytes:
--- a/rainspindle/fronts/http1/stream.py
+++ b/rainspindle/fronts/http1/stream.py
@@ -13,7 +13,7 @@
 from ...transport.loop import Coroutine, Loop
 from .room import Room
 
-SILENCE = 10.0  # seconds without a byte, in either direction, after which a stream fails
+IDLE_TIMEOUT = 10.0  # seconds without a byte, in either direction, after which a stream fails
 
 
 # Bytes that the kernel buffers for a peer that reads slowly. Bounds the memory outside the process, and keeps
@@ -21,7 +21,7 @@
 SEND_BUFFER = 256 * 1024
 
 
-def bound(connection: Connection) -> None:
+def limit_send_buffer(connection: Connection) -> None:
     """Limits the send buffer of a connection."""
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
 
@@ -37,12 +37,12 @@
         self, loop: Loop, client: Connection, side: ApplicationSide, closing: Callable[[], bool], room: Room
     ) -> None:
         self.loop, self.client, self.side, self.closing, self.room = loop, client, side, closing, room
-        self.entered = False  # whether the request was admitted to stream, in both directions
-        self.cut: Cut | None = None  # why the body could not be read to its end
+        self.admitted = False  # whether the request was admitted to stream, in both directions
+        self.body_error: Cut | None = None  # why the body could not be read to its end
         self.begun = False  # whether a part of the answer has been written
-        self.framed = True  # whether the client can detect a truncated answer
+        self.truncation_detectable = True  # whether the client can detect a truncated answer
         self.whole = self.chunked = self.closed = False
-        self.whole_at = -math.inf  # when the last byte of the body arrived
+        self.complete_at = -math.inf  # when the last byte of the body arrived
 
     def enter(self, until: float, unless: Unless) -> Coroutine[None]:
         """Waits for admission, once per request.
@@ -51,14 +51,14 @@
             Late: The time `until` has come.
             Unwanted: `unless` holds.
         """
-        if not self.entered:
+        if not self.admitted:
             yield from self.room.enter(until, unless)
-            self.entered = True
+            self.admitted = True
 
     def leave(self) -> None:
         """Gives the admission back, if there was one."""
-        if self.entered:
-            self.entered = False
+        if self.admitted:
+            self.admitted = False
             self.room.leave()
 
     # The body.
@@ -67,34 +67,34 @@
         """Returns the next part of the body, b"" at its end.
 
         Raises:
-            ClientLost: The body cannot be read to its end; `cut` then says what to answer, if anything.
+            ClientLost: The body cannot be read to its end; `body_error` is the error to answer, if any.
             Unwanted: `unless` holds.
         """
         try:
-            while (piece := self.side.piece()) is None:
-                data = yield from self.client.await_bytes(self.loop.now() + SILENCE, unless)
+            while (part := self.side.piece()) is None:
+                data = yield from self.client.await_bytes(self.loop.now() + IDLE_TIMEOUT, unless)
                 self.side.receive(data)
-        except Cut as cut:
-            self.cut = cut
-            raise ClientLost(str(cut)) from None
+        except Cut as error:
+            self.body_error = error
+            raise ClientLost(str(error)) from None
         except Late:
-            self.cut = Cut(408, "the body did not go on")
+            self.body_error = Cut(408, "the body did not go on")
             raise ClientLost("the client sent no byte of the body in time") from None
         except Broken as fault:
             raise ClientLost(str(fault)) from None
-        if not piece:
-            self.whole, self.whole_at = True, self.client.came
-        return piece
+        if not part:
+            self.whole, self.complete_at = True, self.client.came
+        return part
 
     # The answer.
 
     def begin(self, headers: Sequence[tuple[bytes, bytes]], length: int | None) -> Coroutine[None]:
         """Writes the head of the answer; `length` is None where the endpoint stated none."""
         self.begun, self.chunked = True, length is None and self.side.chunked()
-        self.framed = length is not None or self.chunked
+        self.truncation_detectable = length is not None or self.chunked
         self.closed = self.closing()
         if not self.client.closed:
-            bound(self.client)
+            limit_send_buffer(self.client)
         yield from self.write(self.side.head(200, headers, length, self.closed))
 
     def send(self, data: bytes) -> Coroutine[None]:
@@ -111,28 +111,28 @@
         """Writes all of it; a slow client is given time as long as it takes some bytes.
 
         Raises:
-            ClientLost: The client disconnected, or took no byte for SILENCE seconds.
+            ClientLost: The client disconnected, or took no byte for IDLE_TIMEOUT seconds.
         """
         view = memoryview(data)
         try:
             self.client.mine()
-            until = self.loop.now() + SILENCE
+            until = self.loop.now() + IDLE_TIMEOUT
             while view:
                 if not self.client.writable:
                     yield from self.client.await_it(until, None)
-                elif taken := self.client.send_some(view):
-                    view, until = view[taken:], self.loop.now() + SILENCE
+                elif accepted := self.client.send_some(view):
+                    view, until = view[accepted:], self.loop.now() + IDLE_TIMEOUT
         except (Broken, Late, Unwanted) as fault:
             raise ClientLost(str(fault)) from None
 
     def break_off(self) -> None:
         """Closes the connection, with a reset where the client could not detect the truncation otherwise."""
-        if self.begun and not self.framed and not self.client.closed:
+        if self.begun and not self.truncation_detectable and not self.client.closed:
             self.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.client.close()
 
 
-class Carried:
+class StreamableRequest:
     """A request and its streams, as the front of this protocol passes them to its back."""
 
     __slots__ = ("ask", "streams")
--- a/rainspindle/protocol/application.py
+++ b/rainspindle/protocol/application.py
@@ -16,7 +16,7 @@
 
 REJECTED, TERMINATED = 503, 502
 METHODS = (b"GET /", b"POST /", b"PUT /", b"HEAD /", b"DELETE /", b"PATCH /", b"OPTIONS ")
-OWN = frozenset(
+HOP_BY_HOP = frozenset(
     (
         b"host",
         b"x-timeout-ms",
@@ -82,16 +82,16 @@
 Message = Ask | AskReady | Bad | Ended
 
 
-def attributes(text: bytes) -> dict[str, str]:
+def parse_attributes(text: bytes) -> dict[str, str]:
     """Parses a comma-separated list of name=value."""
-    pairs = (part.partition("=") for part in text.decode("latin-1").split(","))
+    pairs = (item.partition("=") for item in text.decode("latin-1").split(","))
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
 def cookie(text: bytes, name: str) -> str | None:
     """Returns the value of a cookie, None if it is absent or empty."""
-    for part in text.decode("latin-1").split(";"):
-        found, _, value = part.strip().partition("=")
+    for item in text.decode("latin-1").split(";"):
+        found, _, value = item.strip().partition("=")
         if found == name:
             return value or None
     return None
@@ -102,10 +102,15 @@
 
     Unknown headers are kept, and so is the mark of a fingerprinted request.
     """
-    named = {
-        word.strip().lower() for name, value in headers if name == b"connection" for word in value.split(b",")
+    connection_options = {
+        token.strip().lower()
+        for name, value in headers
+        if name == b"connection"
+        for token in value.split(b",")
     }
-    return tuple((name, value) for name, value in headers if name not in OWN and name not in named)
+    return tuple(
+        (name, value) for name, value in headers if name not in HOP_BY_HOP and name not in connection_options
+    )
 
 
 def number(text: str) -> float:
@@ -119,17 +124,20 @@
     return float(text)
 
 
-def unfit(request: h11.Request, most: int) -> Bad | None:
+def reject_by_head(request: h11.Request, max_body: int) -> Bad | None:
     """Returns why a request must not be read further, judged by its head, or None."""
     # h11 limits only a head that arrives in several parts.
-    if len(request.target) + sum(len(k) + len(v) for k, v in request.headers) > MOST_HEAD:
+    if (
+        len(request.target) + sum(len(header_name) + len(value) for header_name, value in request.headers)
+        > MOST_HEAD
+    ):
         return Bad(431, f"a head over {MOST_HEAD} bytes")
     headers = dict(request.headers)
     length = headers.get(b"content-length")
     if length is not None and b"transfer-encoding" in headers:
         return Bad(400, "Content-Length with Transfer-Encoding")
-    if length is not None and int(length) > most:  # h11 has validated it
-        return Bad(413, f"a body over {most} bytes")
+    if length is not None and int(length) > max_body:  # h11 has validated it
+        return Bad(413, f"a body over {max_body} bytes")
     return None
 
 
@@ -189,7 +197,7 @@
                     return None
                 if isinstance(event, h11.Request):
                     self.request, self.body, self.got = event, bytearray(), 0
-                    if bad := unfit(event, self.most):
+                    if bad := reject_by_head(event, self.most):
                         return bad
                 elif isinstance(event, h11.Data):
                     self.body += event.data
@@ -210,9 +218,9 @@
     def whole(self, connection: h11.Connection, more: bool) -> Message:
         """Returns the received request; `more` says whether its body is incomplete."""
         assert self.request is not None
-        follows = b"" if more else connection.trailing_data[0]
+        next_bytes = b"" if more else connection.trailing_data[0]
         # The excess of a body longer than its stated length would be read as the next request.
-        if follows and not any(word.startswith(follows[: len(word)]) for word in METHODS):
+        if next_bytes and not any(method.startswith(next_bytes[: len(method)]) for method in METHODS):
             return Bad(400, "more bytes than belong to the request")
         body, self.body = bytes(self.body), bytearray()
         return self.decode(self.request.method, self.request.target, tuple(self.request.headers), body, more)
@@ -247,8 +255,8 @@
         path = target.partition(b"?")[0]
         if path == b"/ready":
             return AskReady() if method == b"GET" else Bad(405, "only GET here")
-        id = headers.get(b"x-request-id")
-        if not id:
+        request_id = headers.get(b"x-request-id")
+        if not request_id:
             return Bad(400, "no X-Request-ID")
         name = headers.get(b"x-priority-class", b"")
         if name not in self.types:
@@ -256,11 +264,11 @@
         try:
             wait = headers.get(b"x-timeout-ms")
             cost = headers.get(b"x-cost", b"").decode("latin-1")  # in microseconds, X-Attrs in milliseconds
-            further = attributes(headers.get(b"x-attrs", b""))
-            predicted, tenant = further.get("predicted"), further.get("billing")
+            attributes_given = parse_attributes(headers.get(b"x-attrs", b""))
+            predicted, tenant = attributes_given.get("predicted"), attributes_given.get("billing")
             hint = number(cost) / 1e6 if cost else number(predicted) / 1000 if predicted else None
             return Ask(
-                id,
+                request_id,
                 method,
                 target,
                 body,
--- a/rainspindle/protocol/client.py
+++ b/rainspindle/protocol/client.py
@@ -12,7 +12,7 @@
 Headers = Iterable[tuple[bytes, bytes]]
 
 MOST_HEAD = 16 * 1024  # bytes
-BEGINS = b"HTTP/1."
+HTTP_PREFIX = b"HTTP/1."
 
 
 class Unreadable(Exception):
@@ -48,16 +48,16 @@
 
     def length(self) -> int | None:
         """Returns the stated length of the answer's body, None if unstated or if the body is chunked."""
-        if self.response is None or self.in_chunks(self.response):
+        if self.response is None or self.is_chunked(self.response):
             return None
-        told = dict(self.response.headers).get(b"content-length")
-        return None if told is None else int(told)
+        stated = dict(self.response.headers).get(b"content-length")
+        return None if stated is None else int(stated)
 
-    def in_chunks(self, response: h11.Response) -> bool:
+    def is_chunked(self, response: h11.Response) -> bool:
         """Whether the body is chunked."""
         return b"transfer-encoding" in dict(response.headers)
 
-    def flows(self) -> bool:
+    def is_streamed(self) -> bool:
         """Whether an answer has begun that is to be streamed: its body is long or of unknown length."""
         return (
             self.response is not None
@@ -69,8 +69,8 @@
 
     def take(self) -> bytes:
         """Returns what has been received of the body since the last call."""
-        taken, self.body = bytes(self.body), bytearray()
-        return taken
+        received, self.body = bytes(self.body), bytearray()
+        return received
 
     def receive(self, data: bytes) -> Reply | None:
         """Takes received bytes, b"" for the end of the connection; returns the answer once it is complete.
@@ -79,10 +79,10 @@
             Unreadable: The answer is invalid, incomplete or too long.
         """
         if self.connection is None:
-            found = plain.answer(data, MOST_HEAD, self.most) if self.method != b"HEAD" else None
-            if found is not None:
-                return Reply(*found, reusable=True)
-            if data and not data.startswith(BEGINS[: len(data)]):
+            parsed = plain.answer(data, MOST_HEAD, self.most) if self.method != b"HEAD" else None
+            if parsed is not None:
+                return Reply(*parsed, reusable=True)
+            if data and not data.startswith(HTTP_PREFIX[: len(data)]):
                 raise Unreadable("the answer does not begin with HTTP/1")
             self.connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
             self.connection.send(h11.Request(method=self.method, target=b"/", headers=[(b"Host", b"h")]))
@@ -100,7 +100,7 @@
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     self.got += len(event.data)
-                    if self.got > (self.most_stream if self.flows() else self.most):
+                    if self.got > (self.most_stream if self.is_streamed() else self.most):
                         raise Unreadable(f"the answer has over {self.most} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     return self.reply(self.connection)
@@ -109,12 +109,16 @@
         except h11.RemoteProtocolError as fault:
             raise Unreadable(str(fault)) from None
 
-    def reply(self, c: h11.Connection) -> Reply:
+    def reply(self, connection: h11.Connection) -> Reply:
         """Returns the complete answer."""
         assert self.response is not None
         # A connection that has ended, or that holds unsolicited bytes, must not be reused.
-        reusable = c.our_state is h11.DONE and c.their_state is h11.DONE and c.trailing_data == (b"", False)
+        reusable = (
+            connection.our_state is h11.DONE
+            and connection.their_state is h11.DONE
+            and connection.trailing_data == (b"", False)
+        )
         # With both headers, endpoint and sidecar may disagree on where the body ends (RFC 9112, 6.3).
-        if self.in_chunks(self.response) and b"content-length" in dict(self.response.headers):
+        if self.is_chunked(self.response) and b"content-length" in dict(self.response.headers):
             reusable = False
         return Reply(self.response.status_code, tuple(self.response.headers), bytes(self.body), reusable)
--- a/rainspindle/protocol/endpoint.py
+++ b/rainspindle/protocol/endpoint.py
@@ -29,8 +29,8 @@
 
     def forward(self, ask: Ask, host: bytes, patience: float) -> bytes:
         """Encodes the request, or its head and the first part of the body; `patience` is in seconds."""
-        left = str(max(1, int(patience * 1000))).encode()
-        headers = [(b"Host", host), (b"X-Timeout-Ms", left), *ask.headers]
+        remaining_ms = str(max(1, int(patience * 1000))).encode()
+        headers = [(b"Host", host), (b"X-Timeout-Ms", remaining_ms), *ask.headers]
         self.chunked = ask.more and ask.length is None
         if self.chunked:
             headers.append((b"Transfer-Encoding", b"chunked"))
--- a/rainspindle/protocol/plain.py
+++ b/rainspindle/protocol/plain.py
@@ -71,8 +71,8 @@
         return False
     if b"content-length" not in names:
         return bodiless and length == 0
-    said = headers[names.index(b"content-length")][1]
-    return names.count(b"content-length") == 1 and length <= most and said == b"%d" % length
+    stated = headers[names.index(b"content-length")][1]
+    return names.count(b"content-length") == 1 and length <= most and stated == b"%d" % length
 
 
 def encode(first: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> bytes:
--- a/rainspindle/routing/core.py
+++ b/rainspindle/routing/core.py
@@ -147,17 +147,17 @@
         """Discards everything stored about other endpoints, which have been removed."""
 
 
-class Held:
+class PendingRequest:
     """A request in progress, with the decided steps that its coroutine has not yet performed."""
 
-    __slots__ = ("called_off", "given", "left", "out", "ran", "repeat_until", "steps", "task")
+    __slots__ = ("called_off", "given", "left", "out", "ran", "retry_until", "steps", "task")
 
     def __init__(self, task: Task, given: Given) -> None:
         self.task, self.given = task, given
         self.steps: deque[Step] = deque()
         self.out: int | None = None  # number of the attempt in flight
         self.called_off = self.left = self.ran = False
-        self.repeat_until = math.inf  # when endpoints forget the first attempt that may have been executed
+        self.retry_until = math.inf  # when endpoints forget the first attempt that may have been executed
 
 
 class Core:
@@ -180,7 +180,7 @@
         self.tell: Callable[[str], None] = lambda message: (
             None
         )  # sends to the other sidecars, where there are any
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, PendingRequest] = {}
         self.taken = 0
         self.last_answer = math.inf  # by when every request must be answered during shutdown
         self.listed = False  # whether an endpoint list is available
@@ -190,40 +190,41 @@
 
     # Decisions.
 
-    def apply(self, did: Effects) -> None:
+    def apply(self, decided: Effects) -> None:
         """Carries out what the decision module returned."""
-        for exchange, step in did.steps:
-            held = self.held[exchange]
+        for request_number, step in decided.steps:
+            held = self.held[request_number]
             held.steps.append(step)
             if held.task is not self.loop.current:
                 held.task.wake()
-        for exchange, number in did.called_off:
-            waiting = self.held.get(exchange)
-            if waiting is not None and waiting.out == number:
-                waiting.called_off = True
-                waiting.task.wake()
-        for message in did.peer_messages:
+        for request_number, attempt_number in decided.called_off:
+            request = self.held.get(request_number)
+            if request is not None and request.out == attempt_number:
+                request.called_off = True
+                request.task.wake()
+        for message in decided.peer_messages:
             self.tell(message)
-        if did.watch:
+        if decided.watch:
             self.on_watch()
-        if did.next_timer_at < self.looks_at:
+        if decided.next_timer_at < self.looks_at:
             self.ticker.wake()
 
     def tick(self) -> Coroutine[None]:
         """Calls the decision module whenever it asked to be called, and at least once a second."""
         while True:
             self.looks_at = -math.inf  # running now, so `apply` need not wake it
-            did = self.facade.tick(self.loop.now())
-            self.apply(did)
-            out = sum(
-                (h.out is not None) + sum(isinstance(s, SendAttempt) for s in h.steps)
-                for h in self.held.values()
+            decided = self.facade.tick(self.loop.now())
+            self.apply(decided)
+            in_flight = sum(
+                (pending.out is not None) + sum(isinstance(step, SendAttempt) for step in pending.steps)
+                for pending in self.held.values()
             )
             check_invariant(
-                out == self.facade.in_flight(), "the module counts as many attempts in flight as there are"
+                in_flight == self.facade.in_flight(),
+                "the module counts as many attempts in flight as there are",
             )
             self.on_tick()
-            self.looks_at = min(did.next_timer_at, self.loop.now() + 1.0)
+            self.looks_at = min(decided.next_timer_at, self.loop.now() + 1.0)
             yield self.looks_at
 
     # The endpoint list.
@@ -241,7 +242,9 @@
         gone = {line.id for line in lines if line.status is EndpointStatus.GONE}
         named = addresses if whole else {**before, **addresses}
         # Removed endpoints must be dropped: ids are not reused, so the mapping would grow without bound.
-        directory.addresses = {id: address for id, address in named.items() if id not in gone}
+        directory.addresses = {
+            endpoint_id: address for endpoint_id, address in named.items() if endpoint_id not in gone
+        }
         for line in lines:
             # A restarted endpoint may be on another machine; connections to one that has vanished stay open
             # and silent.
@@ -256,11 +259,19 @@
                 directory.draining.setdefault(line.id, self.loop.now())
             else:
                 directory.draining.pop(line.id, None)
-        for id, address in before.items():
-            if directory.addresses.get(id) != address:
-                self.back.drop(id, address)
-        directory.started = {id: at for id, at in directory.started.items() if id in directory.addresses}
-        directory.draining = {id: at for id, at in directory.draining.items() if id in directory.addresses}
+        for endpoint_id, address in before.items():
+            if directory.addresses.get(endpoint_id) != address:
+                self.back.drop(endpoint_id, address)
+        directory.started = {
+            endpoint_id: since
+            for endpoint_id, since in directory.started.items()
+            if endpoint_id in directory.addresses
+        }
+        directory.draining = {
+            endpoint_id: since
+            for endpoint_id, since in directory.draining.items()
+            if endpoint_id in directory.addresses
+        }
         self.back.keep_only(directory.addresses)
         self.apply(self.facade.list_changed(self.loop.now(), lines, whole, stale))
         self.listed = self.listed or bool(lines) or not stale
@@ -294,67 +305,71 @@
         the process would exit while it still waits for an endpoint.
         """
         self.last_answer = deadline
-        for exchange, held in self.held.items():
+        for request_number, held in self.held.items():
             held.given.expires_at = min(held.given.expires_at, deadline)
-            self.facade.answer_by(exchange, deadline)
+            self.facade.answer_by(request_number, deadline)
         if deadline < math.inf:
-            self.loop.spawn(self.wake_held(deadline))
+            self.loop.spawn(self.wake_requests(deadline))
 
-    def wake_held(self, at: float) -> Coroutine[None]:
+    def wake_requests(self, deadline: float) -> Coroutine[None]:
         """Wakes all requests in progress once that time has come."""
-        while self.loop.now() < at:
-            yield at
+        while self.loop.now() < deadline:
+            yield deadline
         for held in self.held.values():
             held.task.wake()
 
     # One request.
 
-    def expiry(self, type_index: int, came: float, wait: float | None) -> float:
+    def expiry(self, type_index: int, arrived_at: float, wait: float | None) -> float:
         """Returns when a request must be answered.
 
         `came` is when its last byte arrived, `wait` how many seconds its client waits, None if unstated.
         """
         longest = self.settings.expiries[type_index]
         wait = longest if wait is None else min(wait, longest)
-        return min(came + wait - min(ANSWER_TIME, ANSWER_PART * wait), self.last_answer)
+        return min(arrived_at + wait - min(ANSWER_TIME, ANSWER_PART * wait), self.last_answer)
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
         """Performs the steps that the decision module chooses, until there is a final answer."""
         task = self.loop.current
         assert task is not None
         self.taken += 1
-        exchange = self.taken
-        held = self.held[exchange] = Held(task, given)
+        request_number = self.taken
+        held = self.held[request_number] = PendingRequest(task, given)
 
-        def left() -> bool:
+        def client_left() -> bool:
             if not held.left and gone():
                 held.left = True
-                self.apply(self.facade.left(self.loop.now(), exchange))
+                self.apply(self.facade.left(self.loop.now(), request_number))
             return held.left
 
-        def before() -> bool:
+        def cancel_before_sent() -> bool:
             # A retry decided in time may be written late, because its connection came up late or its
             # endpoint reads slowly. It is executed from its last byte on, when the deduplication window may
             # have passed, so it is given up.
-            return left() or held.called_off or self.loop.now() >= min(held.repeat_until, self.last_answer)
+            return (
+                client_left() or held.called_off or self.loop.now() >= min(held.retry_until, self.last_answer)
+            )
 
-        def after() -> bool:
-            left()
+        def cancel_after_sent() -> bool:
+            client_left()
             return held.called_off or self.loop.now() >= self.last_answer
 
         def started() -> None:
             if held.out is not None:
-                self.apply(self.facade.response_started(self.loop.now(), exchange, held.out))
+                self.apply(self.facade.response_started(self.loop.now(), request_number, held.out))
 
         def spent() -> None:
-            self.facade.body_consumed(self.loop.now(), exchange)
+            self.facade.body_consumed(self.loop.now(), request_number)
 
         def written() -> float:
             if given.expiry is not None and held.out is not None:
                 given.expires_at = given.expiry()
-                patience, did = self.facade.body_sent(self.loop.now(), exchange, held.out, given.expires_at)
-                self.apply(did)
-                return min(self.loop.now() + patience, given.expires_at)
+                timeout, decided = self.facade.body_sent(
+                    self.loop.now(), request_number, held.out, given.expires_at
+                )
+                self.apply(decided)
+                return min(self.loop.now() + timeout, given.expires_at)
             return given.expires_at
 
         given.spent, given.written = spent, written
@@ -366,7 +381,7 @@
             self.apply(
                 self.facade.start_request(
                     self.loop.now(),
-                    exchange,
+                    request_number,
                     given.type_index,
                     given.key,
                     given.expires_at,
@@ -385,41 +400,41 @@
                 held.out, sent_at = step.number, self.loop.now()
                 address = self.directory.addresses.get(step.endpoint)
                 if address is None or step.endpoint in self.directory.left_out:
-                    came = Forwarded(AttemptOutcome.NOT_SENT)
+                    result = Forwarded(AttemptOutcome.NOT_SENT)
                 else:
                     until = min(self.loop.now() + step.timeout, given.expires_at)
-                    came = yield from self.back.forward(
-                        given, step.endpoint, address, until, before, after, started
+                    result = yield from self.back.forward(
+                        given, step.endpoint, address, until, cancel_before_sent, cancel_after_sent, started
                     )
-                if came.outcome is not AttemptOutcome.SERVED and not came.broke:
-                    left()  # or the module would choose another endpoint for a client that has left
+                if result.outcome is not AttemptOutcome.SERVED and not result.broke:
+                    client_left()  # or the module would choose another endpoint for a client that has left
                 held.out, held.called_off = None, False
-                if not held.ran and came.outcome not in NEVER_EXECUTED:
+                if not held.ran and result.outcome not in NEVER_EXECUTED:
                     held.ran = True
-                    held.repeat_until = sent_at + self.settings.memory_spans[given.type_index]
+                    held.retry_until = sent_at + self.settings.memory_spans[given.type_index]
                 self.apply(
                     self.facade.attempt_ended(
                         self.loop.now(),
-                        exchange,
+                        request_number,
                         step.number,
-                        came.outcome,
-                        held.left or came.broke,
-                        came.lag,
+                        result.outcome,
+                        held.left or result.broke,
+                        result.lag,
                     )
                 )
-                if held.left or came.broke:
+                if held.left or result.broke:
                     return Left() if held.left else Broke()
-                if came.outcome is AttemptOutcome.SERVED:
-                    return Finished(came.payload)
+                if result.outcome is AttemptOutcome.SERVED:
+                    return Finished(result.payload)
             check_invariant(False, "a request is in progress with no attempt sent")
             return Terminated()
         except Exception as fault:  # a defect: the client still gets an answer, the module drops it
             self.loop.on_fault(fault)
-            self.apply(self.facade.left(self.loop.now(), exchange))
+            self.apply(self.facade.left(self.loop.now(), request_number))
             if held.out is not None:
                 self.facade.attempt_ended(
-                    self.loop.now(), exchange, held.out, AttemptOutcome.CANCELLED, over=True
+                    self.loop.now(), request_number, held.out, AttemptOutcome.CANCELLED, over=True
                 )
             return Terminated()
         finally:
-            del self.held[exchange]
+            del self.held[request_number]
--- a/rainspindle/transport/connection.py
+++ b/rainspindle/transport/connection.py
@@ -15,10 +15,10 @@
 
 Unless = Callable[[], bool] | None
 
-CHUNK = 65536
-ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-POLL_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+READ_SIZE = 65536
+END_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+POLL_END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Broken(Exception):
@@ -59,11 +59,11 @@
 
     def on_events(self, events: int) -> None:
         """Records events of epoll and wakes the waiting coroutine."""
-        if events & (select.EPOLLIN | ENDED):
+        if events & (select.EPOLLIN | END_EVENTS):
             self.readable, self.came, self.seen = True, self.loop.came, self.loop.looked
         if events & (select.EPOLLOUT | select.EPOLLERR | select.EPOLLHUP):
             self.writable = True
-        if events & ENDED:
+        if events & END_EVENTS:
             self.ended = True
         self.wake()
 
@@ -107,9 +107,9 @@
         if not self.readable:
             return None
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(READ_SIZE)
             # A short read has emptied the socket, so the next edge reports more; an end was reported before.
-            self.readable = self.ended or len(data) == CHUNK
+            self.readable = self.ended or len(data) == READ_SIZE
             return data
         except BlockingIOError:
             self.readable = False
@@ -203,7 +203,7 @@
     def end_behind_unread(self) -> bool:
         """Whether a FIN or a reset has arrived, even behind unread bytes."""
         poll = select.poll()
-        poll.register(self.sock, POLL_ENDED)
+        poll.register(self.sock, POLL_END_EVENTS)
         return bool(poll.poll(0))
 
     def pending(self) -> bool:
@@ -253,7 +253,7 @@
     try:
         return socket.socket(family(address), socket.SOCK_STREAM)
     except OSError as fault:
-        if fault.errno not in SHORT or not loop.make_room():
+        if fault.errno not in OUT_OF_RESOURCES or not loop.make_room():
             raise OutOfSockets(str(fault)) from None
     try:
         return socket.socket(family(address), socket.SOCK_STREAM)
@@ -281,10 +281,10 @@
     """A listening socket that passes on every connection as it arrives."""
 
     BACKLOG = 1024  # connections that wait in the kernel
-    AT_ONCE = 32  # connections accepted per round: existing ones must not wait for a flood to end
-    RETRY = 0.02  # seconds until accepting is retried where nothing could be accepted
-    STEER = 51  # SO_ATTACH_REUSEPORT_CBPF, which the socket module does not define
-    TO_THE_SECOND = struct.pack("=HBBI", 0x06, 0, 0, 1)  # a BPF program of one instruction: return 1
+    MAX_BATCH = 32  # connections accepted per round: existing ones must not wait for a flood to end
+    RETRY_DELAY = 0.02  # seconds until accepting is retried where nothing could be accepted
+    SO_ATTACH_REUSEPORT_CBPF = 51  # not defined by the socket module
+    SELECT_SECOND = struct.pack("=HBBI", 0x06, 0, 0, 1)  # a BPF program of one instruction: return 1
 
     def __init__(
         self,
@@ -335,10 +335,10 @@
         process left the program's result names no socket, and the kernel chooses by itself again. Returns
         False where the kernel does not support this.
         """
-        program = array.array("B", self.TO_THE_SECOND)
-        told = struct.pack("@HP", 1, program.buffer_info()[0])
+        program = array.array("B", self.SELECT_SECOND)
+        filter_option = struct.pack("@HP", 1, program.buffer_info()[0])
         try:
-            self.sock.setsockopt(socket.SOL_SOCKET, self.STEER, told)
+            self.sock.setsockopt(socket.SOL_SOCKET, self.SO_ATTACH_REUSEPORT_CBPF, filter_option)
         except OSError:
             return False
         return True
@@ -356,7 +356,7 @@
 
     def accept_some(self) -> None:
         """Accepts one batch and schedules the next where needed."""
-        delay: float | None = self.RETRY
+        delay: float | None = self.RETRY_DELAY
         try:
             delay = self.accept_batch()
         finally:  # also after an error, as epoll does not report the other connections again
@@ -364,12 +364,12 @@
                 self.retry_in(delay)
 
     def accept_batch(self) -> float | None:
-        """Accepts up to AT_ONCE connections.
+        """Accepts up to MAX_BATCH connections.
 
         Returns the seconds until the next batch, None where epoll reports the next connection.
         """
         taken = 0
-        for _ in range(self.AT_ONCE):
+        for _ in range(self.MAX_BATCH):
             if self.closed or not self.open:
                 return None
             if self.offered is None:
@@ -378,7 +378,7 @@
                 except BlockingIOError:
                     return None
                 except OSError as fault:
-                    if fault.errno in SHORT and not self.make_room():
+                    if fault.errno in OUT_OF_RESOURCES and not self.make_room():
                         break
                     continue
                 self.offered = self.connection(sock)
@@ -386,7 +386,7 @@
                 if not self.offer(self.offered):
                     break
                 taken += 1
-        return 0.0 if taken else self.RETRY
+        return 0.0 if taken else self.RETRY_DELAY
 
     def offer(self, connection: Connection) -> bool:
         """Offers a connection; returns whether it was taken, otherwise it stays in `offered`."""
@@ -418,15 +418,15 @@
 
     def retry(self, delay: float) -> Coroutine[None]:
         """Accepts another batch after a delay in seconds."""
-        at = self.loop.now() + delay
-        while self.loop.now() < at:
-            yield at
+        retry_at = self.loop.now() + delay
+        while self.loop.now() < retry_at:
+            yield retry_at
         self.retry_pending = False
         self.accept_some()
 
     def close(self) -> None:
         """Accepts what waits in the kernel's queue, then closes."""
-        for _ in range(self.BACKLOG // self.AT_ONCE):
+        for _ in range(self.BACKLOG // self.MAX_BATCH):
             self.accept_some()
         if not self.closed:
             self.closed = True
--- a/rainspindle/transport/datagrams.py
+++ b/rainspindle/transport/datagrams.py
@@ -10,8 +10,8 @@
 from .address import Address, address_text
 from .loop import Coroutine, Loop
 
-MOST = 512  # bytes read of a message; longer ones are truncated, and sidecars send none
-ROUND = 256  # messages read before other tasks run
+MAX_MESSAGE = 512  # bytes read of a message; longer ones are truncated, and sidecars send none
+MAX_BATCH = 256  # messages read before other tasks run
 
 
 class Datagrams:
@@ -64,10 +64,10 @@
             yield self.loop.now() if self.read_some() else math.inf
 
     def read_some(self) -> bool:
-        """Reads up to ROUND messages, so that a flood does not delay requests; returns whether to go on."""
-        for _ in range(ROUND):
+        """Reads up to MAX_BATCH messages, lest a flood delay requests; returns whether to go on."""
+        for _ in range(MAX_BATCH):
             try:
-                data, sender = self.socket.recvfrom(MOST)
+                data, sender = self.socket.recvfrom(MAX_MESSAGE)
             except BlockingIOError:
                 return False
             except OSError:  # the error of an earlier message that had no receiver
--- a/rainspindle/transport/loop.py
+++ b/rainspindle/transport/loop.py
@@ -19,7 +19,7 @@
 
 EVENTS = select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET
 BATCH = 64  # events taken per poll
-HURRY = 0.005  # seconds after which urgent descriptors are polled again between two tasks
+URGENT_POLL_INTERVAL = 0.005  # seconds after which urgent descriptors are polled again between two tasks
 
 
 class Watched(Protocol):
@@ -63,9 +63,9 @@
         self.ready: deque[Task] = deque()
         self.urgent: select.epoll | None = None  # for the descriptors that are served before all others
         self.urgent_ready: deque[Task] = deque()
-        self.hurry_at = math.inf
+        self.next_urgent_poll = math.inf
         self.timers: list[tuple[float, int, int, Task]] = []
-        self.timers_set = 0
+        self.timer_count = 0
         self.tasks: set[Task] = set()
         self.current: Task | None = None
         self.looked = self.came = self.now()  # the last poll; the earliest time of the events that it found
@@ -89,9 +89,9 @@
                 yield from make()
             except Exception as fault:
                 self.on_fault(fault)
-            again = self.now() + 1.0
-            while self.now() < again:
-                yield again
+            restart_at = self.now() + 1.0
+            while self.now() < restart_at:
+                yield restart_at
 
     def yield_turn(self) -> Coroutine[None]:
         """Lets every other ready task run, and the loop poll descriptors and timers, before going on."""
@@ -102,10 +102,10 @@
     def watch(self, fd: int, owner: Watched, urgent: bool = False) -> None:
         """Reports the events of a descriptor to its owner."""
         if urgent and self.urgent is None:
-            self.urgent, self.hurry_at = select.epoll(), -math.inf
+            self.urgent, self.next_urgent_poll = select.epoll(), -math.inf
             self.epoll.register(self.urgent.fileno(), select.EPOLLIN)  # so that urgent events end a wait
-        at = self.urgent if urgent and self.urgent is not None else self.epoll
-        at.register(fd, EVENTS)
+        poller = self.urgent if urgent and self.urgent is not None else self.epoll
+        poller.register(fd, EVENTS)
         self.watched[fd] = owner
 
     def unwatch(self, fd: int, urgent: bool = False) -> None:
@@ -125,22 +125,28 @@
         """Runs the ready tasks, then polls descriptors and timers once."""
         for _ in range(len(self.ready)):
             if self.urgent is not None:
-                self.hurry(self.urgent)
+                self.run_urgent(self.urgent)
             if not self.ready:
                 break
             self.resume(self.ready.popleft())
         if self.urgent is not None:
-            self.hurry(self.urgent)
+            self.run_urgent(self.urgent)
         if self.stopped:
             return
-        before = self.now()
-        wait = 0.0 if self.ready or self.urgent_ready else self.timers[0][0] - before if self.timers else None
+        polled_from = self.now()
+        timeout = (
+            0.0
+            if self.ready or self.urgent_ready
+            else self.timers[0][0] - polled_from
+            if self.timers
+            else None
+        )
         # epoll waits for whole milliseconds, rounded up, so a timer is at most 1 ms late.
-        events = self.look(wait)
+        events = self.look(timeout)
         now = self.now()
-        self.hurry_at = -math.inf
+        self.next_urgent_poll = -math.inf
         # An event that ended a wait is new; one found at once may have occurred just after the last poll.
-        self.came, self.looked = now if now - before > 0.001 else self.looked, now
+        self.came, self.looked = now if now - polled_from > 0.001 else self.looked, now
         self.tell(events)
         while self.timers and self.timers[0][0] <= now:
             _, _, parked, task = heapq.heappop(self.timers)
@@ -161,11 +167,11 @@
                 except Exception as fault:  # an error of one owner must not affect the others
                     self.on_fault(fault)
 
-    def hurry(self, urgent: select.epoll) -> None:
+    def run_urgent(self, urgent: select.epoll) -> None:
         """Serves urgent descriptors and tasks, which must not wait behind client requests."""
-        if self.now() >= self.hurry_at:
+        if self.now() >= self.next_urgent_poll:
             self.tell(urgent.poll(0.0, BATCH))
-            self.hurry_at = self.now() + HURRY
+            self.next_urgent_poll = self.now() + URGENT_POLL_INTERVAL
         for _ in range(
             len(self.urgent_ready)
         ):  # one round only, or a flood of urgent tasks would starve all others
@@ -191,8 +197,8 @@
             self.on_fault(fault)
         else:
             if until != math.inf and not task.queued:
-                self.timers_set += 1
-                heapq.heappush(self.timers, (until, self.timers_set, task.parked, task))
+                self.timer_count += 1
+                heapq.heappush(self.timers, (until, self.timer_count, task.parked, task))
         finally:
             self.current = None
 
--- a/rainspindle/transport/pool.py
+++ b/rainspindle/transport/pool.py
@@ -15,9 +15,9 @@
     """Keeps idle connections for reuse."""
 
     # Seconds within which a close by the peer shows, after an answer and on a new connection.
-    REST, NEW_REST = 0.025, 0.001
+    REST, NEW_SETTLE_TIME = 0.025, 0.001
     # The share of early closes above which they count as frequent, and the weight of one in their average.
-    MOST_ENDS, ENDS_STEP = 0.02, 0.01
+    FREQUENT_EARLY_CLOSES, EARLY_CLOSE_WEIGHT = 0.02, 0.01
     IDLE_PART = 0.6  # used share of the stated idle time: a request written at its very end may be lost
 
     def __init__(self, loop: Loop, most: int, idle_time: float) -> None:
@@ -29,9 +29,9 @@
         self.made = self.reused = 0
         self.ends = 0.0  # moving average: share of idle connections that closed within REST
 
-    def wary(self) -> bool:
+    def early_closes_frequent(self) -> bool:
         """Whether endpoints often close connections early, so that critical requests should wait for REST."""
-        return self.ends > self.MOST_ENDS
+        return self.ends > self.FREQUENT_EARLY_CLOSES
 
     def take(self, peer: Peer, careful: bool = False) -> Connection | None:
         """Returns a healthy idle connection, the most recently used of those idle for at least REST, or None.
@@ -45,7 +45,9 @@
         while idle:
             connection = next((c for c in reversed(idle) if now - c.idle_since >= self.REST), idle[0])
             rested = now - connection.idle_since >= self.REST
-            if not rested and (self.open + self.lent < self.most or (careful and self.wary())):
+            if not rested and (
+                self.open + self.lent < self.most or (careful and self.early_closes_frequent())
+            ):
                 return None
             if connection.sound() and now - connection.idle_since < self.keep:
                 idle.remove(connection)
@@ -68,8 +70,8 @@
         self.open += 1
         try:
             yield from connection.establish(until, unless)
-            if careful and self.wary():
-                yield from connection.rest(self.NEW_REST)
+            if careful and self.early_closes_frequent():
+                yield from connection.rest(self.NEW_SETTLE_TIME)
         except BaseException:
             self.close(connection)
             raise
@@ -79,7 +81,7 @@
     def keep_idle(self, peer: Peer, connection: Connection) -> None:
         """Takes a connection back for reuse."""
         connection.idle_since = self.loop.now()
-        self.ends -= self.ENDS_STEP * self.ends
+        self.ends -= self.EARLY_CLOSE_WEIGHT * self.ends
         connection.wake = partial(self.looked_at, peer, connection)
         self.idle.setdefault(peer, []).append(connection)
         if connection.ended:
@@ -89,7 +91,7 @@
         """Handles an event of an idle connection: its end, unsolicited bytes, or an outdated event."""
         if not connection.sound():
             if self.loop.now() - connection.idle_since < self.REST:
-                self.ends += self.ENDS_STEP
+                self.ends += self.EARLY_CLOSE_WEIGHT
             self.drop(peer, connection)
 
     def drop(self, peer: Peer, connection: Connection) -> None:
@@ -112,7 +114,10 @@
 
     def make_room(self) -> bool:
         """Closes the connection that has been idle longest; returns whether there was one."""
-        oldest = min(((c[0].idle_since, a) for a, c in self.idle.items() if c), default=None)
+        oldest = min(
+            ((connections[0].idle_since, peer) for peer, connections in self.idle.items() if connections),
+            default=None,
+        )
         if oldest is None:
             return False
         self.drop(oldest[1], self.idle[oldest[1]][0])
--- a/rainspindle/transport/wire.py
+++ b/rainspindle/transport/wire.py
@@ -9,8 +9,8 @@
 from .address import Address
 from .loop import Coroutine, Loop
 
-ROUND = 64  # datagrams read before other tasks run
-BUFFER = 512 * 1024  # bytes that the kernel buffers while the process is busy or stopped
+MAX_BATCH = 64  # datagrams read before other tasks run
+RECEIVE_BUFFER = 512 * 1024  # bytes that the kernel buffers while the process is busy or stopped
 
 
 class Wire:
@@ -38,7 +38,7 @@
         family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
         try:
             if shared:
                 self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -79,10 +79,10 @@
             yield math.inf
 
     def read_some(self) -> bool:
-        """Reads up to ROUND datagrams, so that a flood does not delay requests; returns whether to go on."""
-        some = False
+        """Reads up to MAX_BATCH datagrams, lest a flood delay requests; returns whether to go on."""
+        received = False
         try:
-            for _ in range(ROUND):
+            for _ in range(MAX_BATCH):
                 if self.closed:
                     return False
                 try:
@@ -91,9 +91,9 @@
                     return False
                 except OSError:  # the error of an earlier datagram that had no receiver
                     continue
-                some = True
+                received = True
                 self.came(sender[:2], data)
             return True
         finally:
-            if some:
+            if received:
                 self.after()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that has closed its connection: nothing is sent for it, wherever its request waited."""
+"""Nothing is sent for a client that has closed its connection, wherever its request was waiting."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from rainspindle.transport.loop import Coroutine
 
 from .fleet import SETTINGS, Client, Rig, SteppedLoop, ask, only
-from .test_streams import Raw, pour
+from .test_streams import EndpointSockets, write_while_read
 
 
 def close(sock: socket.socket) -> None:
@@ -30,7 +30,7 @@
     sock.shutdown(socket.SHUT_WR)
 
 
-WAYS_TO_GO = [close, reset, half_close]
+WAYS_TO_LEAVE = [close, reset, half_close]
 
 
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
@@ -43,14 +43,14 @@
 
 
 def pipeline(rig: Rig, client: Client) -> None:
-    """Two requests together, the first of them out, and a third that stays unread in the kernel."""
+    """Sends two requests together, the first of which is forwarded, and a third that stays unread."""
     client.send(ask("first") + ask("second"))
     rig.settle()
     client.sock.sendall(ask("third"))
     rig.loop.settle()
 
 
-def nothing_is_held(rig: Rig) -> bool:
+def holds_nothing(rig: Rig) -> bool:
     return (
         rig.core.held == {}
         and rig.facade.in_flight() == 0
@@ -61,19 +61,21 @@
     )
 
 
-# What the kernel knows.
+# Detecting the end of a connection.
 
 
 @pytest.mark.parametrize("unread", [b"", b"x" * 10, b"x" * 20_000])
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_an_end_is_seen_behind_unread_bytes(go: Callable[[socket.socket], None], unread: bytes) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_an_end_is_detected_behind_unread_bytes(
+    leave: Callable[[socket.socket], None], unread: bytes
+) -> None:
     client, accepted = tcp_pair()
     loop = SteppedLoop()
     connection = Connection(loop, accepted, connected=True)
     client.sendall(unread)
     assert not connection.left()
-    go(client)
-    assert connection.left(), "the loop has not looked, and the kernel was not asked"
+    leave(client)
+    assert connection.left(), "the loop has not polled, and the kernel was not asked"
     connection.close()
     client.close()
     loop.epoll.close()
@@ -89,55 +91,58 @@
     loop.epoll.close()
 
 
-def test_much_at_once_from_a_client_that_goes() -> None:
-    """The end can't come while the receive buffer is full; the first answer is met by a reset, which can."""
+def test_a_client_that_sends_much_at_once_and_leaves() -> None:
+    """A FIN cannot arrive while the receive buffer is full, but the reset after the first answer can."""
     rig = Rig(1)
     client = rig.client()
-    rig.loop.settle()  # accepted, and nothing read
+    rig.loop.settle()  # accepted but not read
     many = b"".join(ask(f"x{n}") for n in range(5000))
     sent = client.sock.send(many)
-    assert sent > 300_000, "all of it may fit into the receive buffer"
+    assert sent > 300_000, "too few bytes to fill the receive buffer"
     client.close()
     first = only(rig.got())
     assert first.id == "x0"
     first.answer()
-    assert rig.got() == [] and nothing_is_held(rig)
+    assert rig.got() == [] and holds_nothing(rig)
 
 
-# Each place in which a request waits.
+# Each place where a request may wait.
 
 
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_behind_another_request_with_a_third_unread(go: Callable[[socket.socket], None]) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_behind_another_request_with_a_third_unread(leave: Callable[[socket.socket], None]) -> None:
     rig = Rig(1)
-    warm = [rig.client(), rig.client()]  # two kept connections: the second request waits for no new one
+    warm = [
+        rig.client(),
+        rig.client(),
+    ]  # two idle connections, so that the second request does not wait for a new one
     for n, other in enumerate(warm):
         other.send(ask(f"warm{n}"))
     rig.serve_all()
     for other in warm:
         other.close()
-    rig.wait(0.1)  # the kept connections have rested
+    rig.wait(0.1)  # the idle connections are past Pool.REST
     assert sum(map(len, rig.pool.idle.values())) == 2
     client = rig.client()
     pipeline(rig, client)
     only(rig.got()).answer()
     rig.loop.step()  # the answer has been seen, and the coroutine has not gone on
-    go(client.sock)
-    assert rig.got() == [] and nothing_is_held(rig)
+    leave(client.sock)
+    assert rig.got() == [] and holds_nothing(rig)
 
 
-def test_a_turn_that_comes_too_late_costs_the_module_and_the_pool_nothing() -> None:
-    """Guards against a cold endpoint's budget, or a kept connection, spent on who has gone."""
+def test_a_request_whose_client_has_left_uses_no_budget_and_no_connection() -> None:
+    """A client that has left must not use the slow start budget of an endpoint or an idle connection."""
     rig = Rig(1)
     warm = rig.asked(ask("warm"))
     rig.serve_all()
     assert warm.status() == 200
-    rig.wait(0.1)  # the kept connection has rested
+    rig.wait(0.1)  # the idle connection is past Pool.REST
     counted, sent_at = rig.balancer.popularity.total, rig.balancer.registry.by_id["e0"].last_sent_at
     warm.send(ask("late"))
-    rig.loop.step()  # the request has been seen, and the coroutine has not gone on
+    rig.loop.step()  # the request has been received, but its coroutine has not resumed
     warm.close()
-    assert rig.got() == [] and nothing_is_held(rig)
+    assert rig.got() == [] and holds_nothing(rig)
     assert (rig.balancer.popularity.total, rig.balancer.registry.by_id["e0"].last_sent_at) == (
         counted,
         sent_at,
@@ -145,22 +150,22 @@
     assert rig.pool.open == sum(map(len, rig.pool.idle.values())) == 1
 
 
-def test_while_a_connection_comes_up_with_a_further_request_unread(rig: Rig) -> None:
+def test_while_connecting_with_another_request_unread(rig: Rig) -> None:
     client = rig.client()
     client.send(ask("first"))
-    while not rig.pool.open:  # one coroutine or one look at a time, to stop before the connection's event
+    while not rig.pool.open:  # one task or poll at a time, to stop before the event of the connection
         if rig.loop.ready:
             rig.loop.resume(rig.loop.ready.popleft())
         else:
             rig.loop.step()
-    connecting(rig).on_events(select.EPOLLOUT)  # it is up, and the coroutine has not gone on
+    connecting(rig).on_events(select.EPOLLOUT)  # established, but its coroutine has not resumed
     client.sock.sendall(ask("second"))
     client.close()
-    assert rig.got() == [] and nothing_is_held(rig) and rig.pool.open == 0
+    assert rig.got() == [] and holds_nothing(rig) and rig.pool.open == 0
 
 
 def connecting(rig: Rig) -> Connection:
-    """The one connection to an endpoint."""
+    """Returns the only connection to an endpoint."""
     (connection,) = (
         owner
         for owner in rig.loop.watched.values()
@@ -169,9 +174,9 @@
     return connection
 
 
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_before_a_further_attempt(rig: Rig, go: Callable[[socket.socket], None]) -> None:
-    """Nothing is sent again, and the budget of further attempts is not drawn on."""
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_before_a_retry(rig: Rig, leave: Callable[[socket.socket], None]) -> None:
+    """Nothing is retried, and the retry budget is not used."""
     client = rig.client()
     client.send(ask("first"))
     rig.settle()
@@ -181,13 +186,13 @@
     rig.loop.settle()
     turned_away.answer(503, headers="X-Not-Processed: 1\r\n")
     rig.loop.step()  # the answer has been seen, and the coroutine has not gone on
-    go(client.sock)
-    assert rig.got() == [] and nothing_is_held(rig)
+    leave(client.sock)
+    assert rig.got() == [] and holds_nothing(rig)
     assert [e.retry_credit for e in rig.balancer.registry.by_id.values()] == credits_before
 
 
 def test_between_two_writes_of_one_request() -> None:
-    """The endpoint's buffer gets room in the same round in which the client goes."""
+    """The endpoint's connection becomes writable in the same round in which the client leaves."""
     near, far = tcp_pair()
     loop = SteppedLoop()
     connection = Connection(loop, near, connected=True)
@@ -211,7 +216,7 @@
     loop.settle()
     assert not connection.writable
     gone = True
-    while read_all():  # until the kernel has moved on all that was written
+    while read_all():  # until the kernel has transferred all that was written
         pass
     loop.settle()
     assert outcome == ["unwanted"] and read_all() == 0
@@ -220,27 +225,27 @@
     loop.epoll.close()
 
 
-def long_request(id: str, length: int) -> bytes:
-    return ask(id, "book").replace(b"Content-Length: 0", b"Content-Length: %d" % length)
+def long_request(request_id: str, length: int) -> bytes:
+    return ask(request_id, "book").replace(b"Content-Length: 0", b"Content-Length: %d" % length)
 
 
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_a_long_body_that_waits_for_a_place(rig: Rig, go: Callable[[socket.socket], None]) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_a_long_body_that_waits_for_memory(rig: Rig, leave: Callable[[socket.socket], None]) -> None:
     room = rig.front.room
     room.taken = room.places  # others hold all
     client = rig.client()
     client.sock.sendall(long_request("x", 200_000))
-    pour(rig, client.sock, b"x" * 100_000)
+    write_while_read(rig, client.sock, b"x" * 100_000)
     assert len(room.waiting) == 1 and rig.facade.in_flight() == 1
-    go(client.sock)
+    leave(client.sock)
     rig.loop.settle()
     room.taken = 0
-    assert nothing_is_held(rig) and rig.pool.open == 0
+    assert holds_nothing(rig) and rig.pool.open == 0
     assert rig.got() == []
 
 
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_a_long_answer_that_waits_for_a_place(rig: Rig, go: Callable[[socket.socket], None]) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_a_long_answer_that_waits_for_memory(rig: Rig, leave: Callable[[socket.socket], None]) -> None:
     room = rig.front.room
     room.taken = room.places  # others hold all
     client = rig.asked(ask("x"))
@@ -248,60 +253,62 @@
     got.raw(b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + b"x" * 100_000)
     rig.loop.settle()
     assert len(room.waiting) == 1
-    go(client.sock)
+    leave(client.sock)
     rig.loop.settle()
     room.taken = 0
-    assert nothing_is_held(rig) and rig.pool.open == 0
+    assert holds_nothing(rig) and rig.pool.open == 0
     assert rig.got() == []
 
 
-def test_others_move_up_when_a_client_leaves_the_line_for_a_place(rig: Rig) -> None:
+def test_others_advance_when_a_client_leaves_the_queue_for_memory(rig: Rig) -> None:
     room = rig.front.room
     room.taken = room.places  # others hold all
     first, second = rig.client(), rig.client()
     for n, client in enumerate((first, second)):
         client.sock.sendall(long_request(f"x{n}", 200_000))
-        pour(rig, client.sock, b"x" * 100_000)
+        write_while_read(rig, client.sock, b"x" * 100_000)
     first.close()
     rig.loop.settle()
     assert len(room.waiting) == 1
     room.leave()
-    pour(rig, second.sock, b"x" * 100_000)
+    write_while_read(rig, second.sock, b"x" * 100_000)
     assert only([got for _ in range(40) for got in rig.got()]).id == "x1"
 
 
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_a_long_body_whose_rest_comes_with_the_end(rig: Rig, go: Callable[[socket.socket], None]) -> None:
-    """The rest goes on to nobody: an endpoint begins when the last byte has come."""
-    raw, client = Raw(rig), rig.client()
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_a_long_body_whose_last_part_arrives_with_the_end(
+    rig: Rig, leave: Callable[[socket.socket], None]
+) -> None:
+    """The last part must not be forwarded, as an endpoint starts to execute at the last byte."""
+    raw, client = EndpointSockets(rig), rig.client()
     client.sock.sendall(long_request("x", 120_000))
-    pour(rig, client.sock, b"x" * 100_000)
+    write_while_read(rig, client.sock, b"x" * 100_000)
     endpoint = raw.accept()
     rig.loop.settle()
     endpoint.look()
-    assert len(endpoint.body()) > 60_000, "the attempt has not begun"
+    assert len(endpoint.body()) > 60_000, "the attempt has not started"
     client.sock.sendall(b"x" * 20_000)
-    go(client.sock)
+    leave(client.sock)
     rig.loop.settle()
     endpoint.look()
-    assert len(endpoint.body()) < 120_000, "the whole body was sent for nobody"
-    assert nothing_is_held(rig) and rig.pool.open == 0
+    assert len(endpoint.body()) < 120_000, "the whole body was sent although the client had left"
+    assert holds_nothing(rig) and rig.pool.open == 0
 
 
-@pytest.mark.parametrize("go", WAYS_TO_GO)
-def test_a_long_answer_whose_endpoint_pauses(rig: Rig, go: Callable[[socket.socket], None]) -> None:
-    """Its place, its connections and its id are free at once, not after the time that a pause may last."""
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_a_long_answer_whose_endpoint_pauses(rig: Rig, leave: Callable[[socket.socket], None]) -> None:
+    """Its memory, connections and id are released at once rather than after IDLE_TIMEOUT."""
     client = rig.asked(ask("x"))
     only(rig.got()).raw(b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + b"x" * 100_000)
     rig.loop.settle()
     assert len(client.sock.recv(1 << 20)) > 60_000 and rig.front.room.taken == 1
-    go(client.sock)
+    leave(client.sock)
     rig.loop.settle()
-    assert nothing_is_held(rig) and rig.pool.open == 0
+    assert holds_nothing(rig) and rig.pool.open == 0
 
 
-def test_an_answer_without_a_length_does_not_seem_whole_to_who_reads_on() -> None:
-    """Where nothing may be called off, an answer also goes on for a client that has shut its sending side."""
+def test_a_truncated_answer_without_a_length_is_reset_for_a_half_closed_client() -> None:
+    """Where attempts may not be cancelled, a client that has half-closed still receives its answer."""
     limits = {**SETTINGS["policy-limits"], "cancel": False}
     rig = Rig(settings={**SETTINGS, "policy-limits": limits})
     client = rig.client()
@@ -311,7 +318,7 @@
     rig.loop.settle()
     got.raw(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 100_000)
     rig.loop.settle()
-    assert not got.gone(), "called off"
+    assert not got.gone(), "the attempt was cancelled"
     got.reset()
     rig.loop.settle()
     with pytest.raises(ConnectionResetError):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors at their limit: who gets one, who is asked to close, and what `check` says of a limit."""
+"""Descriptors at their limit: who gets one, which connections are closed, and what `check` reports."""
 
 from __future__ import annotations
 
@@ -26,50 +26,50 @@
 from .test_program import PATIENCE, ROOT, Service, config, run
 
 READY = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
-HEARD_WITHIN = 6.0  # seconds from discovery's return until a change counts as told
-CROWD = 150  # clients that connect and say nothing
+NOTIFIED_WITHIN = 6.0  # seconds from the return of discovery until a change counts as notified
+IDLE_CLIENTS = 150  # clients that connect and send nothing
 
 
-# The listening socket, with the clock moved by hand.
+# The listening socket, with a simulated clock.
 
 
-def test_tries_to_accept_do_not_multiply_with_the_connections_that_come(
+def test_accept_retries_do_not_multiply_with_new_connections(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a busy loop at the limit: each arrival began a series of tries of its own."""
-    accept, tries, short = socket.socket.accept, 0, True
+    """Each new connection used to start a series of retries of its own, a busy loop at the limit."""
+    accept, attempts, short = socket.socket.accept, 0, True
 
     def counted(self: socket.socket) -> tuple[socket.socket, object]:
-        nonlocal tries
+        nonlocal attempts
         if self is rig.listener.sock:
-            tries += 1
+            attempts += 1
             if short:
                 raise OSError(errno.EMFILE, "too many open files")
         return accept(self)
 
     monkeypatch.setattr(socket.socket, "accept", counted)
     clients = [rig.asked(READY) for _ in range(40)]
-    tries = 0
+    attempts = 0
     rig.wait(1.0)
-    assert tries <= 1.0 / Listener.RETRY + 1
+    assert attempts <= 1.0 / Listener.RETRY_DELAY + 1
     short = False
     rig.wait(0.1)
     assert [client.status() for client in clients] == [200] * 40
 
 
-def test_an_error_that_lasts_does_not_make_accepting_spin(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    tries = 0
+def test_a_lasting_accept_error_causes_no_busy_loop(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    attempts = 0
 
     def refused(self: socket.socket) -> tuple[socket.socket, object]:
-        nonlocal tries
-        tries += 1
+        nonlocal attempts
+        attempts += 1
         raise OSError(errno.EPERM, "not permitted")
 
     monkeypatch.setattr(socket.socket, "accept", refused)
     rig.client()
-    for _ in range(100):  # a loop that has something to do in each round never ends by itself
+    for _ in range(100):  # settle() would not return from a loop that is busy in every round
         rig.loop.step()
-    assert tries == Listener.AT_ONCE
+    assert attempts == Listener.MAX_BATCH
     monkeypatch.undo()
     rig.clients[-1].send(ask("x"))
     rig.wait(0.1)
@@ -77,9 +77,7 @@
     assert rig.clients[-1].status() == 200
 
 
-def test_one_aborted_connection_does_not_keep_the_next_waiting(
-    rig: Rig, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_an_aborted_connection_does_not_delay_the_next(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     accept, aborted = socket.socket.accept, [errno.ECONNABORTED]
 
     def once(self: socket.socket) -> tuple[socket.socket, object]:
@@ -93,10 +91,10 @@
     assert client.status() == 200 and not aborted
 
 
-def test_a_fault_in_taking_one_connection_does_not_leave_the_others_unaccepted(
+def test_an_error_with_one_connection_does_not_leave_the_others_unaccepted(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a lost edge: those behind it waited for the next client to connect."""
+    """An error used to leave the others waiting for the next client, as epoll does not report them again."""
     accepted, faulty = rig.listener.accepted, [ValueError("planted")]
 
     def once(connection: object) -> bool | None:
@@ -116,26 +114,26 @@
     assert [client.status() for client in clients[1:]] == [200] * 2
 
 
-# Places.
+# The limits of connections.
 
 
-def test_clients_that_are_all_served_take_no_more_than_theirs_and_half_of_the_endpoints_places() -> None:
-    """Guards against requests under way that hold the descriptors kept for discovery and the console."""
+def test_active_clients_use_no_more_than_their_limit_and_half_of_the_pool() -> None:
+    """Requests in progress must not use the descriptors that are reserved for discovery and the console."""
     rig = Rig(1, clients=8, connections=16)
     rig.tell(*(entry(f"n{n}", rig.stands[0].port) for n in range(40)), whole=True)
     clients = [rig.asked(ask(f"x{n}")) for n in range(20)]
     rig.wait(0.1)
     assert len(rig.front.clients) == 12 and rig.pool.lent == 4 and rig.pool.open <= 16 - 4
-    for _ in range(10):  # those that could not be taken are, as others rest
+    for _ in range(10):  # connections not accepted so far are accepted as others become idle
         rig.serve_all()
         rig.wait(0.05)
         assert len(rig.front.clients) + rig.pool.open <= 8 + 16
-    assert {client.status() for client in clients} <= {200, 503}, "each has its one answer"
+    assert {client.status() for client in clients} <= {200, 503}, "a request without its one answer"
     assert rig.pool.lent == max(0, len(rig.front.clients) - 8)
 
 
-def test_a_client_that_finds_no_place_is_taken_when_the_door_closes() -> None:
-    """Guards against losing on the way out what the machine has accepted."""
+def test_a_client_over_the_limit_is_accepted_when_the_listener_closes() -> None:
+    """Connections in the kernel's queue must not be lost during shutdown."""
     rig = Rig(1, clients=2, connections=2)
     clients = [rig.asked(ask(f"x{n}")) for n in range(8)]
     assert len(rig.front.clients) < 8
@@ -147,9 +145,7 @@
     assert {client.status() for client in clients} <= {200, 503}
 
 
-def test_what_is_opened_at_the_limit_has_another_connection_closed(
-    rig: Rig, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_opening_a_connection_at_the_limit_closes_another(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
     make, short = socket.socket, 1
 
     class Short(make):  # type: ignore[misc, valid-type]
@@ -175,11 +171,11 @@
         open_connection(rig.loop, ("127.0.0.1", rig.stands[0].port))
 
 
-# What `check` says.
+# What `check` reports.
 
 
 @pytest.mark.parametrize("sockets", [0, -5, 40, LEAST_SOCKETS - 1])
-def test_a_limit_under_the_reserves_is_one_line_that_names_the_key_and_the_way_out(
+def test_a_limit_below_the_reserves_is_reported_in_one_line_with_key_and_remedy(
     tmp_path: Path, sockets: int
 ) -> None:
     file = tmp_path / "config.json"
@@ -211,7 +207,7 @@
     )
 
 
-def test_a_system_that_allows_fewer_than_the_reserves_is_named_by_check(tmp_path: Path) -> None:
+def test_check_reports_a_system_limit_below_the_reserves(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config()))
     for command in ("check", "serve"):
@@ -220,11 +216,11 @@
         assert f"open {LEAST_SOCKETS - 4} descriptors" in done.stderr and "RLIMIT_NOFILE" in done.stderr
 
 
-# The program, with descriptors for few.
+# The program, with few descriptors.
 
 
 class Limited(Service):
-    """The program in a process that the system allows so many descriptors."""
+    """The program in a process with a limit on its descriptors."""
 
     def __init__(self, folder: Path, descriptors: int, **changes: Any) -> None:
         self.descriptors = descriptors
@@ -249,7 +245,7 @@
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
     def cpu(self) -> float:
-        """Seconds of processor time used by now."""
+        """Returns the processor time used so far in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -258,18 +254,18 @@
         caller.send(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         assert self.answer(caller)[0] == 200
 
-    def crowd(self) -> list[socket.socket]:
-        return [socket.create_connection(("127.0.0.1", self.port)) for _ in range(CROWD)]
+    def connect_idle_clients(self) -> list[socket.socket]:
+        return [socket.create_connection(("127.0.0.1", self.port)) for _ in range(IDLE_CLIENTS)]
 
-    def serves(self, client: Client, id: str) -> None:
-        client.send(ask(id, wait=20_000))
+    def serves(self, client: Client, request_id: str) -> None:
+        client.send(ask(request_id, wait=20_000))
         self.got().answer(200)
         assert self.answer(client)[0] == 200
 
 
 @pytest.mark.parametrize("descriptors, configured", [(100, 100), (100, 1024)])
 @pytest.mark.parametrize("how", ["refuses", "hangs"])
-def test_idle_clients_at_the_limit_keep_nothing_from_discovery_console_and_endpoints(
+def test_idle_clients_at_the_limit_do_not_affect_discovery_console_and_endpoints(
     tmp_path: Path, how: str, descriptors: int, configured: int
 ) -> None:
     service = Limited(tmp_path, descriptors, limits={"sockets": configured})
@@ -281,21 +277,21 @@
     if how == "refuses":
         service.discovery.close()
     first.close()
-    crowd = service.crowd()
+    idle_clients = service.connect_idle_clients()
     service.until(lambda: "list unavailable" in service.logged())
     began = time.monotonic()
-    while time.monotonic() - began < 1.0:  # the crowd comes again as soon as it is ended
-        for n, one in enumerate(crowd):
-            one.setblocking(False)
+    while time.monotonic() - began < 1.0:  # closed clients reconnect at once
+        for n, connection in enumerate(idle_clients):
+            connection.setblocking(False)
             try:
-                gone = one.recv(1) == b""
+                gone = connection.recv(1) == b""
             except BlockingIOError:
                 gone = False
             except OSError:
                 gone = True
             if gone:
-                one.close()
-                crowd[n] = socket.create_connection(("127.0.0.1", service.port))
+                connection.close()
+                idle_clients[n] = socket.create_connection(("127.0.0.1", service.port))
         select.select([], [], [], 0.05)
     assert service.held() <= descriptors
     service.console_answers()
@@ -306,19 +302,20 @@
     got = service.watch()
     got.tell(44, True, entry("e0", service.endpoint.port), entry("e1", other.port, "DRAINING"))
     assert "index=44" in service.watch().target
-    assert time.monotonic() - back < HEARD_WITHIN
+    assert time.monotonic() - back < NOTIFIED_WITHIN
     service.serves(Client(service.port), "new")
     service.console_answers()
     assert service.held() <= descriptors
     assert "event=fault" not in service.logged()
-    for one in crowd:
-        one.close()
+    for connection in idle_clients:
+        connection.close()
     other.close()
 
 
-def test_requests_under_way_at_the_limit_keep_nothing_from_discovery_and_console(tmp_path: Path) -> None:
-    """No client is idle here: each waits for its answer, and none can be asked to close."""
-    endpoints = [f"e{n}" for n in range(40)]  # at one address: one alone is sent only some at once
+def test_requests_in_progress_at_the_limit_do_not_affect_discovery_and_console(tmp_path: Path) -> None:
+    """All clients wait for an answer here, so that none of their connections can be closed."""
+    # Several at one address, as a single one is sent only some requests at once.
+    endpoints = [f"e{n}" for n in range(40)]
     port = reserve_port()
     service = Limited(
         tmp_path,
@@ -342,10 +339,10 @@
     assert service.held() <= 100
     before = service.cpu()
     select.select([], [], [], 1.0)
-    assert service.cpu() - before < 0.5, "it spins while it has no place"
+    assert service.cpu() - before < 0.5, "it is busy while no descriptor is left"
     service.console_answers()
 
-    def all_answered() -> bool:  # the answers make place for those that wait
+    def all_answered() -> bool:  # answered requests make room for the waiting ones
         service.endpoint.look()
         for got in service.endpoint.unread:
             got.answer(200)
@@ -357,7 +354,7 @@
 
 
 def has_answer(client: Client) -> bool:
-    """Whether a part of an answer has come."""
+    """Whether a part of an answer has arrived."""
     try:
         return client.sock.recv(1, socket.MSG_PEEK) != b""
     except BlockingIOError:
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,4 @@
-"""Many requests at once, bytes one at a time, clients that never read: nobody else's deadline is held up."""
+"""Many requests at once, single bytes and clients that never read must not delay other clients."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def count_answers(client: Client) -> int:
-    """How many answers have come since the last look."""
+    """Counts the answers received since the last call."""
     data = b""
     with contextlib.suppress(BlockingIOError):
         while part := client.sock.recv(1 << 20):
@@ -22,7 +22,7 @@
     return data.count(b"HTTP/1.1 ")
 
 
-def test_a_turn_lets_the_others_run_and_timers_fall_due() -> None:
+def test_yield_turn_lets_other_tasks_and_timers_run() -> None:
     loop, order = SteppedLoop(), list[str]()
 
     def busy() -> Coroutine[None]:
@@ -39,11 +39,11 @@
     loop.spawn(due(loop.now() + 0.5))
     loop.spawn(busy())
     loop.settle()
-    assert order == ["busy0", "busy1", "due", "busy2"], "the clock is looked at in each round"
+    assert order == ["busy0", "busy1", "due", "busy2"], "timers were not checked in each round"
     loop.epoll.close()
 
 
-def test_a_fault_in_what_follows_a_coroutine_does_not_end_the_loop() -> None:
+def test_an_error_in_a_completion_callback_does_not_end_the_loop() -> None:
     loop, went_on = SteppedLoop(), list[str]()
 
     def ends() -> Coroutine[None]:
@@ -64,8 +64,8 @@
     loop.epoll.close()
 
 
-def test_many_requests_at_once_do_not_hold_up_another_client(rig: Rig) -> None:
-    """Guards against a connection that is served to the end of its bytes before anybody else has a turn."""
+def test_many_requests_at_once_do_not_delay_another_client(rig: Rig) -> None:
+    """A connection must not be served to the end of its received bytes before others have a turn."""
     flooding, other = rig.client(), rig.client()
     rig.settle()
     flooding.sock.sendall(READY * MANY)
@@ -84,8 +84,8 @@
     assert answered + count_answers(flooding) == MANY
 
 
-def test_requests_answered_at_once_do_not_hold_up_another_client() -> None:
-    """As above, with exchanges that are rejected at once, as there is no endpoint."""
+def test_requests_answered_at_once_do_not_delay_another_client() -> None:
+    """As above, with requests that are rejected at once because there is no endpoint."""
     rig = Rig(endpoints=0)
     flooding, other = rig.client(), rig.client()
     rig.settle()
@@ -100,7 +100,7 @@
 
 
 def test_requests_sent_at_once_are_each_answered_by_their_own_time(rig: Rig) -> None:
-    """Guards against a time that is counted anew when more bytes come on the same connection."""
+    """The time of a waiting request must not restart when more bytes arrive on its connection."""
     client = rig.client()
     client.sock.sendall(
         ask("a", "book", wait=1400)
@@ -116,7 +116,7 @@
     second = only(rig.got())
     assert second.id == "b" and int(second.headers["x-timeout-ms"]) <= 200
     rig.wait(0.2)
-    # Its time has come, and that of "c" had before: both are answered, and "d" is sent on.
+    # "b" expires now and "c" expired before: both are answered, and "d" is forwarded.
     third = only(rig.got())
     assert third.id == "d" and int(third.headers["x-timeout-ms"]) <= 400
     third.answer(200)
@@ -127,7 +127,7 @@
     assert count_answers(client) == 5
 
 
-def test_a_client_that_sends_much_at_once_and_goes_has_nothing_more_sent(rig: Rig) -> None:
+def test_nothing_more_is_sent_for_a_client_that_sends_much_and_leaves(rig: Rig) -> None:
     client = rig.client()
     client.sock.sendall(b"".join(ask(f"x{n}") for n in range(200)))
     assert only(rig.got()).id == "x0"
@@ -136,7 +136,7 @@
     assert rig.got() == [] and not rig.front.clients and not rig.core.held
 
 
-def test_a_request_a_byte_at_a_time_is_served_and_holds_up_nobody(rig: Rig) -> None:
+def test_a_request_a_byte_at_a_time_is_served_and_delays_no_other(rig: Rig) -> None:
     slow, other = rig.client(), rig.client()
     request = ask("slow", "book", b"body of some bytes")
     for n, byte in enumerate(request):
@@ -149,21 +149,21 @@
             assert other.status() == 200
     got = only(rig.got())
     assert got.id == "slow" and got.body == b"body of some bytes"
-    assert int(got.headers["x-timeout-ms"]) > 1400  # its time counts from the last byte
+    assert int(got.headers["x-timeout-ms"]) > 1400  # its time starts at the last byte
     got.answer(200)
     rig.settle()
     assert count_answers(slow) == 1
 
 
-def test_clients_that_never_read_are_ended_and_hold_up_nobody(rig: Rig) -> None:
-    deaf = socket.socket()
-    deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    deaf.connect(("127.0.0.1", rig.listener.address[1]))
+def test_clients_that_never_read_are_closed_and_delay_no_other(rig: Rig) -> None:
+    unread_client = socket.socket()
+    unread_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    unread_client.connect(("127.0.0.1", rig.listener.address[1]))
     rig.settle()
     for connection in rig.front.clients:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     other = rig.client()
-    deaf.sendall(b"".join(ask(f"x{n}") for n in range(100)))
+    unread_client.sendall(b"".join(ask(f"x{n}") for n in range(100)))
     for n in range(40):
         other.send(ask(f"other{n}"))
         for got in rig.got():
@@ -173,4 +173,4 @@
         rig.wait(0.5)
     rig.wait(1.0)
     assert len(rig.front.clients) <= 1 and not rig.core.held
-    deaf.close()
+    unread_client.close()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages: the same value however the bytes come, and nothing taken that is not whole."""
+"""Messages decode to the same value however they are split, and incomplete ones are not accepted."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     wait=st.integers(0, 10**6),
     repeat=st.booleans(),
 )
-def test_a_request_in_any_pieces_is_one_ask(cuts, body, name, wait, repeat):  # type: ignore[no-untyped-def]
+def test_a_request_split_in_any_way_is_one_ask(cuts, body, name, wait, repeat):  # type: ignore[no-untyped-def]
     side = ApplicationSide(NAMES)
     extra = "X-Retried: 1\r\nX-Cost: 12500\r\n" if repeat else "X-Attrs: predicted=12.5,other=x\r\n"
     asks = []
@@ -96,8 +96,8 @@
     ),
     body=st.sampled_from([b"", b"abc"]),
 )
-def test_what_is_taken_as_plain_is_what_the_parser_takes(at, cut, junk, body):  # type: ignore[no-untyped-def]
-    """Guards against two readings of one message: in one piece it may be plain, in two it never is."""
+def test_fast_path_agrees_with_the_parser(at, cut, junk, body):  # type: ignore[no-untyped-def]
+    """The fast path and h11 must agree on each message; one received in two parts is always left to h11."""
     whole, pieces, good = ApplicationSide(NAMES), ApplicationSide(NAMES), ask("x", "book", body)
     data = good[:at] + junk + good[at + cut :]
     whole.receive(data)
@@ -105,7 +105,7 @@
     pieces.receive(data[1:])
     if whole.connection is None:
         assert whole.next() == pieces.next() and pieces.goes_on()
-    answer = told(body)[:at] + junk + told(body)[at + cut :]
+    answer = http_answer(body)[:at] + junk + http_answer(body)[at + cut :]
     found = plain.answer(answer, 9999, 9999)
     if found is not None:
         call = Call(9999)
@@ -113,7 +113,7 @@
         assert reply == Reply(*found, reusable=True)
 
 
-def ended(data: bytes, then_end: bool = True) -> Answered | None:
+def answered(data: bytes, then_end: bool = True) -> Answered | None:
     side = EndpointSide()
     request = ApplicationSide(NAMES)
     request.receive(ask("x"))
@@ -139,25 +139,27 @@
         (b"400 X", AttemptOutcome.ERROR),
     ],
 )
-def test_only_a_plain_word_proves_that_it_never_ran(head: bytes, outcome: AttemptOutcome) -> None:
-    found = ended(b"HTTP/1.1 " + head + b"\r\nContent-Length: 2\r\n\r\nab")
+def test_only_an_explicit_answer_proves_that_an_attempt_was_not_executed(
+    head: bytes, outcome: AttemptOutcome
+) -> None:
+    found = answered(b"HTTP/1.1 " + head + b"\r\nContent-Length: 2\r\n\r\nab")
     assert found is not None and found.outcome is outcome and found.reusable
 
 
-def test_connection_is_kept_only_where_both_sides_may() -> None:
+def test_connection_is_reusable_only_where_both_sides_allow_it() -> None:
     for data in (
         b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
         b"HTTP/1.0 200 X\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 X\r\n\r\nto the end",
         b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\nunasked for",
     ):
-        found = ended(data)
+        found = answered(data)
         assert found is not None and found.outcome is AttemptOutcome.SERVED and not found.reusable
-    early = ended(b"HTTP/1.1 102 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nz")
+    early = answered(b"HTTP/1.1 102 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nz")
     assert early is not None and early.body == b"z" and early.reusable
 
 
-def told(message: object, status: int = 200) -> bytes:
+def http_answer(message: object, status: int = 200) -> bytes:
     body = message if isinstance(message, bytes) else json.dumps(message).encode()
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -166,7 +168,7 @@
     side = DiscoverySide(ListDecoder(("north", "south"), clock_offset=-1000.0))
     assert b"index=41&wait=10000" in side.watch(b"d:1", 41, 10.0)
     found = side.receive(
-        told(
+        http_answer(
             {
                 "generation": 43,
                 "reset": True,
@@ -193,19 +195,19 @@
 @pytest.mark.parametrize(
     "data",
     [
-        told(b"{"),
-        told([1]),
-        told({"generation": 1}),
-        told({**GOOD, "generation": None}),
-        told(GOOD, 503),
-        told({**GOOD, "instances": [1]}),
-        told({**GOOD, "instances": [{**entry("a", 81), "lifecycle": "NEW"}]}),
-        told({**GOOD, "instances": [{**entry("a", 81), "startedAtMs": "soon"}]}),
-        told({**GOOD, "instances": [{**entry("a", 81), "hostPort": "nowhere"}]}),
-        told(GOOD)[:-5],
+        http_answer(b"{"),
+        http_answer([1]),
+        http_answer({"generation": 1}),
+        http_answer({**GOOD, "generation": None}),
+        http_answer(GOOD, 503),
+        http_answer({**GOOD, "instances": [1]}),
+        http_answer({**GOOD, "instances": [{**entry("a", 81), "lifecycle": "NEW"}]}),
+        http_answer({**GOOD, "instances": [{**entry("a", 81), "startedAtMs": "soon"}]}),
+        http_answer({**GOOD, "instances": [{**entry("a", 81), "hostPort": "nowhere"}]}),
+        http_answer(GOOD)[:-5],
     ],
 )
-def test_a_list_that_cannot_be_read_changes_nothing(data: bytes) -> None:
+def test_an_unreadable_list_changes_nothing(data: bytes) -> None:
     side = DiscoverySide(ListDecoder(("north",), 0.0))
     side.whole(b"d:1")
     with pytest.raises(Unreadable):
@@ -214,7 +216,7 @@
 
 
 @pytest.mark.parametrize("text", ["nowhere", "a.example:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000"])
-def test_an_address_is_numeric_and_whole(text: str) -> None:
+def test_an_address_is_numeric_and_complete(text: str) -> None:
     assert address_text(parse_address("[::1]:80")) == "[::1]:80" and parse_address("127.0.0.1:0")[1] == 0
     with pytest.raises(ValueError):
         parse_address(text)
@@ -232,13 +234,13 @@
         ("counted-over", float("inf")),
     ],
 )
-def test_settings_of_further_rules_that_are_nonsense_are_named(key: str, value: object) -> None:
+def test_invalid_settings_of_optional_rules_are_named(key: str, value: object) -> None:
     contract = {**SETTINGS["contract"], "budget-free": 1, "repeat-ratio": 0.15, "counted-over": 2000}
     with pytest.raises(ValueError, match=key):
         make_balancer(Fleet([kind()], []), 1, 0.0, {**SETTINGS, "contract": {**contract, key: value}})
 
 
-def test_a_budget_of_forwards_is_read_from_the_settings() -> None:
+def test_a_retry_budget_is_read_from_the_settings() -> None:
     contract = {**SETTINGS["contract"], "budget-free": 1, "repeat-ratio": 0.15, "counted-over": 2000}
     assert retry_limits(SETTINGS["contract"]) is None
     made = retry_limits(contract)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Exchanges over sockets, with the clock moved by hand: what is sent, and what the client is told."""
+"""Requests over real sockets with a simulated clock: what endpoints and clients receive."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def followed(
     rig: Rig, *known: dict[str, object], generation: int = 41, within: float = 10.0, pushed: bool = False
 ) -> Follower:
-    """Of a list service that is one more stand-in."""
+    """Returns a follower of a list service for which a further stand-in is started."""
     rig.stands.append(Stand())
     follower = Follower(
         rig.loop,
@@ -58,14 +58,14 @@
     assert rig.pool.made <= len(rig.stands) and rig.pool.open == rig.pool.made
 
 
-def test_never_ran_when_turned_away_or_not_connected(rig: Rig) -> None:
+def test_not_executed_when_rejected_or_not_connected(rig: Rig) -> None:
     client = rig.asked(ask("a", "book"))
     turned = only(rig.got())
     rig.wait(0.2)
     turned.answer(503, headers="X-Not-Processed: 1\r\n")
     again = only(rig.got())
     assert again.stand is not turned.stand and again.id == "a"
-    assert int(again.headers["x-timeout-ms"]) <= 1300, "more than is left to the client"
+    assert int(again.headers["x-timeout-ms"]) <= 1300, "more than the remaining time of the client"
     again.answer(200, b"done")
     rig.settle()
     assert client.status() == 200
@@ -75,12 +75,12 @@
     assert refused.status() == 503
 
 
-def test_error_may_have_run_so_binding_is_terminated_and_retriable_goes_again(rig: Rig) -> None:
+def test_after_an_error_non_idempotent_is_terminated_and_idempotent_is_retried(rig: Rig) -> None:
     for code, headers in ((500, ""), (503, ""), (404, ""), (204, "")):
         client = rig.asked(ask(f"b{code}", "book"))
         only(rig.got()).answer(code, headers=headers)
         assert rig.got() == [] and client.status() == 502
-        rig.wait(40.0)  # what has failed is forgotten
+        rig.wait(40.0)  # the failures are forgotten
     client = rig.asked(ask("r", "look"))
     only(rig.got()).answer(500)
     rig.serve(200, b"second")
@@ -98,8 +98,8 @@
 
 
 @pytest.mark.parametrize("data", BROKEN)
-def test_broken_answer_is_a_failed_forward(rig: Rig, data: bytes) -> None:
-    """Guards against passing on as served what no endpoint made whole."""
+def test_broken_answer_is_a_failed_attempt(rig: Rig, data: bytes) -> None:
+    """An incomplete or invalid answer must not be passed on as served."""
     client = rig.asked(ask("x", "book"))
     got = only(rig.got())
     got.raw(data)
@@ -108,7 +108,7 @@
     assert rig.got() == [] and client.status() == 502
 
 
-def test_a_reset_is_no_end_of_an_answer_without_a_length(rig: Rig) -> None:
+def test_a_reset_does_not_complete_an_answer_without_a_length(rig: Rig) -> None:
     for n, end in enumerate((Got.close, Got.reset)):
         client = rig.asked(ask(f"x{n}", "book"))
         got = only(rig.got())
@@ -127,11 +127,13 @@
     rig.wait(0.02)
     assert client.status() == 502 and rig.got() == []
     rig.settle()
-    assert got.gone(), "the attempt was not given up"
+    assert got.gone(), "the attempt was not cancelled"
 
 
-def test_patience_over_before_the_last_byte_is_written_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a termination, or a lost repeat, for what the endpoint has not even read whole."""
+def test_a_timeout_before_the_last_byte_is_written_means_not_executed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A request that the endpoint has not read completely was not executed: it may be retried or rejected."""
     connect = socket.socket.connect_ex
 
     def with_small_buffer(self: socket.socket, address: tuple[str, int]) -> int:
@@ -160,13 +162,13 @@
     assert client.status() == 502
 
 
-def test_reset_of_a_reused_connection_after_the_write_may_have_run(rig: Rig) -> None:
-    """Guards against a hidden resend."""
+def test_reset_of_a_reused_connection_after_the_write_may_have_been_executed(rig: Rig) -> None:
+    """A request must not be sent again silently on a new connection."""
     client = rig.client()
-    for id in ("warm", "x"):
-        client.send(ask(id, "book"))
+    for request_id in ("warm", "x"):
+        client.send(ask(request_id, "book"))
         got = only(rig.got())
-        if id == "warm":
+        if request_id == "warm":
             got.answer(200)
             rig.settle()
             assert client.status() == 200
@@ -174,11 +176,11 @@
     assert rig.got() == [] and client.status() == 502
 
 
-def test_idle_connections_are_dropped_well_before_their_time_and_when_they_end(rig: Rig) -> None:
+def test_idle_connections_are_closed_well_before_the_idle_time_and_when_they_end(rig: Rig) -> None:
     client = rig.asked(ask("a"))
     got = rig.serve()
     assert rig.pool.open == 1
-    rig.wait(20.0)  # of the 30 s stated
+    rig.wait(20.0)  # the stated idle time is 30 s
     assert rig.pool.open == 0 and got.gone()
     client = rig.asked(ask("b"))
     got = rig.serve()
@@ -187,8 +189,8 @@
     assert client.status() == 200 and rig.pool.open == 0
 
 
-def test_connections_to_an_endpoint_that_restarted_or_went_are_dropped(rig: Rig) -> None:
-    """Guards against writing to a machine that has vanished: such connections stay open and silent."""
+def test_connections_to_a_restarted_endpoint_are_closed(rig: Rig) -> None:
+    """Connections to a machine that has vanished stay open and silent, and must not be used."""
     rig.asked(ask("a"))
     got = rig.serve()
     name = f"e{rig.stands.index(got.stand)}"
@@ -197,22 +199,22 @@
     assert rig.pool.open == 0
 
 
-def test_what_is_kept_of_endpoints_ends_with_them(rig: Rig) -> None:
-    """Guards against growth on a long day, and against a new endpoint with an old one's connections."""
+def test_state_of_removed_endpoints_is_discarded(rig: Rig) -> None:
+    """State must not accumulate, and a new endpoint must not get the connections of an old one."""
     port = rig.stands[0].port
-    for n in range(40):  # each at the address of the one before, whose end is told twice
+    for n in range(40):  # each at the address of its predecessor, whose removal is reported twice
         rig.tell(entry(f"new{n}", port), entry(f"new{n - 1}", port, "DELETED"), whole=not n)
         rig.asked(ask(f"x{n}"))
         rig.serve_all()
         assert rig.pool.open == 1 and rig.stands[0].accepted == n + 1
         rig.tell(entry(f"new{n - 1}", port, "DELETED"))
-        assert rig.pool.open == 1, "word on the old one has touched the new one"
+        assert rig.pool.open == 1, "a report on the old endpoint affected the new one"
         rig.wait(1.0)
     balancer = rig.balancer
     for kept in (
         rig.core.directory.addresses,
         rig.core.directory.started,
-        rig.back.heard,
+        rig.back.last_answered,
         rig.pool.idle,
         balancer.registry.by_id,
         balancer.registry.active,
@@ -220,8 +222,8 @@
         assert len(kept) <= 2
 
 
-def test_a_connection_that_has_rested_is_used_before_one_that_has_just_answered(rig: Rig) -> None:
-    """Guards against writing to a connection that its endpoint closes right after the answer."""
+def test_a_connection_idle_for_longer_is_used_before_one_that_has_just_answered(rig: Rig) -> None:
+    """A request must not be written to a connection that its endpoint closes right after an answer."""
     pool, peer = rig.pool, ("e0", ("127.0.0.1", rig.stands[0].port))
     made: list[Connection] = []
 
@@ -235,13 +237,15 @@
         pool.keep_idle(peer, connection)
         rig.wait(idle)
     assert [pool.take(peer) for _ in range(2)] == [made[0], None]
-    pool.most = pool.open  # no new one can be opened
+    pool.most = pool.open  # no new connection can be opened
     assert pool.take(peer) is made[1]
-    pool.ends = 0.5  # endpoints have ended many: a binding exchange takes none that may be closing
+    pool.ends = (
+        0.5  # early closes are frequent: a careful request takes no connection idle for less than REST
+    )
     assert pool.take(peer, careful=True) is None and pool.take(peer) is made[2]
 
 
-def test_a_second_answer_that_comes_some_milliseconds_late_is_served_to_nobody() -> None:
+def test_a_second_answer_some_milliseconds_late_is_discarded() -> None:
     rig = Rig(1)
     rig.asked(ask("a"))
     first = only(rig.got())
@@ -257,11 +261,11 @@
     rig.close()
 
 
-def test_early_ends_are_learnt_and_forgotten(rig: Rig) -> None:
+def test_frequent_early_closes_are_detected_and_forgotten(rig: Rig) -> None:
     client = rig.client()
     for n in range(320):
         client.send(ask(f"x{n}", "book"))
-        rig.wait(0.002)  # a new connection is let rest for a moment
+        rig.wait(0.002)  # a new connection is watched for an early close first
         got = only(rig.got())
         got.answer(200)
         if n < 20:
@@ -269,29 +273,29 @@
         rig.settle()
         assert client.status() == 200
         if n == 19:
-            assert rig.pool.wary()
+            assert rig.pool.early_closes_frequent()
         rig.wait(0.03)
-    assert not rig.pool.wary()
+    assert not rig.pool.early_closes_frequent()
 
 
-def test_the_sidecars_own_delay_is_not_taken_for_the_endpoints(rig: Rig) -> None:
-    """Guards against narrowed windows, and rejections, where it is the sidecar that is short of CPU."""
+def test_the_sidecars_own_delay_is_not_attributed_to_endpoints(rig: Rig) -> None:
+    """A sidecar short of CPU must not narrow the concurrency windows of endpoints and reject requests."""
     for n in range(30):
         client = rig.asked(ask(f"x{n}"))
         got = only(rig.got())
         rig.wait(0.01)
         got.answer(200)
-        rig.loop.step()  # the answer is seen, and lies unread
+        rig.loop.step()  # the answer has been reported but not read
         rig.loop.time += 0.4
         rig.settle()
         assert client.status() == 200
     assert rig.balancer.latency.overall.quantile(0.9) < 0.1
 
 
-def test_idle_connections_to_an_endpoint_that_turned_silent_are_dropped() -> None:
+def test_idle_connections_to_a_silent_endpoint_are_closed() -> None:
     rig = Rig(1)
     clients = [rig.client() for _ in range(4)]
-    for n in range(12):  # until the endpoint has two at once, so that two connections are kept
+    for n in range(12):  # until the endpoint is sent two requests at once, so that two connections are idle
         for m, client in enumerate(clients):
             client.send(ask(f"x{n}-{m}"))
         rig.serve_all()
@@ -301,11 +305,11 @@
     rig.wait(0.01)
     rig.asked(ask("silent", wait=2000))
     only(rig.got())
-    rig.wait(0.7)  # past the promised time of 0.6 s
+    rig.wait(0.7)  # past the latency objective of 0.6 s
     assert rig.pool.open == 0
 
 
-def test_client_that_leaves_ends_the_forward_and_nothing_more_is_sent(rig: Rig) -> None:
+def test_client_that_leaves_cancels_the_attempt_and_nothing_more_is_sent(rig: Rig) -> None:
     client = rig.asked(ask("x"))
     got = only(rig.got())
     client.close()
@@ -315,7 +319,7 @@
     assert rig.got() == []
 
 
-def test_a_forward_called_off_by_the_module_goes_again_for_the_same_client(rig: Rig) -> None:
+def test_an_attempt_cancelled_by_the_module_is_retried_for_the_same_client(rig: Rig) -> None:
     client = rig.asked(ask("x"))
     lost = only(rig.got())
     rig.facade.cancel_attempt(next(iter(rig.core.held)), 0)
@@ -328,7 +332,7 @@
     assert answer and answer[:2] == (200, b"second")
 
 
-def test_where_nothing_may_be_called_off_the_forward_goes_on_without_its_client() -> None:
+def test_where_cancelling_is_disabled_the_attempt_outlives_its_client() -> None:
     limits = {**SETTINGS["policy-limits"], "cancel": False}
     rig = Rig(settings={**SETTINGS, "policy-limits": limits})
     client = rig.asked(ask("x"))
@@ -340,9 +344,9 @@
     assert rig.got() == [] and rig.core.held == {}
 
 
-def test_what_the_machine_has_accepted_is_served_when_the_door_closes(rig: Rig) -> None:
-    """Guards against a reset for who has connected, and small writes that a later reset takes along."""
-    clients = [rig.client() for _ in range(40)]  # more than are accepted in one go
+def test_connections_in_the_kernels_queue_are_served_when_the_listener_closes(rig: Rig) -> None:
+    """Connected clients must not be reset, nor small writes be delayed until a later reset loses them."""
+    clients = [rig.client() for _ in range(40)]  # more than are accepted in one batch
     for n, client in enumerate(clients):
         client.send(ask(f"x{n}"))
     rig.listener.close()
@@ -353,7 +357,7 @@
     assert all(client.answer() for client in clients)
 
 
-def test_a_client_that_waits_to_be_told_to_go_on_is_told(rig: Rig) -> None:
+def test_a_client_that_expects_100_continue_gets_it(rig: Rig) -> None:
     client = rig.client()
     head, _, body = ask("x", "book", body=b"in", headers="Expect: 100-continue\r\n").partition(b"\r\n\r\n")
     client.sock.sendall(head + b"\r\n\r\n")
@@ -367,7 +371,7 @@
 def test_client_that_leaves_while_connecting_has_nothing_sent(rig: Rig) -> None:
     client = rig.client()
     client.send(ask("x"))
-    while not rig.pool.open:  # one coroutine or one look at a time, to stop before the connection's event
+    while not rig.pool.open:  # one task or poll at a time, to stop before the event of the connection
         if rig.loop.ready:
             rig.loop.resume(rig.loop.ready.popleft())
         else:
@@ -377,8 +381,8 @@
 
 
 @pytest.mark.parametrize("kept", [False, True])
-def test_client_that_has_left_unseen_has_nothing_sent(kept: bool) -> None:
-    """Guards against an attempt for who has gone since the last look: before it is accepted, or after."""
+def test_client_that_has_left_since_the_last_poll_has_nothing_sent(kept: bool) -> None:
+    """Nothing is sent for a client that has left since the last poll, before or after it was accepted."""
     rig = Rig(1)
     warm = rig.asked(ask("warm"))
     rig.serve_all()
@@ -386,12 +390,12 @@
     leaving = warm if kept else rig.client()
     leaving.send(ask("x"))
     if kept:
-        rig.loop.step()  # the request is seen, and its turn has not come
+        rig.loop.step()  # the request has been reported, but its coroutine has not resumed
     leaving.close()
     assert rig.got() == [] and rig.core.held == {}
 
 
-def test_connection_that_does_not_come_up_never_ran() -> None:
+def test_an_attempt_that_cannot_connect_was_not_executed() -> None:
     rig = Rig(endpoints=2, backlog=0)
     full = rig.stands[0]
     fillers = [socket.socket() for _ in range(3)]
@@ -404,7 +408,7 @@
         client.send(ask(f"x{n}", "book"))
         rig.loop.settle()
         rig.stands[1].look()
-        if not rig.stands[1].unread:  # else answers as late as this would be taken for a crowd
+        if not rig.stands[1].unread:  # or such late answers would be taken for overload
             rig.loop.wait(0.26)
             rig.stands[1].look()
         for got in rig.stands[1].unread:
@@ -417,7 +421,7 @@
         s.close()
 
 
-def test_nothing_new_to_an_endpoint_that_drains(rig: Rig) -> None:
+def test_no_request_is_sent_to_a_draining_endpoint(rig: Rig) -> None:
     rig.tell(entry("e0", rig.stands[0].port, "DRAINING"), entry("e1", rig.stands[1].port, "DELETED"))
     for n in range(12):
         rig.asked(ask(f"x{n}"))
@@ -440,17 +444,17 @@
         rig.serve_all()
 
 
-def test_rejection_carries_hold_off_only_where_allowed() -> None:
+def test_rejection_has_retry_after_only_where_allowed() -> None:
     for allowed in (True, False):
         limits = {**SETTINGS["policy-limits"], "retry-after": allowed}
-        rig = Rig(endpoints=0, settings={**SETTINGS, "policy-limits": limits})  # nothing to send to
+        rig = Rig(endpoints=0, settings={**SETTINGS, "policy-limits": limits})  # no endpoint to send to
         answer = rig.asked(ask("x")).answer()
         assert answer and answer[0] == 503 and ("retry-after" in answer[2]) is allowed
 
 
 def test_bad_requests_get_their_status_and_only_theirs(rig: Rig) -> None:
-    beside = rig.asked(ask("good"))
-    bad = [
+    valid_client = rig.asked(ask("good"))
+    invalid = [
         (b"nonsense\r\n\r\n", 400),
         (ask("x", "unknown"), 400),
         (ask("x", wait=-1), 400),
@@ -466,15 +470,15 @@
         (ask("x", headers="X-Long: " + "z" * 20000 + "\r\n"), 431),
         (b"POST /ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", 405),
     ]
-    for request, expected in bad:
+    for request, expected in invalid:
         client = rig.asked(request)
         assert client.status() == expected, request[:60]
-        client.sock.sendall(ask("after"))  # what comes behind a shutdown is sent on to nobody
+        client.sock.sendall(ask("after"))  # requests behind an invalid one are not forwarded
     rig.serve()
-    assert beside.status() == 200
+    assert valid_client.status() == 200
 
 
-def test_a_request_that_does_not_become_whole_holds_its_place_for_a_time_only(rig: Rig) -> None:
+def test_an_incomplete_request_holds_its_connection_for_a_limited_time(rig: Rig) -> None:
     slow = rig.client()
     slow.send(ask("x")[:50])
     silent, kept = rig.client(), rig.asked(ask("y"))
@@ -492,8 +496,8 @@
     assert not rig.front.clients
 
 
-def test_clients_that_say_nothing_give_way_before_those_that_have_asked() -> None:
-    """Guards against a flood of silent connections that ends the usual clients' idle ones."""
+def test_clients_that_send_nothing_are_closed_before_those_that_have_sent_requests() -> None:
+    """A flood of silent connections must not displace the idle connections of regular clients."""
     rig = Rig(1, clients=8)
     kept = []
     for n in range(4):
@@ -513,8 +517,8 @@
         assert client.status() == 200
 
 
-def test_connections_that_wait_for_good_are_ended_while_many_are_open() -> None:
-    """Guards against an application with no connection left, as others keep theirs after one request."""
+def test_long_idle_connections_are_closed_while_many_are_open() -> None:
+    """Clients that keep connections after one request must not leave the application without any."""
     rig = Rig(1, clients=20)
     for n, (left, wait) in enumerate([(6, 3.0), (8, 2.5), (11, 0.5)]):
         for m in range(14 if n == 2 else 6):
@@ -523,13 +527,13 @@
             assert client.status() == 200
         rig.wait(wait)
         assert len(rig.front.clients) == left
-    rig.clients[-1].send(ask("y"))  # the last used are kept
+    rig.clients[-1].send(ask("y"))  # the most recently used are kept
     rig.serve_all()
     assert rig.clients[-1].status() == 200
 
 
-def test_a_flood_of_clients_is_taken_in_parts_and_costs_few_looks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a look at every connection for each one that comes, while nobody else is served."""
+def test_a_flood_of_clients_is_accepted_in_batches_with_few_checks(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A new connection must not cost a check of every other one, during which no client is served."""
     rig, looks, sound = Rig(0, clients=40), [], Connection.sound
 
     def counted(self: Connection) -> bool:
@@ -546,7 +550,7 @@
     assert all(client.status() == 503 for client in rig.clients[-20:]) and len(looks) < 200 * 20
 
 
-def test_an_id_that_is_under_way_is_not_sent_a_second_time(rig: Rig) -> None:
+def test_an_id_in_progress_is_not_sent_a_second_time(rig: Rig) -> None:
     first = rig.asked(ask("x", "book"))
     got = only(rig.got())
     assert rig.asked(ask("x", "book")).status() == 409 and rig.got() == []
@@ -554,26 +558,26 @@
     rig.settle()
     assert first.status() == 200
     rig.asked(ask("x", "book"))
-    assert len(rig.got()) == 1  # it is over, and the id is forgotten
+    assert len(rig.got()) == 1  # the first request is done, so its id may be reused
 
 
 def test_requests_that_come_together_are_answered_one_after_another(rig: Rig) -> None:
     client = rig.client()
     client.sock.sendall(ask("a", "book", b"in") + ask("b") + ask("c", "book", b"more")[:-2])
-    for id in ("a", "b"):
+    for request_id in ("a", "b"):
         got = only(rig.got())
-        assert got.id == id
-        if id == "a":
-            client.sock.sendall(b"re")  # what comes while one is open waits in the socket
-        got.answer(200, b"of " + id.encode())
+        assert got.id == request_id
+        if request_id == "a":
+            client.sock.sendall(b"re")  # bytes that arrive during a request wait in the socket
+        got.answer(200, b"of " + request_id.encode())
         rig.settle()
     last = only(rig.got())
     assert (last.id, last.body) == ("c", b"more")
     last.answer(200, b"of c")
     rig.settle()
     data = client.sock.recv(10000)
-    assert [data.index(b"of " + id) for id in (b"a", b"b", b"c")] == sorted(
-        data.index(b"of " + id) for id in (b"a", b"b", b"c")
+    assert [data.index(b"of " + request_id) for request_id in (b"a", b"b", b"c")] == sorted(
+        data.index(b"of " + request_id) for request_id in (b"a", b"b", b"c")
     ) and data.count(b"HTTP/1.1 200") == 3
     assert b"close" not in data and len(rig.front.clients) == 1
 
@@ -626,7 +630,7 @@
 
 
 def test_events_for_a_descriptor_closed_in_the_same_batch_are_dropped() -> None:
-    """Guards against the old connection's event reaching a new one under the same number."""
+    """An event of a closed connection must not reach a new one with the same descriptor."""
     rig = Rig(endpoints=0)
     pairs = [socket.socketpair() for _ in range(2)]
     told: list[str] = []
@@ -671,32 +675,34 @@
     rig.wait(0.1)
     rig.serve_all()
     assert client.status() == 200 and not fails
-    assert len(rig.front.clients) < len(idle) + 1, "no room was made"
+    assert len(rig.front.clients) < len(idle) + 1, "no idle connection was closed"
 
 
 @pytest.mark.parametrize("wait", [8.5, 24.0, 0.0])
-def test_a_call_that_falls_silent_is_begun_anew_before_what_it_misses_counts_as_told(
-    rig: Rig, wait: float
-) -> None:
-    """What a silent watch misses counts as told 2 s after its wait; what another misses, 6 s after it."""
+def test_a_silent_call_is_repeated_before_a_missed_change_counts_as_notified(rig: Rig, wait: float) -> None:
+    """A change counts as notified 2 s after the wait of a silent watch, or 6 s after another silent call."""
     lines = [entry("e0", rig.stands[0].port)] if wait else []
     follower = followed(rig, *lines, within=10.0 if wait < 20 else 0.0)
-    follower.jitter = lambda: 1.0  # the longest wait that can be drawn
+    follower.jitter = lambda: 1.0  # the longest random wait
     follower.want()
     silent, asked_at = only(rig.got()), rig.loop.now()
     assert f"wait={wait * 1000:.0f}" in silent.target if wait else silent.target == "/v1/endpoints"
     while not (again := rig.got()):
         rig.wait(0.1)
-        assert rig.watches == 1, "a pause was drawn first"
-    only(again).tell(42, not wait, entry("e0", rig.stands[0].port, "DRAINING"))  # the list had moved on
+        assert rig.watches == 1, "it paused before the second call"
+    only(again).tell(
+        42, not wait, entry("e0", rig.stands[0].port, "DRAINING")
+    )  # the list had changed meanwhile
     rig.got()
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
-    assert rig.loop.now() - asked_at < (wait + 2.0 if wait else 6.0) - 0.5, "it counts as told before that"
+    assert rig.loop.now() - asked_at < (wait + 2.0 if wait else 6.0) - 0.5, (
+        "the change counted as notified before it was applied"
+    )
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.5, 1.0])
-def test_what_is_silent_twice_is_a_failure_and_a_change_is_followed_at_once(rig: Rig, draw: float) -> None:
-    """Whatever is drawn: after a short pause the follower calls before the balancer has it call."""
+def test_two_silent_calls_are_a_failure_and_a_change_is_followed_at_once(rig: Rig, draw: float) -> None:
+    """For any random pause the follower calls again, after a short one before the balancer asks it to."""
     follower, failures = followed(rig, entry("e0", 9)), list[float]()
     follower.jitter, follower.failed = lambda: draw, lambda: failures.append(rig.loop.now())
     follower.want()
@@ -706,7 +712,7 @@
         calls += rig.got()
     assert len(calls) == 2 and all(call.gone() for call in calls)
     while not (calls := rig.got()):
-        if rig.watches > 1:  # the balancer's own was at its start
+        if rig.watches > 1:  # the balancer asked once before, at its start
             follower.want()
         rig.wait(0.02)
     assert (rig.watches > 1) is (draw > 0.0) and len(failures) == 1
@@ -717,15 +723,15 @@
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
 
 
-def test_a_pushed_list_is_had_at_once_after_an_outage_with_no_pause_drawn(rig: Rig) -> None:
-    """What the agent holds counts as told whether or not a watch is open; the grace of a drain is 0.5 s."""
+def test_a_pushed_list_is_fetched_at_once_after_an_outage_without_a_pause(rig: Rig) -> None:
+    """A change held by the agent counts as notified even without an open watch; the drain grace is 0.5 s."""
     followed(rig, entry("e0", 9), within=0.0, pushed=True)
-    for n in range(20):  # an outage: each call fails; nobody has to want the next
+    for n in range(20):  # an outage: each call fails, and the follower repeats it unasked
         before = rig.loop.now()
         while not (calls := rig.got()):
             rig.wait(0.02)
-            assert rig.loop.now() - before < 0.4, "after the grace"
-        assert rig.loop.now() - before > 0.1 or not n, "in a loop"
+            assert rig.loop.now() - before < 0.4, "later than the drain grace"
+        assert rig.loop.now() - before > 0.1 or not n, "it retried in a busy loop"
         only(calls).reset()
         rig.got()
     while not (calls := rig.got()):
@@ -735,8 +741,8 @@
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
 
 
-def test_what_a_service_has_is_heard_within_6_s_of_its_return_however_long_the_asking_period() -> None:
-    """Whatever the module draws after failed calls; an answer may take 3 s."""
+def test_a_returning_service_is_called_soon_whatever_the_polling_period() -> None:
+    """Holds for any random pause of the decision module after failed calls; an answer may take 3 s."""
     rig = Rig(settings={**SETTINGS, "contract": {**SETTINGS["contract"], "ask-within": 60000.0}})
     discovery = Stand()
     rig.stands.append(discovery)
@@ -760,7 +766,7 @@
 def test_discovery_that_answers_at_once_with_nothing_is_not_flooded(rig: Rig) -> None:
     followed(rig, generation=0).want()
     first = only(rig.got())
-    assert first.target == "/v1/endpoints"  # nothing is known: the whole list
+    assert first.target == "/v1/endpoints"  # no list is known, so the whole one is requested
     first.tell(1, True, entry("e0", rig.stands[0].port))
     for n in range(5):
         watch = only(rig.got())
@@ -771,12 +777,12 @@
     assert len(rig.got()) == 1
 
 
-def test_a_list_older_than_the_known_one_costs_that_answer_alone(rig: Rig) -> None:
+def test_an_outdated_list_is_ignored_and_the_whole_list_is_requested(rig: Rig) -> None:
     follower = followed(rig, entry("e0", rig.stands[0].port))
     rig.tell(entry("e0", rig.stands[0].port, "DRAINING"))
     follower.want()
     for whole in (True, False):
-        only(rig.got()).tell(40, whole, entry("e0", rig.stands[0].port))  # it would bring back what drains
+        only(rig.got()).tell(40, whole, entry("e0", rig.stands[0].port))  # it would undo the drain
         assert rig.got() == [] and rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
         follower.want()
         rig.wait(Follower.MIN_PAUSE)
@@ -787,7 +793,7 @@
     assert rig.got() == []
     follower.want()
     rig.wait(Follower.MIN_PAUSE)
-    only(rig.got()).tell(3, True, entry("e7", rig.stands[0].port))  # it counts anew
+    only(rig.got()).tell(3, True, entry("e7", rig.stands[0].port))  # its generations restart
     assert "index=3" in only(rig.got()).target and "e7" in rig.balancer.registry.by_id
 
 
@@ -800,13 +806,13 @@
     rig.settle()
     client = rig.asked(ask("y", "book"))
     got = only(rig.got())
-    assert first.gone() and got.sock is not first.sock, "sent on a connection of the one that is gone"
+    assert first.gone() and got.sock is not first.sock, "sent on a connection of the removed endpoint"
     got.answer(200)
     rig.settle()
     assert client.status() == 200 and set(rig.balancer.registry.by_id) == {"e9"}
 
 
-def test_stand_in_is_found_again_at_its_new_address(rig: Rig) -> None:
+def test_an_endpoint_is_found_at_its_new_address(rig: Rig) -> None:
     moved = Stand()
     rig.stands.append(moved)
     rig.tell(entry("e0", moved.port), whole=True)
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -1,4 +1,4 @@
-"""Random histories over real sockets, the clock moved by hand; the rules are checked after every step."""
+"""Random histories over real sockets with a simulated clock; the rules are checked after every step."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     client: Client
     expires: float
     sent: list[Got] = field(default_factory=list)
-    never_ran: set[int] = field(default_factory=set)  # attempts, by number
+    never_ran: set[int] = field(default_factory=set)  # numbers of attempts
     served: bytes | None = None
     status: int | None = None
     left: bool = False
@@ -38,51 +38,59 @@
         return entry(f"e{n}", self.rig.stands[n].port, self.states[n], started, self.zones[n])
 
     def check(self) -> None:
-        """The rules, for all that the endpoints have read and the clients were told since the last look."""
+        """Checks the rules for all that endpoints and clients have received since the last check."""
         now = self.rig.loop.now()
         for got in self.rig.got():
             if not got.id:
-                continue  # of another test's process: the port was one that it still calls
-            x = self.asked[got.id]
-            assert x.status is None and not x.left, "rule 1: sent after the end"
+                continue  # from the process of another test, which still connects to this port
+            request = self.asked[got.id]
+            assert request.status is None and not request.left, "rule 1: sent after the final answer"
             where = self.rig.stands.index(got.stand)
             assert self.states[where] == "SERVING", "rule 3: sent to an endpoint that drains or is gone"
-            ran = [g for n, g in enumerate(x.sent) if n not in x.never_ran]
+            ran = [g for n, g in enumerate(request.sent) if n not in request.never_ran]
             if ran:
-                assert x.type != "book", "rule 2: a binding exchange went again"
+                assert request.type != "book", "rule 2: a non-idempotent request was retried"
                 first = self.rig.stands.index(ran[0].stand)
-                assert x.type == "look" or self.zones[first] == self.zones[where], "rule 2: outside the group"
-                out = [g for n, g in enumerate(x.sent) if (x, n) in self.open]
-                assert all(g.gone() for g in out), "rule 2: two at once"
-            x.sent.append(got)
-            self.open.append((x, len(x.sent) - 1))
-        for id, x in self.asked.items():
-            answer = x.client.answer() if not x.left and x.status is None else None
+                assert request.type == "look" or self.zones[first] == self.zones[where], (
+                    "rule 2: retried outside the deduplication group"
+                )
+                out = [g for n, g in enumerate(request.sent) if (request, n) in self.open]
+                assert all(g.gone() for g in out), "rule 2: two attempts at once"
+            request.sent.append(got)
+            self.open.append((request, len(request.sent) - 1))
+        for request_id, request in self.asked.items():
+            answer = request.client.answer() if not request.left and request.status is None else None
             if answer is not None:
-                x.status = answer[0]
-                ran_some = len(x.never_ran) < len(x.sent)
-                assert x.status in (200, 502, 503), id
-                assert x.status != 200 or answer[1] == x.served, "served with what no endpoint made for it"
-                assert x.status != 503 or x.type == "look" or not ran_some, "rule 2: rejected"
-            assert x.left or x.status is not None or now < x.expires, "rule 1: no final answer"
-        waiting = sum(x.status is None and not x.left for x in self.asked.values())
+                request.status = answer[0]
+                ran_some = len(request.never_ran) < len(request.sent)
+                assert request.status in (200, 502, 503), request_id
+                assert request.status != 200 or answer[1] == request.served, (
+                    "the answer is not the one that its endpoint gave"
+                )
+                assert request.status != 503 or request.type == "look" or not ran_some, (
+                    "rule 2: rejected although an attempt may have been executed"
+                )
+            assert request.left or request.status is not None or now < request.expires, (
+                "rule 1: no final answer"
+            )
+        waiting = sum(request.status is None and not request.left for request in self.asked.values())
         assert len(self.rig.core.held) == waiting and self.rig.pool.open <= 6
 
-    def arrive(self, type: str, wait: int) -> None:
-        client, id = self.rig.client(), f"x{len(self.asked)}"
-        self.asked[id] = Asked(type, client, self.rig.loop.now() + wait / 1000)
-        client.send(ask(id, type, b"body" * 50, wait))
+    def arrive(self, type_name: str, wait: int) -> None:
+        client, request_id = self.rig.client(), f"x{len(self.asked)}"
+        self.asked[request_id] = Asked(type_name, client, self.rig.loop.now() + wait / 1000)
+        client.send(ask(request_id, type_name, b"body" * 50, wait))
 
     def end(self, nth: int, how: str) -> None:
-        x, number = self.open.pop(nth % len(self.open))
-        got = x.sent[number]
-        with contextlib.suppress(OSError):  # it may have been called off or timed out
+        request, number = self.open.pop(nth % len(self.open))
+        got = request.sent[number]
+        with contextlib.suppress(OSError):  # the attempt may have been cancelled or have timed out
             if how == "served":
-                x.served = f"{got.id} {number}".encode()
-                got.answer(200, x.served)
+                request.served = f"{got.id} {number}".encode()
+                got.answer(200, request.served)
             elif how == "turned away":
                 got.answer(503, headers=NEVER_RAN)
-                x.never_ran.add(number)
+                request.never_ran.add(number)
             elif how == "error":
                 got.answer(500)
             elif how == "broken":
@@ -119,26 +127,26 @@
 def test_rules_hold_on_sockets_in_any_history(steps):  # type: ignore[no-untyped-def]
     history = History(["north", "north", "south", "south"])
     try:
-        for what, a, b in steps:
-            if what == "arrive":
-                history.arrive(a, b)
-            elif what == "end" and history.open:
-                history.end(a, b)
-            elif what == "wait":
-                history.wait(a)
-            elif what == "leave" and history.asked:
-                x = list(history.asked.values())[a % len(history.asked)]
-                if x.status is None and not x.left:
-                    x.left = True
-                    x.client.close()
-            elif what == "list":
-                history.states[a] = "SERVING" if b == "new" else b
-                started = (history.rig.loop.now() - 1.0) * 1000 if b == "new" else 0.0
-                history.rig.tell(history.line(a, started))
+        for action, first, second in steps:
+            if action == "arrive":
+                history.arrive(first, second)
+            elif action == "end" and history.open:
+                history.end(first, second)
+            elif action == "wait":
+                history.wait(first)
+            elif action == "leave" and history.asked:
+                request = list(history.asked.values())[first % len(history.asked)]
+                if request.status is None and not request.left:
+                    request.left = True
+                    request.client.close()
+            elif action == "list":
+                history.states[first] = "SERVING" if second == "new" else second
+                started = (history.rig.loop.now() - 1.0) * 1000 if second == "new" else 0.0
+                history.rig.tell(history.line(first, started))
             history.rig.settle()
             history.check()
         history.wait(3.0)
         assert not history.rig.core.held
-        assert all(x.left or x.status is not None for x in history.asked.values())
+        assert all(request.left or request.status is not None for request in history.asked.values())
     finally:
         history.rig.close()
