--- a/rainspindle/fronts/http1/front.py
+++ b/rainspindle/fronts/http1/front.py
@@ -238,9 +238,8 @@
     def discard_input(self, client: Connection, until: float) -> Coroutine[None]:
         """Half-closes behind an answer, discards what the client is still sending, and closes."""
         remaining = MAX_LINGER_BYTES
-        self.crowd.came(
-            client, self.loop.now()
-        )  # may be closed in favour of others, now that its answer is written
+        # May be closed in favour of others, now that its answer is written.
+        self.crowd.came(client, self.loop.now())
         client.end_sending()
         try:
             while remaining > 0 and (data := (yield from client.await_bytes(until, lambda: client.closed))):
--- a/rainspindle/routing/core.py
+++ b/rainspindle/routing/core.py
@@ -19,10 +19,8 @@
 from ..transport.loop import Coroutine, Loop, Task
 from .facade import Effects, Facade, Fail, Reject, SendAttempt, Step
 
-ANSWER_TIME, ANSWER_PART = (
-    0.015,
-    0.05,
-)  # reserved before expiry to write the answer: the smaller of seconds and share
+# Reserved before the expiry to write the answer: seconds, or a share of the time if that is less.
+ANSWER_MARGIN, ANSWER_MARGIN_SHARE = 0.015, 0.05
 
 
 def nothing() -> None:
@@ -114,9 +112,8 @@
 
     addresses: dict[str, Address] = field(default_factory=dict)
     started: dict[str, float | None] = field(default_factory=dict)
-    draining: dict[str, float] = field(
-        default_factory=dict
-    )  # the time since which each draining endpoint drains
+    # The time since which each draining endpoint drains.
+    draining: dict[str, float] = field(default_factory=dict)
     left_out: set[str] = field(default_factory=set)  # disabled by the operators
 
 
@@ -177,9 +174,8 @@
         self.loop, self.facade, self.settings = loop, facade, settings
         self.directory, self.back = directory, back
         self.on_watch, self.on_tick = on_watch, on_tick
-        self.tell: Callable[[str], None] = lambda message: (
-            None
-        )  # sends to the other sidecars, where there are any
+        # Sends to the other sidecars, where there are any.
+        self.tell: Callable[[str], None] = lambda message: None
         self.held: dict[int, PendingRequest] = {}
         self.taken = 0
         self.last_answer = math.inf  # by when every request must be answered during shutdown
@@ -327,7 +323,7 @@
         """
         longest = self.settings.expiries[type_index]
         wait = longest if wait is None else min(wait, longest)
-        return min(arrived_at + wait - min(ANSWER_TIME, ANSWER_PART * wait), self.last_answer)
+        return min(arrived_at + wait - min(ANSWER_MARGIN, ANSWER_MARGIN_SHARE * wait), self.last_answer)
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
         """Performs the steps that the decision module chooses, until there is a final answer."""
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -690,9 +690,8 @@
     while not (again := rig.got()):
         rig.wait(0.1)
         assert rig.watches == 1, "it paused before the second call"
-    only(again).tell(
-        42, not wait, entry("e0", rig.stands[0].port, "DRAINING")
-    )  # the list had changed meanwhile
+    # The list had changed meanwhile.
+    only(again).tell(42, not wait, entry("e0", rig.stands[0].port, "DRAINING"))
     rig.got()
     assert rig.balancer.registry.by_id["e0"].listed.status is EndpointStatus.DRAINING
     assert rig.loop.now() - asked_at < (wait + 2.0 if wait else 6.0) - 0.5, (
--- a/tests/test_socket_rules.py
+++ b/tests/test_socket_rules.py
@@ -67,9 +67,7 @@
                 assert request.status != 200 or answer[1] == request.served, (
                     "the answer is not the one that its endpoint gave"
                 )
-                assert request.status != 503 or request.type == "look" or not ran_some, (
-                    "rule 2: rejected although an attempt may have been executed"
-                )
+                assert request.status != 503 or request.type == "look" or not ran_some, "rule 2: rejected"
             assert request.left or request.status is not None or now < request.expires, (
                 "rule 1: no final answer"
             )
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -133,9 +133,8 @@
     tracemalloc.stop()
     endpoint = raw.accept()
     assert sent < 25_000_000 and peak < 2_000_000
-    rig.loop.wait(
-        IDLE_TIMEOUT + 1
-    )  # the endpoint reads nothing, so it never executed the request: rejected at once
+    # The endpoint reads nothing, so it never executed the request: rejected at once.
+    rig.loop.wait(IDLE_TIMEOUT + 1)
     reader = Reader(client.sock)
     reader.look()
     assert reader.data.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in reader.data
