--- a/rainspindle/decisions/sites/__init__.py
+++ b/rainspindle/decisions/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Which site an exchange goes to, and how much of another's work a site takes in."""
+"""Site selection: which site handles a request, and how many requests of other sites a site admits."""
--- a/rainspindle/decisions/sites/intake.py
+++ b/rainspindle/decisions/sites/intake.py
@@ -1,108 +1,129 @@
-"""How much of other sites' work a site takes in: its own clients come first."""
+"""Admission control for requests from other sites: a site's own clients have priority."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 
-class Ends:
-    """How exchanges ended lately: two halves of a second, so that two unlucky ones are no sign."""
+class RecentOutcomes:
+    """Outcomes of recent requests, kept in two half-second buckets.
 
-    LEAST = 3
+    Two failures alone never count as overload; MIN_FAILURES are needed.
+    """
+
+    MIN_FAILURES = 3
 
     def __init__(self) -> None:
-        self.bad, self.all = [0, 0], [0, 0]
+        self.failures, self.total = [0, 0], [0, 0]
 
-    def add(self, good: bool) -> None:
-        self.bad[0] += not good
-        self.all[0] += 1
+    def add(self, succeeded: bool) -> None:
+        """Records the outcome of one request."""
+        self.failures[0] += not succeeded
+        self.total[0] += 1
 
-    def turn(self) -> None:
-        self.bad, self.all = [0, self.bad[0]], [0, self.all[0]]
+    def rotate(self) -> None:
+        """Starts a new bucket and drops the older one."""
+        self.failures, self.total = [0, self.failures[0]], [0, self.total[0]]
 
-    def over(self, share: float) -> bool:
-        return sum(self.bad) >= self.LEAST and sum(self.bad) > share * sum(self.all)
+    def exceeds(self, share: float) -> bool:
+        """Returns whether enough requests, and more than `share` of all of them, failed."""
+        return sum(self.failures) >= self.MIN_FAILURES and sum(self.failures) > share * sum(self.total)
 
 
 class Intake:
-    """A window on foreign exchanges under way: grown by those that end well while it is full, narrowed when
-    own
-    exchanges end badly, and never over a stated part of all that is under way."""
-
-    START, LEAST, MOST = 4.0, 1.0, 4096.0
-    TURN, EASE = 0.5, 1.5  # seconds; between two narrowings: what failed together is one sign
-    STEP = 0.3  # for each good end, until it was too much once
-    SMOOTH = 0.4
-    SHARE, SHARE_FOREIGN = 0.02, 0.1  # of exchanges may end badly before it counts as a sign
-    FIRST, FRESH = 0.25, 5.0  # of its own work, that it takes at first; seconds after the last sign
-    EASED = 0.7
-    CALM = 2.0  # seconds without a sign after which the window may double again
+    """A window on the number of foreign requests in progress.
+
+    The window grows when foreign requests succeed while it is full, and shrinks when requests fail. Beyond a
+    floor, foreign requests never exceed a configured share of all requests in progress.
+    """
+
+    INITIAL_WINDOW, MIN_WINDOW, MAX_WINDOW = 4.0, 1.0, 4096.0  # foreign requests
+    # Seconds. Failures within MIN_REDUCTION_INTERVAL of a reduction count as the same overload.
+    ROTATION_INTERVAL, MIN_REDUCTION_INTERVAL = 0.5, 1.5
+    GROWTH_STEP = 0.3  # window growth per success, up to `slow_growth_from`
+    SMOOTHING_FACTOR = 0.4  # weight of the latest number of own requests in the typical one
+    # Shares of requests that may fail before it counts as overload.
+    MAX_OWN_FAILURE_SHARE, MAX_FOREIGN_FAILURE_SHARE = 0.02, 0.1
+    # The first foreign request raises the window to this share of the typical number of own requests, if the
+    # window was not reduced for FRESH_DELAY seconds.
+    INITIAL_SHARE, FRESH_DELAY = 0.25, 5.0
+    REDUCTION_FACTOR = 0.7  # factor applied to the window by a reduction
+    RECOVERY_DELAY = 2.0  # seconds without overload after which the fast-growth limit doubles
 
     def __init__(self, now: float, part: float, floor: int, log: Callable[[str], None]) -> None:
-        """`part` (below 1) of all under way may be foreign; `floor` exchanges may in any case."""
+        """Sets the limits: a share `part` (below 1) of all requests may be foreign, `floor` always may."""
         self.part, self.floor, self.log = part, floor, log
-        self.window, self.enough = self.START, self.MOST  # over `enough` it grows slowly
-        self.eased_at = self.turned = self.calm_since = now
-        self.own, self.foreign = 0, 0
-        self.usual_own = 0.0
-        self.own_ends, self.foreign_ends = Ends(), Ends()
+        # Above `slow_growth_from` the window grows slowly.
+        self.window, self.slow_growth_from = self.INITIAL_WINDOW, self.MAX_WINDOW
+        self.reduced_at = self.rotated_at = self.stable_since = now
+        self.own_active, self.foreign_active = 0, 0
+        self.typical_own = 0.0
+        self.own_outcomes, self.foreign_outcomes = RecentOutcomes(), RecentOutcomes()
         self.turned_away = 0
-        self.closed = False
+        self.rejecting = False
 
-    def most(self) -> float:
-        """Foreign exchanges that may be under way now."""
-        allowed = self.part / (1 - self.part) * max(self.usual_own, self.own)
+    def limit(self) -> float:
+        """Returns how many foreign requests may be in progress now."""
+        allowed = self.part / (1 - self.part) * max(self.typical_own, self.own_active)
         return max(min(self.window, max(allowed, self.floor)), 0.0)
 
     def admit(self, now: float) -> bool:
+        """Returns whether a foreign request may start now, and counts it as in progress if so."""
         self.tick(now)
-        if not self.foreign and now - self.eased_at > self.FRESH:
-            # Another site begins to lean on this one: by its own size it can take a part of it at once.
-            self.window = max(self.window, self.FIRST * self.usual_own)
-        if self.foreign >= self.most():
+        if not self.foreign_active and now - self.reduced_at > self.FRESH_DELAY:
+            # Another site starts to send requests: the own load shows how many of them fit at once.
+            self.window = max(self.window, self.INITIAL_SHARE * self.typical_own)
+        if self.foreign_active >= self.limit():
             self.turned_away += 1
-            if not self.closed:
-                self.closed = True
+            if not self.rejecting:
+                self.rejecting = True
                 self.log(
-                    f"foreign exchanges turned away: {self.foreign} under way, "
-                    f"window {self.window:.1f}, {self.own} own"
+                    f"foreign requests rejected: {self.foreign_active} in progress, "
+                    f"window {self.window:.1f}, {self.own_active} own requests in progress"
                 )
             return False
-        self.closed = False
-        self.foreign += 1
+        self.rejecting = False
+        self.foreign_active += 1
         return True
 
-    def foreign_ended(self, now: float, good: bool) -> None:
-        filled = self.foreign + 1 >= self.window
-        self.foreign -= 1
-        self.foreign_ends.add(good)
-        if not good and self.foreign_ends.over(self.SHARE_FOREIGN):
-            self.ease(now)
-        elif good and filled and not self.own_ends.over(self.SHARE / 2):  # no more while own clients feel it
-            # Guards against minutes until a large site's work is let in: in good time until it was too much.
-            step = self.STEP if self.window < self.enough else 1 / self.window
-            self.window = min(self.window + step, self.MOST)
+    def foreign_ended(self, now: float, succeeded: bool) -> None:
+        """Records the end of an admitted foreign request and adapts the window."""
+        was_full = self.foreign_active + 1 >= self.window
+        self.foreign_active -= 1
+        self.foreign_outcomes.add(succeeded)
+        if not succeeded and self.foreign_outcomes.exceeds(self.MAX_FOREIGN_FAILURE_SHARE):
+            self.reduce_window(now)
+        elif succeeded and was_full and not self.own_outcomes.exceeds(self.MAX_OWN_FAILURE_SHARE / 2):
+            # The window does not grow while own requests fail. A fixed step avoids
+            # minutes of delay until the load of a large site is admitted. Above `slow_growth_from` the window
+            # grows by about 1 for each full window of successes.
+            step = self.GROWTH_STEP if self.window < self.slow_growth_from else 1 / self.window
+            self.window = min(self.window + step, self.MAX_WINDOW)
 
     def own_began(self, now: float) -> None:
-        self.own += 1
-
-    def own_ended(self, now: float, good: bool) -> None:
-        self.own -= 1
-        self.own_ends.add(good)
-        if not good and self.foreign and self.own_ends.over(self.SHARE):
-            self.ease(now)
-
-    def ease(self, now: float) -> None:
-        self.calm_since = now
-        if now - self.eased_at >= self.EASE:
-            self.window, self.eased_at = max(self.LEAST, self.window * self.EASED), now
-            self.enough = self.window
+        """Records the start of a request of an own client."""
+        self.own_active += 1
+
+    def own_ended(self, now: float, succeeded: bool) -> None:
+        """Records the end of a request of an own client; failures shrink the window."""
+        self.own_active -= 1
+        self.own_outcomes.add(succeeded)
+        if not succeeded and self.foreign_active and self.own_outcomes.exceeds(self.MAX_OWN_FAILURE_SHARE):
+            self.reduce_window(now)
+
+    def reduce_window(self, now: float) -> None:
+        """Shrinks the window, at most once in MIN_REDUCTION_INTERVAL seconds."""
+        self.stable_since = now
+        if now - self.reduced_at >= self.MIN_REDUCTION_INTERVAL:
+            self.window, self.reduced_at = max(self.MIN_WINDOW, self.window * self.REDUCTION_FACTOR), now
+            self.slow_growth_from = self.window
 
     def tick(self, now: float) -> None:
-        if now - self.turned >= self.TURN:
-            self.turned = now
-            self.usual_own += self.SMOOTH * (self.own - self.usual_own)
-            self.own_ends.turn()
-            self.foreign_ends.turn()
-        if now - self.calm_since >= self.CALM:
-            self.calm_since, self.enough = now, max(self.enough, 2 * self.window)
+        """Rotates the outcome buckets and raises the fast-growth limit; called several times a second."""
+        if now - self.rotated_at >= self.ROTATION_INTERVAL:
+            self.rotated_at = now
+            self.typical_own += self.SMOOTHING_FACTOR * (self.own_active - self.typical_own)
+            self.own_outcomes.rotate()
+            self.foreign_outcomes.rotate()
+        if now - self.stable_since >= self.RECOVERY_DELAY:
+            self.stable_since, self.slow_growth_from = now, max(self.slow_growth_from, 2 * self.window)
--- a/rainspindle/fronts/link/__init__.py
+++ b/rainspindle/fronts/link/__init__.py
@@ -1,1 +1,1 @@
-"""The link between gateways: exchanges that cross to another site, and those that come from one."""
+"""The link between gateways: requests sent to another site, and requests received from one."""
--- a/rainspindle/fronts/link/crossing.py
+++ b/rainspindle/fronts/link/crossing.py
@@ -1,4 +1,4 @@
-"""Exchanges of ours that cross to a peer, over whichever of its connections is up."""
+"""Sends own requests to a peer, over whichever of its connections is up."""
 
 from __future__ import annotations
 
@@ -14,147 +14,159 @@
 from ...protocol.link.claims import Claim, Step
 from ...protocol.link.session import Session
 from ...routing.core import Final, Finished, Given, Left, Rejected, Terminated
-from ...routing.sites import NOT_THERE, Crossed, Free
+from ...routing.sites import UNREACHABLE, NotAnswered, PeerResult
 from ...transport.loop import Coroutine, Loop, Task
 
 log = logging.getLogger("rainspindle.link")
 
 
-class Line:
-    """One connection of the link, as those see it who use it."""
+class Channel:
+    """One connection of the link, with its session and the task that drives it."""
 
     def __init__(self, session: Session, task: Task) -> None:
         self.session, self.task = session, task
         self.up = False
 
     def wake(self) -> None:
-        """Something is to be written."""
+        """Wakes the connection's task because the session has output."""
         self.task.wake()
 
 
 @dataclass(slots=True)
-class Under:
-    """An exchange of ours that is crossing."""
+class SentRequest:
+    """An own request that was sent to the peer and has no final result yet."""
 
     id: int
     task: Task
     claim: Claim
-    line: Line
-    epoch: int  # the peer's start to which it was opened
+    channel: Channel
+    epoch: int  # the peer's epoch when the request was opened
     step: Step = Step.WAIT
     answer: tuple[f.Answer, bytes] | None = None
 
 
-class Counter:
-    """Ids of exchanges: one count for a process, as the epoch is."""
+class IdCounter:
+    """Generates request ids, unique within an epoch; all peers of a process share one counter."""
 
     def __init__(self) -> None:
         self.last = 0
 
     def next(self) -> int:
+        """Returns the next id, starting at 1."""
         self.last += 1
         return self.last
 
 
 class Peer:
-    """Another site, as exchanges cross to it."""
+    """Another site, as the receiver of own requests."""
 
     def __init__(
         self,
         loop: Loop,
         site: str,
         type_names: tuple[str, ...],
-        counter: Counter,
+        id_counter: IdCounter,
         on_link: Callable[[bool], None],
     ) -> None:
-        """`on_link` is told when the first of its connections comes up and when the last is gone."""
-        self.loop, self.site, self.type_names, self.counter = loop, site, type_names, counter
+        """Takes `on_link`, called with True for the first connection and with False after the last."""
+        self.loop, self.site, self.type_names, self.id_counter = loop, site, type_names, id_counter
         self.on_link = on_link
-        self.lines: list[Line] = []
-        self.under: dict[int, Under] = {}
-        # Settled without proof: a revoke that keeps it from starting later is still owed, up to a time.
-        self.owed: deque[tuple[float, int, int]] = deque()
+        self.channels: list[Channel] = []
+        self.requests: dict[int, SentRequest] = {}
+        # Revokes of abandoned requests, to be sent over the next connection: (send until, id, epoch).
+        self.pending_revokes: deque[tuple[float, int, int]] = deque()
 
     # Connections.
 
-    def line_up(self, line: Line) -> None:
-        line.up = True
-        self.lines.append(line)
-        if len(self.lines) == 1:
+    def channel_up(self, channel: Channel) -> None:
+        """Adds a connection that came up, and sends the revokes that are due over it."""
+        channel.up = True
+        self.channels.append(channel)
+        if len(self.channels) == 1:
             self.on_link(True)
-        for under in self.under.values():
-            if under.claim.revoking:
-                line.session.revoke(under.id, under.epoch)
+        for request in self.requests.values():
+            if request.claim.revoking:
+                channel.session.revoke(request.id, request.epoch)
         now = self.loop.now()
-        for until, id, epoch in self.owed:
-            if until > now:
-                line.session.revoke(id, epoch)
-        self.owed.clear()
-        line.wake()
-
-    def line_gone(self, line: Line) -> None:
-        """Its connection has ended; what was crossing over it is asked for over another."""
-        if line.up:
-            line.up = False
-            self.lines.remove(line)
-            if not self.lines:
+        for send_until, request_id, epoch in self.pending_revokes:
+            if send_until > now:
+                channel.session.revoke(request_id, epoch)
+        self.pending_revokes.clear()
+        channel.wake()
+
+    def channel_closed(self, channel: Channel) -> None:
+        """Removes a connection that ended; requests sent over it are revoked over another one."""
+        if channel.up:
+            channel.up = False
+            self.channels.remove(channel)
+            if not self.channels:
                 self.on_link(False)
-        for under in list(self.under.values()):
-            if under.line is line:
-                self.act(under, under.claim.connection_lost())
-
-    def pick(self) -> Line | None:
-        ready = [line for line in self.lines if line.session.ready(self.loop.now())]
-        return min(ready, key=lambda line: len(line.session.ours) + line.session.waiting / 4096, default=None)
-
-    def act(self, under: Under, step: Step) -> None:
+        for request in list(self.requests.values()):
+            if request.channel is channel:
+                self.apply_step(request, request.claim.connection_lost())
+
+    def pick_channel(self) -> Channel | None:
+        """Returns the least loaded connection that accepts requests, None without one."""
+        ready = [channel for channel in self.channels if channel.session.ready(self.loop.now())]
+        return min(
+            ready,
+            key=lambda channel: len(channel.session.own_requests) + channel.session.waiting_bytes / 4096,
+            default=None,
+        )
+
+    def apply_step(self, request: SentRequest, step: Step) -> None:
+        """Carries out a step that the request's claim asks for."""
         if step is Step.REVOKE:
-            for line in self.lines[:1]:
-                line.session.revoke(under.id, under.epoch)
-                line.wake()
+            for channel in self.channels[:1]:
+                channel.session.revoke(request.id, request.epoch)
+                channel.wake()
         if step is not Step.WAIT:
-            under.step = step
-            under.task.wake()
-
-    # What the peer tells.
-
-    def told(self, answer: f.Answer, body: bytes) -> None:
-        under = self.under.get(answer.id)
-        if under is not None and under.claim.answered():
-            under.answer = answer, body
-            under.task.wake()
-
-    def said(self, id: int, state: f.State) -> None:
-        under = self.under.get(id)
-        if under is not None:
-            self.act(under, under.claim.told(state))
-
-    def written(self, ids: list[int]) -> None:
-        for id in ids:
-            under = self.under.get(id)
-            if under is not None:
-                under.claim.was_written()
-
-    # One exchange.
-
-    def cross(self, given: Given, gone: Callable[[], bool], may_rerun: bool) -> Coroutine[Crossed]:
-        """What came of it there: a final answer, or that it provably never ran.
-
-        `may_rerun` exchanges are given up as soon as their connection is gone."""
-        line = self.pick()
+            request.step = step
+            request.task.wake()
+
+    # Messages from the peer.
+
+    def handle_answer(self, answer: f.Answer, body: bytes) -> None:
+        """Handles an answer from the peer; an answer to a settled request is ignored."""
+        request = self.requests.get(answer.id)
+        if request is not None and request.claim.answered():
+            request.answer = answer, body
+            request.task.wake()
+
+    def handle_revoked(self, request_id: int, state: f.State) -> None:
+        """Handles the peer's reply to a revoke."""
+        request = self.requests.get(request_id)
+        if request is not None:
+            self.apply_step(request, request.claim.told(state))
+
+    def mark_written(self, ids: list[int]) -> None:
+        """Records that the requests with these ids were written completely."""
+        for request_id in ids:
+            request = self.requests.get(request_id)
+            if request is not None:
+                request.claim.was_written()
+
+    # One request.
+
+    def cross(self, given: Given, gone: Callable[[], bool], may_rerun: bool) -> Coroutine[PeerResult]:
+        """Runs a request at the peer and returns its final answer, or that it had none.
+
+        A request with `may_rerun` is abandoned as soon as its connection is lost.
+        """
+        channel = self.pick_channel()
         task = self.loop.current
         assert task is not None
-        if line is None:
-            return NOT_THERE
+        if channel is None:
+            return UNREACHABLE
         ask: Ask = given.body
-        now, peer = self.loop.now(), line.session.peer
+        now, peer = self.loop.now(), channel.session.peer
         assert peer is not None
-        under = Under(self.counter.next(), task, Claim(), line, peer.epoch)
-        self.under[under.id] = under
+        request = SentRequest(self.id_counter.next(), task, Claim(), channel, peer.epoch)
+        self.requests[request.id] = request
         try:
-            line.session.open(
+            channel.session.open(
                 f.Open(
-                    under.id,
+                    request.id,
                     now,
                     given.expires_at - now,
                     self.type_names[given.type_index],
@@ -169,52 +181,57 @@
                 ),
                 ask.body,
             )
-            line.wake()
-            return (yield from self.follow(given, under, gone, may_rerun))
+            channel.wake()
+            return (yield from self.await_result(given, request, gone, may_rerun))
         finally:
-            del self.under[under.id]
-            under.line.session.forget(under.id)
-            under.line.wake()
-
-    def follow(
-        self, given: Given, under: Under, gone: Callable[[], bool], may_rerun: bool
-    ) -> Coroutine[Crossed]:
+            del self.requests[request.id]
+            request.channel.session.forget(request.id)
+            request.channel.wake()
+
+    def await_result(
+        self, given: Given, request: SentRequest, gone: Callable[[], bool], may_rerun: bool
+    ) -> Coroutine[PeerResult]:
+        """Waits until the request is answered, settled, expired or cancelled."""
         while True:
-            if under.answer is not None:
-                return self.final(*under.answer)
-            if under.step is Step.FREE:
-                return Free(never=True)
-            if under.step is Step.UNKNOWN:
-                return Free(never=False) if may_rerun else Terminated()
-            if under.step is Step.REVOKE and may_rerun:
-                self.settle(given, under)
-                return Free(never=False)
-            left = gone()
-            if left or self.loop.now() >= given.expires_at:
-                never = not under.claim.written
-                self.settle(given, under)
-                if left:
+            if request.answer is not None:
+                return self.to_result(*request.answer)
+            if request.step is Step.FREE:
+                return NotAnswered(never_ran=True)
+            if request.step is Step.UNKNOWN:
+                return NotAnswered(never_ran=False) if may_rerun else Terminated()
+            if request.step is Step.REVOKE and may_rerun:
+                self.abandon(given, request)
+                return NotAnswered(never_ran=False)
+            client_left = gone()
+            if client_left or self.loop.now() >= given.expires_at:
+                never_started = not request.claim.written
+                self.abandon(given, request)
+                if client_left:
                     return Left()
-                # Not written whole: it never starts, as the rest will not be sent.
-                return Rejected(0.0, False) if never else Terminated()
+                # A request that was not written completely never starts, as the rest is not sent.
+                return Rejected(0.0, False) if never_started else Terminated()
             yield given.expires_at
 
-    def settle(self, given: Given, under: Under) -> None:
-        """It has its final answer without proof: it must not start any more, where that can still be had."""
-        if not under.claim.over and under.claim.written:
-            under.claim.over = True
-            if self.lines:
-                self.lines[0].session.revoke(under.id, under.epoch)
-                self.lines[0].wake()
+    def abandon(self, given: Given, request: SentRequest) -> None:
+        """Ends the request without proof of what the peer did.
+
+        A revoke keeps the request from starting later, if it reaches the peer in time.
+        """
+        if not request.claim.over and request.claim.written:
+            request.claim.over = True
+            if self.channels:
+                self.channels[0].session.revoke(request.id, request.epoch)
+                self.channels[0].wake()
             else:
-                self.owed.append((given.expires_at + 60.0, under.id, under.epoch))
-                while len(self.owed) > 4096:
-                    self.owed.popleft()
-        under.claim.over = True
+                self.pending_revokes.append((given.expires_at + 60.0, request.id, request.epoch))
+                while len(self.pending_revokes) > 4096:
+                    self.pending_revokes.popleft()
+        request.claim.over = True
 
-    def final(self, answer: f.Answer, body: bytes) -> Final | Free:
+    def to_result(self, answer: f.Answer, body: bytes) -> Final | NotAnswered:
+        """Returns the result that an answer of the peer stands for."""
         if answer.kind == "finished":
             return Finished(Answered(AttemptOutcome.SERVED, answer.headers, body, True))
         if answer.kind == "rejected":
-            return Rejected(answer.hold_off, True) if answer.ran else Free(True, answer.hold_off)
+            return Rejected(answer.hold_off, True) if answer.ran else NotAnswered(True, answer.hold_off)
         return Terminated()
--- a/rainspindle/fronts/link/link.py
+++ b/rainspindle/fronts/link/link.py
@@ -1,4 +1,4 @@
-"""The coroutines of the link: connections dialed and taken, and the exchanges that come over them."""
+"""The tasks of the link: dialed and accepted connections, and the requests that peers send over them."""
 
 from __future__ import annotations
 
@@ -12,41 +12,51 @@
 from ...protocol.application import Ask
 from ...protocol.link import frames as f
 from ...protocol.link.claims import Ledger
-from ...protocol.link.session import Asked, Came, Event, Leaving, Said, Session, Told, Up
-from ...protocol.link.session import Left as FarLeft
+from ...protocol.link.session import (
+    AnswerReceived,
+    Event,
+    PeerLeaving,
+    RequestCancelled,
+    RequestReceived,
+    RevokeAnswered,
+    RevokeReceived,
+    Session,
+    SessionUp,
+)
 from ...routing.core import Broke, Core, Final, Finished, Given, Left, Rejected
 from ...transport.address import Address, address_text
 from ...transport.connection import Broken, Connection, Late, OutOfSockets, open_connection
 from ...transport.loop import Coroutine, Loop, Task
-from .crossing import Counter, Line, Peer
+from .crossing import Channel, IdCounter, Peer
 
 log = logging.getLogger("rainspindle.link")
 
-CONNECT_TIME = 1.0
-RETRY_FIRST, RETRY_MOST = 0.1, 2.0  # seconds between attempts to connect, doubled by each that fails
-MOST_STRANGERS = 32  # connections that have not proved a key
-LEDGER, EPOCHS = 65536, 8
-KEPT_ANSWERS, KEPT_TIME = 1024, 10.0  # answers that found no connection
-MOST_OUT = 4 * 1024 * 1024  # bytes that a peer may leave unread
-FULL_HOLD_OFF = 0.5  # seconds that a site with no room for foreign work asks to be left alone
+CONNECT_TIMEOUT = 1.0  # seconds
+INITIAL_RETRY_DELAY, MAX_RETRY_DELAY = 0.1, 2.0  # seconds between connection attempts, doubled per failure
+MAX_UNAUTHENTICATED = 32  # connections without a proven key
+MAX_LEDGER_NAMES, MAX_LEDGER_EPOCHS = 65536, 8  # kept per peer: request names per epoch, and epochs
+MAX_UNDELIVERED, UNDELIVERED_TTL = 1024, 10.0  # answers without a connection; seconds for which they are kept
+MAX_UNREAD_BYTES = 4 * 1024 * 1024  # bytes of output that a peer may leave unread
+FULL_HOLD_OFF = 0.5  # seconds; hold-off advised when no further foreign request is admitted
 
 
 @dataclass(slots=True)
-class Foreign:
-    """An exchange that runs here for a peer."""
+class ForeignRequest:
+    """A request that runs here for a peer."""
 
-    line: Line
+    channel: Channel
     task: Task
-    rerun: bool  # its sender gives it up with the connection
+    may_rerun: bool  # the sender abandons it when the connection is lost
     cancelled: bool = False
 
     def cancel(self) -> None:
+        """Cancels the request and wakes its task."""
         self.cancelled = True
         self.task.wake()
 
 
 class Link:
-    """All links of this gateway with other sites."""
+    """All connections of this gateway to the gateways of other sites."""
 
     def __init__(
         self,
@@ -57,40 +67,52 @@
         core: Core,
         intake: Intake,
         type_names: tuple[str, ...],
-        reruns: Sequence[bool],
+        rerun_allowed: Sequence[bool],
         stall: float,
-        dials: int,
+        connections_per_peer: int,
         on_link: Callable[[str, bool], None],
     ) -> None:
-        """`keys` are those valid now; `reruns` says by traffic type whether an exchange may run again here
-        and
-        there; `dials` connections are held to each peer that has an address."""
+        """Creates the link without peers.
+
+        Args:
+            loop: The event loop.
+            site: The name of the own site.
+            epoch: The number of this start of the process; later starts have larger ones.
+            keys: Returns the keys that are valid now, the current one first.
+            core: Runs the requests of peers.
+            intake: Decides whether a request of a peer is admitted.
+            type_names: The names of the traffic types, by index.
+            rerun_allowed: By type index, whether a request may run both here and at its sender.
+            stall: Seconds without an answer to a ping after which a connection is closed.
+            connections_per_peer: How many connections are held to each peer that has an address.
+            on_link: Called with a site and whether its link is now up.
+        """
         self.loop, self.site, self.epoch, self.keys = loop, site, epoch, keys
-        self.core, self.intake, self.type_names, self.reruns = core, intake, type_names, reruns
-        self.stall, self.dials, self.on_link = stall, dials, on_link
-        self.types = {name: n for n, name in enumerate(type_names)}
-        self.counter = Counter()
+        self.core, self.intake, self.type_names, self.rerun_allowed = core, intake, type_names, rerun_allowed
+        self.stall, self.connections_per_peer, self.on_link = stall, connections_per_peer, on_link
+        self.type_indexes = {name: index for index, name in enumerate(type_names)}
+        self.id_counter = IdCounter()
         self.peers: dict[str, Peer] = {}
         self.addresses: dict[str, Address | None] = {}
-        self.strangers: OrderedDict[Connection, None] = OrderedDict()
-        self.lines: dict[Line, Connection] = {}
+        self.unauthenticated: OrderedDict[Connection, None] = OrderedDict()
+        self.channels: dict[Channel, Connection] = {}
         self.ledgers: dict[str, Ledger] = {}
-        self.foreign: dict[tuple[str, int, int], Foreign] = {}  # running for a peer
-        self.kept: OrderedDict[tuple[str, int, int], tuple[float, f.Answer, bytes]] = OrderedDict()
+        self.foreign_requests: dict[tuple[str, int, int], ForeignRequest] = {}  # running for a peer
+        self.undelivered: OrderedDict[tuple[str, int, int], tuple[float, f.Answer, bytes]] = OrderedDict()
         self.leaving = False
         self.taken_in = self.refused = self.faults = 0
 
     def set_peers(self, peers: dict[str, Address | None]) -> None:
-        """Other peers from now on; those without an address are waited for."""
+        """Replaces the peers; those without an address are expected to connect."""
         for site in list(self.peers):
             if site not in peers:
                 del self.peers[site]
                 self.addresses.pop(site)
-        for line, connection in list(self.lines.items()):
-            known = line.session.peer
-            if known is not None and line.session.proved and known.site not in peers:
+        for channel, connection in list(self.channels.items()):
+            hello = channel.session.peer
+            if hello is not None and channel.session.authenticated and hello.site not in peers:
                 connection.close()
-                line.wake()
+                channel.wake()
         for site, address in peers.items():
             known_address = self.addresses.get(site)
             self.addresses[site] = address
@@ -98,37 +120,43 @@
                 self.peers[site] = self.make_peer(site)
                 known_address = None
             if address is not None and known_address is None:
-                for _ in range(self.dials):
-                    self.loop.spawn(self.loop.lasting(partial(self.dial, site)))
+                for _ in range(self.connections_per_peer):
+                    self.loop.spawn(self.loop.lasting(partial(self.keep_connected, site)))
 
     def make_peer(self, site: str) -> Peer:
-        return Peer(self.loop, site, self.type_names, self.counter, lambda up: self.on_link(site, up))
+        """Creates the state of one peer."""
+        return Peer(self.loop, site, self.type_names, self.id_counter, lambda up: self.on_link(site, up))
 
     # Connections.
 
-    def dial(self, site: str) -> Coroutine[None]:
-        """Holds one connection to a peer for as long as it is one."""
-        pause, peer = RETRY_FIRST, self.peers.get(site)
+    def keep_connected(self, site: str) -> Coroutine[None]:
+        """Keeps one connection to a peer open for as long as the peer is configured."""
+        retry_delay, peer = INITIAL_RETRY_DELAY, self.peers.get(site)
         while not self.leaving and self.peers.get(site) is peer and self.addresses.get(site):
             connection = None
-            began = self.loop.now()
+            attempt_began = self.loop.now()
             try:
-                connection = yield from self.connect(site, began + CONNECT_TIME)
+                connection = yield from self.connect(site, attempt_began + CONNECT_TIMEOUT)
                 session = Session(self.loop.now(), self.site, self.epoch, self.keys(), True, site, self.stall)
-                yield from self.drive(connection, session)
+                yield from self.run_channel(connection, session)
             except (Broken, Late, OutOfSockets):
                 pass
             finally:
                 if connection is not None:
                     connection.close()
-            pause = RETRY_FIRST if self.loop.now() - began > 5.0 else min(2 * pause, RETRY_MOST)
-            again = self.loop.now() + pause
-            while self.loop.now() < again:
-                yield again
+            retry_delay = (
+                INITIAL_RETRY_DELAY
+                if self.loop.now() - attempt_began > 5.0
+                else min(2 * retry_delay, MAX_RETRY_DELAY)
+            )
+            retry_at = self.loop.now() + retry_delay
+            while self.loop.now() < retry_at:
+                yield retry_at
         while True:
             yield float("inf")
 
     def connect(self, site: str, until: float) -> Coroutine[Connection]:
+        """Opens a connection to a peer. Raises Broken, Late or OutOfSockets."""
         address = self.addresses[site]
         assert address is not None
         connection = open_connection(self.loop, address)
@@ -140,28 +168,31 @@
         return connection
 
     def accepted(self, connection: Connection) -> None:
-        """A connection has come. One that does not prove a key costs bounded memory and time."""
-        if len(self.strangers) >= MOST_STRANGERS:
-            oldest, _ = self.strangers.popitem(last=False)
+        """Starts a session on an accepted connection.
+
+        The number and the time of connections that have not proved a key are bounded.
+        """
+        if len(self.unauthenticated) >= MAX_UNAUTHENTICATED:
+            oldest, _ = self.unauthenticated.popitem(last=False)
             wake = oldest.wake
             oldest.close()
             wake()
-        self.strangers[connection] = None
+        self.unauthenticated[connection] = None
         session = Session(self.loop.now(), self.site, self.epoch, self.keys(), False, stall=self.stall)
 
         def gone() -> None:
-            self.strangers.pop(connection, None)
+            self.unauthenticated.pop(connection, None)
             connection.close()
 
-        self.loop.spawn(self.drive(connection, session), gone)
+        self.loop.spawn(self.run_channel(connection, session), gone)
 
-    def drive(self, connection: Connection, session: Session) -> Coroutine[None]:
+    def run_channel(self, connection: Connection, session: Session) -> Coroutine[None]:
         """Reads and writes one connection until it ends."""
         task = self.loop.current
         assert task is not None
         connection.mine()
-        line = Line(session, task)
-        self.lines[line] = connection
+        channel = Channel(session, task)
+        self.channels[channel] = connection
         peer: Peer | None = None
         pending, written = memoryview(b""), 0
         try:
@@ -171,22 +202,25 @@
                 if data == b"":
                     return
                 for event in session.receive(now, data) if data else ():
-                    peer = self.happened(line, event, peer, connection)
-                if now >= session.next_at():
+                    peer = self.handle_event(channel, event, peer, connection)
+                if now >= session.next_tick_at():
                     session.tick(now)
                 if not pending:
-                    pending = memoryview(session.take())
+                    pending = memoryview(session.take_output())
                 while pending and connection.writable:
                     sent = connection.send_some(pending)
                     pending, written = pending[sent:], written + sent
                     if not pending:
-                        pending = memoryview(session.take())
+                        pending = memoryview(session.take_output())
                 if peer is not None:
-                    peer.written(session.whole(written))
-                if len(session.out) > MOST_OUT:
-                    raise f.LinkFault("unread", f"{len(session.out)} bytes")
+                    peer.mark_written(session.take_written(written))
+                if len(session.output) > MAX_UNREAD_BYTES:
+                    raise f.LinkFault(
+                        "unread",
+                        f"{len(session.output)} bytes of output unread, at most {MAX_UNREAD_BYTES} allowed",
+                    )
                 if data is None:
-                    yield session.next_at()
+                    yield session.next_tick_at()
         except Broken:
             pass
         except f.LinkFault as fault:
@@ -197,119 +231,128 @@
                     "fields": {"peer": session.peer.site if session.peer else "unknown", **fault.fields()}
                 },
             )
-            self.say_why(connection, fault)
+            self.send_fault(connection, fault)
         finally:
-            del self.lines[line]
-            # Guards against further forwards for what its sender has given up, and had run at home.
-            for foreign in self.foreign.values():
-                if foreign.line is line and foreign.rerun:
+            del self.channels[channel]
+            # Avoids further attempts for requests that their sender abandoned and may run itself.
+            for foreign in self.foreign_requests.values():
+                if foreign.channel is channel and foreign.may_rerun:
                     foreign.cancel()
             if peer is not None:
-                # What the kernel has taken may run, also where the next write broke.
-                peer.written(session.whole(written))
-                peer.line_gone(line)
+                # Bytes that the kernel accepted may reach the peer even if the next write failed.
+                peer.mark_written(session.take_written(written))
+                peer.channel_closed(channel)
 
-    def say_why(self, connection: Connection, fault: f.LinkFault) -> None:
-        """The name of the fault, if it can be written at once."""
+    def send_fault(self, connection: Connection, fault: f.LinkFault) -> None:
+        """Sends the peer the name of the fault, if the connection can be written at once."""
         if not connection.closed and connection.writable and fault.name != "peer_fault":
             try:
                 connection.send_some(memoryview(f.encode(f.Fault(fault.name))))
             except Broken:
                 return
 
-    def happened(self, line: Line, event: Event, peer: Peer | None, connection: Connection) -> Peer | None:
-        if isinstance(event, Up):
+    def handle_event(
+        self, channel: Channel, event: Event, peer: Peer | None, connection: Connection
+    ) -> Peer | None:
+        """Handles one session event and returns the connection's peer. Raises LinkFault."""
+        if isinstance(event, SessionUp):
             peer = self.peers.get(event.site)
             if peer is None:
-                raise f.LinkFault("site", event.site[:100])
-            ledger = self.ledgers.setdefault(event.site, Ledger(LEDGER, EPOCHS))
+                raise f.LinkFault("site", f"{event.site[:100]} is not a configured peer")
+            ledger = self.ledgers.setdefault(event.site, Ledger(MAX_LEDGER_NAMES, MAX_LEDGER_EPOCHS))
             if not ledger.welcome(event.epoch):
-                raise f.LinkFault("epoch_old", str(event.epoch))
-            self.strangers.pop(connection, None)
+                raise f.LinkFault("epoch_old", f"{event.epoch} is older than the epochs that are kept")
+            self.unauthenticated.pop(connection, None)
             log.info("link up", extra={"fields": {"peer": event.site, "epoch": event.epoch}})
-            peer.line_up(line)
-            self.deliver_kept(line, event.site, event.epoch)
+            peer.channel_up(channel)
+            self.deliver_undelivered(channel, event.site, event.epoch)
             return peer
-        assert peer is not None and line.session.peer is not None
-        epoch = line.session.peer.epoch
-        if isinstance(event, Came):
-            self.came(line, peer, epoch, event)
-        elif isinstance(event, Told):
-            peer.told(event.answer, event.body)
-        elif isinstance(event, Asked):
-            self.asked(line, peer.site, epoch, event)
-        elif isinstance(event, Said):
-            peer.said(event.id, event.state)
-        elif isinstance(event, FarLeft):
-            foreign = self.foreign.get((peer.site, epoch, event.id))
+        assert peer is not None and channel.session.peer is not None
+        epoch = channel.session.peer.epoch
+        if isinstance(event, RequestReceived):
+            self.handle_open(channel, peer, epoch, event)
+        elif isinstance(event, AnswerReceived):
+            peer.handle_answer(event.answer, event.body)
+        elif isinstance(event, RevokeReceived):
+            self.handle_revoke(channel, peer.site, epoch, event)
+        elif isinstance(event, RevokeAnswered):
+            peer.handle_revoked(event.id, event.state)
+        elif isinstance(event, RequestCancelled):
+            foreign = self.foreign_requests.get((peer.site, epoch, event.id))
             if foreign is not None:
                 foreign.cancel()
-        elif isinstance(event, Leaving):
-            log.info("peer leaves", extra={"fields": {"peer": peer.site}})
+        elif isinstance(event, PeerLeaving):
+            log.info("peer is shutting down", extra={"fields": {"peer": peer.site}})
         return peer
 
-    # Exchanges that come from a peer.
+    # Requests from a peer.
 
-    def came(self, line: Line, peer: Peer, epoch: int, event: Came) -> None:
-        now, head, ledger = self.loop.now(), event.open, self.ledgers[peer.site]
-        kind = self.types.get(head.type_name)
-        why = (
+    def handle_open(self, channel: Channel, peer: Peer, epoch: int, event: RequestReceived) -> None:
+        """Admits and starts a request from a peer, or rejects it."""
+        now, opening, ledger = self.loop.now(), event.open, self.ledgers[peer.site]
+        type_index = self.type_indexes.get(opening.type_name)
+        rejection_reason = (
             "late"
             if event.stale or event.expires_at <= now
             else "unknown_type"
-            if kind is None
+            if type_index is None
             else "leaving"
             if self.leaving
             else ""
         )
-        if why or not self.intake.admit(now):
-            # Written down as never to start, so that what is answered here is proof.
-            if ledger.revoke(epoch, head.id) == "never":
+        if rejection_reason or not self.intake.admit(now):
+            # Recorded as revoked before the answer, so that the rejection proves that it never ran.
+            if ledger.revoke(epoch, opening.id) == "never":
                 self.refused += 1
-                hold_off = 0.0 if why else FULL_HOLD_OFF
-                line.session.answer(f.Answer(head.id, "rejected", hold_off, (), 0, False), b"")
+                hold_off = 0.0 if rejection_reason else FULL_HOLD_OFF
+                channel.session.answer(f.Answer(opening.id, "rejected", hold_off, (), 0, False), b"")
             return
-        if not ledger.start(epoch, head.id):
+        if not ledger.start(epoch, opening.id):
             self.intake.foreign_ended(now, True)
-            line.session.theirs.discard(head.id)
+            channel.session.peer_requests.discard(opening.id)
             return
         self.taken_in += 1
-        assert kind is not None
+        assert type_index is not None
         ask = Ask(
-            head.request_id,
-            head.method,
-            head.target,
+            opening.request_id,
+            opening.method,
+            opening.target,
             event.body,
-            head.headers,
-            kind,
-            head.key,
+            opening.headers,
+            type_index,
+            opening.key,
             None,
-            head.hint,
-            head.repeat,
+            opening.hint,
+            opening.repeat,
         )
         expires_at = min(event.expires_at, self.core.last_answer)
-        given = Given(kind, head.key, head.hint, head.repeat, expires_at, ask)
-        self.loop.spawn(self.serve(line, peer, epoch, head.id, given))
+        given = Given(type_index, opening.key, opening.hint, opening.repeat, expires_at, ask)
+        self.loop.spawn(self.serve(channel, peer, epoch, opening.id, given))
 
-    def serve(self, line: Line, peer: Peer, epoch: int, id: int, given: Given) -> Coroutine[None]:
-        name = peer.site, epoch, id
+    def serve(
+        self, channel: Channel, peer: Peer, epoch: int, request_id: int, given: Given
+    ) -> Coroutine[None]:
+        """Runs a request of a peer and sends its answer over a connection that is up."""
+        request_key = peer.site, epoch, request_id
         task = self.loop.current
         assert task is not None
-        foreign = self.foreign[name] = Foreign(line, task, self.reruns[given.type_index])
-        good = False
+        foreign = self.foreign_requests[request_key] = ForeignRequest(
+            channel, task, self.rerun_allowed[given.type_index]
+        )
+        succeeded = False
         try:
             final: Final = yield from self.core.run(given, lambda: foreign.cancelled)
-            good = isinstance(final, Finished | Left)
+            succeeded = isinstance(final, Finished | Left)
         finally:
-            del self.foreign[name]
-            self.intake.foreign_ended(self.loop.now(), good)
-            self.ledgers[peer.site].done(epoch, id)
+            del self.foreign_requests[request_key]
+            self.intake.foreign_ended(self.loop.now(), succeeded)
+            self.ledgers[peer.site].done(epoch, request_id)
         if isinstance(final, Left | Broke):
-            line.session.theirs.discard(id)
+            channel.session.peer_requests.discard(request_id)
             return
         body = final.payload.body if isinstance(final, Finished) else b""
         answer = f.Answer(
-            id,
+            request_id,
             "finished"
             if isinstance(final, Finished)
             else "rejected"
@@ -320,50 +363,58 @@
             len(body),
             not isinstance(final, Rejected) or final.ran,
         )
-        line.session.theirs.discard(id)
-        way = (
-            line
-            if line.up
+        channel.session.peer_requests.discard(request_id)
+        answer_channel = (
+            channel
+            if channel.up
             else next(
-                (n for n in peer.lines if n.session.peer is not None and n.session.peer.epoch == epoch), None
+                (
+                    candidate
+                    for candidate in peer.channels
+                    if candidate.session.peer is not None and candidate.session.peer.epoch == epoch
+                ),
+                None,
             )
         )
-        if way is not None:
-            way.session.answer(answer, body)
-            way.wake()
+        if answer_channel is not None:
+            answer_channel.session.answer(answer, body)
+            answer_channel.wake()
         else:
-            self.kept[name] = self.loop.now() + KEPT_TIME, answer, body
-            while len(self.kept) > KEPT_ANSWERS:
-                self.kept.popitem(last=False)
-
-    def deliver_kept(self, line: Line, site: str, epoch: int) -> None:
-        for name, (until, answer, body) in list(self.kept.items()):
-            if until <= self.loop.now():
-                del self.kept[name]
-            elif name[:2] == (site, epoch):
-                del self.kept[name]
-                line.session.answer(answer, body)
-        line.wake()
-
-    def asked(self, line: Line, site: str, epoch: int, event: Asked) -> None:
-        """A revoke. What was opened to an earlier start of ours is not known here."""
+            self.undelivered[request_key] = self.loop.now() + UNDELIVERED_TTL, answer, body
+            while len(self.undelivered) > MAX_UNDELIVERED:
+                self.undelivered.popitem(last=False)
+
+    def deliver_undelivered(self, channel: Channel, site: str, epoch: int) -> None:
+        """Sends the answers that waited for a connection to this start of the peer."""
+        for request_key, (expires_at, answer, body) in list(self.undelivered.items()):
+            if expires_at <= self.loop.now():
+                del self.undelivered[request_key]
+            elif request_key[:2] == (site, epoch):
+                del self.undelivered[request_key]
+                channel.session.answer(answer, body)
+        channel.wake()
+
+    def handle_revoke(self, channel: Channel, site: str, epoch: int, event: RevokeReceived) -> None:
+        """Handles a revoke; one for an earlier start of this process is answered with "unknown"."""
         state = self.ledgers[site].revoke(epoch, event.id) if event.epoch == self.epoch else "unknown"
-        line.session.revoked(event.id, state)
+        channel.session.revoked(event.id, state)
 
-    # The way out.
+    # Shutdown.
 
     def leave(self) -> None:
-        """Nothing new either way; what is open is finished."""
+        """Stops opening and accepting requests; open ones are finished."""
         self.leaving = True
-        for line in list(self.lines):
-            if line.up:
-                line.session.goodbye()
-                line.wake()
+        for channel in list(self.channels):
+            if channel.up:
+                channel.session.goodbye()
+                channel.wake()
 
     def describe(self) -> str:
+        """Returns the peers and their addresses for the log."""
         return (
             ", ".join(
-                f"{site} at {address_text(a) if a else 'any address'}" for site, a in self.addresses.items()
+                f"{site} at {address_text(address) if address else 'any address'}"
+                for site, address in self.addresses.items()
             )
             or "nobody"
         )
--- a/rainspindle/program/gateway_config.py
+++ b/rainspindle/program/gateway_config.py
@@ -1,4 +1,4 @@
-"""The gateway's own file: TOML, decoded into typed values in one go, with every fault named at once."""
+"""The gateway's own configuration file: TOML, decoded into typed values, with all faults reported at once."""
 
 from __future__ import annotations
 
@@ -13,30 +13,38 @@
 from .config import Config, ConfigFault, load
 from .tables import read_secret, read_toml, shape
 
-MOST_KEYS, LEAST_KEY = 2, 16  # keys that are valid at once; bytes of one
+MAX_KEYS, MIN_KEY_BYTES = 2, 16  # keys that may be valid at once; least bytes per key
 
 
 class GatewayPart(msgspec.Struct, forbid_unknown_fields=True):
+    """The table [gateway]."""
+
     site: str
-    link: str  # where peers connect, numeric address and port
+    link: str  # where peers connect: numeric address and port
     platform: str  # the sidecar's configuration, in the platform's form
-    keys: list[str]  # files, the current key first
-    stall: float = 1.0  # seconds without an answer to a ping after which a link is given up
-    connections: int = 2  # held to each peer that has an address
-    one_group: bool = False  # whether all sites together drop repeats of fingerprinted exchanges
+    keys: list[str]  # key files, the current one first
+    stall: float = 1.0  # seconds without an answer to a ping after which a connection is closed
+    connections: int = 2  # connections held to each peer that has an address
+    one_group: bool = False  # whether all sites together deduplicate fingerprinted requests
 
 
 class PeerPart(msgspec.Struct, forbid_unknown_fields=True):
+    """One table [[peers]]."""
+
     site: str
-    address: str = ""  # "" for a peer that dials us
+    address: str = ""  # "" for a peer that connects to this gateway
 
 
 class IntakePart(msgspec.Struct, forbid_unknown_fields=True):
-    part: float = 0.6  # of all exchanges under way that may be foreign
-    floor: int = 16  # foreign exchanges that may be under way in any case
+    """The table [intake]."""
+
+    part: float = 0.6  # share of all requests in progress that may come from other sites
+    floor: int = 16  # requests of other sites that may always be in progress
 
 
 class File(msgspec.Struct, forbid_unknown_fields=True):
+    """The whole file."""
+
     gateway: GatewayPart
     peers: list[PeerPart] = []
     intake: IntakePart = msgspec.field(default_factory=IntakePart)
@@ -44,9 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
+    """The checked configuration of a gateway, with its keys and its sidecar's configuration."""
+
     site: str
     link: Address
-    peers: dict[str, Address | None]  # in the order in which they are leant on
+    peers: dict[str, Address | None]  # in order of preference
     keys: tuple[bytes, ...]
     stall: float
     connections: int
@@ -57,9 +67,9 @@
 
 
 def load_gateway(path: str, environment: Mapping[str, str]) -> GatewayConfig:
-    """Raises ConfigFault, one line a fault."""
+    """Returns the configuration. Raises ConfigFault with one line per fault."""
     raw = read_toml(path)
-    faults = list(unfit(raw))
+    faults = list(find_faults(raw))
     keys: list[bytes] = []
     sidecar = None
     if not faults:
@@ -67,7 +77,7 @@
         folder = Path(path).parent
         for name in file.gateway.keys:
             try:
-                keys.append(read_secret(folder / name, LEAST_KEY))
+                keys.append(read_secret(folder / name, MIN_KEY_BYTES))
             except ConfigFault as fault:
                 faults.append(f"gateway.keys: {fault}")
         try:
@@ -79,7 +89,7 @@
     return GatewayConfig(
         file.gateway.site,
         parse_address(file.gateway.link),
-        {p.site: parse_address(p.address) if p.address else None for p in file.peers},
+        {peer.site: parse_address(peer.address) if peer.address else None for peer in file.peers},
         tuple(keys),
         file.gateway.stall,
         file.gateway.connections,
@@ -90,33 +100,37 @@
     )
 
 
-def unfit(raw: dict[str, Any]) -> Iterator[str]:
-    """Every fault of form, then every fault between values that are well formed."""
+def find_faults(raw: dict[str, Any]) -> Iterator[str]:
+    """Yields the faults of types and keys; only without any, those of and between values."""
     faults = list(shape(raw, File, ""))
     yield from faults
     if faults:
         return
     gateway, peers = raw["gateway"], raw.get("peers", [])
-    dialed = [(f"peers[{n}].address", p["address"]) for n, p in enumerate(peers) if p.get("address")]
-    for at, text in (("gateway.link", gateway["link"]), *dialed):
+    dialed = [
+        (f"peers[{index}].address", peer["address"])
+        for index, peer in enumerate(peers)
+        if peer.get("address")
+    ]
+    for setting, text in (("gateway.link", gateway["link"]), *dialed):
         try:
             parse_address(text)
         except ValueError as fault:
-            yield f"{at}: {fault}"
-    sites = [gateway["site"], *(p["site"] for p in peers)]
-    places = ["gateway.site", *(f"peers[{n}].site" for n in range(len(peers)))]
-    for at, site in zip(places, sites, strict=True):
+            yield f"{setting}: {fault}"
+    sites = [gateway["site"], *(peer["site"] for peer in peers)]
+    site_settings = ["gateway.site", *(f"peers[{index}].site" for index in range(len(peers)))]
+    for setting, site in zip(site_settings, sites, strict=True):
         if not site or len(site) > 100:
-            yield f"{at}: is {site!r:.40}; expected a name of 1 to 100 characters"
+            yield f"{setting}: is {site!r:.40}; expected a name of 1 to 100 characters"
         elif sites.count(site) > 1:
-            yield f"{at}: {site!r} is there twice"
-    if not 1 <= len(gateway["keys"]) <= MOST_KEYS:
-        yield f"gateway.keys: {len(gateway['keys'])} files; expected 1, or 2 while keys change"
-    for at, value, low, high in (
+            yield f"{setting}: {site!r} is used more than once; expected a different name for each site"
+    if not 1 <= len(gateway["keys"]) <= MAX_KEYS:
+        yield f"gateway.keys: {len(gateway['keys'])} files; expected 1, or 2 during a key change"
+    for setting, value, low, high in (
         ("gateway.stall", gateway.get("stall", 1.0), 0.3, 60.0),
         ("gateway.connections", gateway.get("connections", 2), 1, 16),
         ("intake.part", raw.get("intake", {}).get("part", 0.6), 0.0, 0.95),
         ("intake.floor", raw.get("intake", {}).get("floor", 16), 0, 4096),
     ):
         if not low <= value <= high:
-            yield f"{at}: is {value}; expected {low} to {high}"
+            yield f"{setting}: is {value}; expected {low} to {high}"
--- a/rainspindle/protocol/link/frames.py
+++ b/rainspindle/protocol/link/frames.py
@@ -1,7 +1,7 @@
 """Frames of the link: a length of four bytes, then one typed value in MessagePack.
 
-Each frame has at most MOST_FRAME bytes; bodies go in Data frames. Ids are the opener's own counter: both
-sides may open exchanges on one connection, and an answer names whose id it means by its kind.
+Each frame has at most MAX_FRAME bytes; bodies are sent in Data frames. Ids are the opener's own counter: both
+sides may open requests on one connection, and the kind of a frame tells whose id it carries.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from ...errors import Trouble
 
 VERSIONS = (1,)
-MOST_FRAME = 64 * 1024
-MOST_BODY = 64 * 1024
-CHUNK = 16 * 1024  # bytes of a body in one Data frame
-HEAD = struct.Struct(">I")
+MAX_FRAME = 64 * 1024  # bytes after the length
+MAX_BODY = 64 * 1024  # bytes of the body of a request or an answer
+BODY_CHUNK = 16 * 1024  # bytes of a body in one Data frame
+LENGTH_PREFIX = struct.Struct(">I")
 Headers = tuple[tuple[bytes, bytes], ...]
 State = Literal["never", "started", "done", "unknown"]
 
 
 class LinkFault(Trouble):
-    """What a peer did that ends the connection; `name` is told to the peer and to the log."""
+    """A violation by the peer that closes the connection; `name` is sent to the peer and logged."""
 
-    remedy = "look the name up in docs/operators/gateway.md; the link is joined again by itself"
+    remedy = "look the name up in docs/operators/gateway.md; the link reconnects automatically"
 
     def __init__(self, name: str, detail: str = "") -> None:
         super().__init__(f"{name}: {detail}" if detail else name)
@@ -33,31 +33,31 @@
 
 
 class Frame(msgspec.Struct, frozen=True, tag=True, array_like=True, forbid_unknown_fields=True):
-    """Any frame."""
+    """The base of all frames."""
 
 
 class Hello(Frame, frozen=True):
-    """The first frame of each side: who it is, and a nonce for the other's proof."""
+    """The first frame of each side: its identity, and a nonce for the other side's proof."""
 
     versions: tuple[int, ...]
     site: str
-    epoch: int  # drawn at the process's start: a restarted gateway is another
+    epoch: int  # drawn when the process starts, so that it differs after a restart
     nonce: bytes
-    stall: float = 1.0  # seconds without an answer to a ping after which this side gives a connection up
+    stall: float = 1.0  # seconds without an answer to a ping after which this side closes the connection
 
 
 class Proof(Frame, frozen=True):
-    """The second: keyed digests over both Hellos, one for each key that is valid here."""
+    """The second frame of each side: keyed digests over both Hellos, one for each key that is valid there."""
 
     digests: tuple[bytes, ...]
 
 
 class Open(Frame, frozen=True):
-    """An exchange crosses. It starts when its body is whole, or at once if it has none."""
+    """Opens a request. It starts when its body is complete, or at once if it has none."""
 
     id: int
-    sent: float  # on the sender's steady clock; only differences are ever used
-    left: float  # seconds until its expiry, at that moment
+    sent: float  # on the sender's monotonic clock; only differences are used
+    left: float  # seconds from `sent` to its expiry
     type_name: str
     key: str | None
     hint: float | None
@@ -66,11 +66,11 @@
     method: bytes
     target: bytes
     headers: Headers
-    size: int  # of the body
+    size: int  # bytes of the body
 
 
 class Data(Frame, frozen=True):
-    """A further part of a body: of an exchange (`answer` false, sender's id) or of an answer to one."""
+    """A further part of a body: of a request (`answer` false, the sender's id) or of an answer to one."""
 
     id: int
     answer: bool
@@ -78,38 +78,38 @@
 
 
 class Answer(Frame, frozen=True):
-    """The final answer to an exchange that the other side opened."""
+    """The final answer to a request that the other side opened."""
 
     id: int
     kind: Literal["finished", "rejected", "terminated"]
     hold_off: float
     headers: Headers
     size: int
-    ran: bool  # whether it may have run: a rejection without is proof that it never started
+    ran: bool  # whether it may have run; a rejection with False proves that it never started
 
 
 class Revoke(Frame, frozen=True):
-    """Asks that a claim never starts. `epoch` is the receiver's, at the time the exchange was opened."""
+    """Asks that a request never starts. `epoch` is the receiver's when the request was opened."""
 
     id: int
     epoch: int
 
 
 class Revoked(Frame, frozen=True):
-    """What became of a revoke. `done` is followed by the Answer."""
+    """The state of a revoked request. `done` is followed by the Answer."""
 
     id: int
     state: State
 
 
 class Cancel(Frame, frozen=True):
-    """The client has left: the answer is not wanted. Proves nothing."""
+    """The client has left, so that the answer is not wanted. It proves nothing about the request."""
 
     id: int
 
 
 class Credit(Frame, frozen=True):
-    """The receiver of bodies takes so many further bytes: of one exchange, or of the link (id 0)."""
+    """Allows the peer to send so many further body bytes: of one request, or of the link (id 0)."""
 
     id: int
     answer: bool
@@ -117,20 +117,24 @@
 
 
 class Ping(Frame, frozen=True):
+    """Asks for a Pong, to detect stalls and to measure the peer's clock."""
+
     sent: float
 
 
 class Pong(Frame, frozen=True):
-    sent: float  # as the Ping had it
+    """Answers a Ping."""
+
+    sent: float  # copied from the Ping
     here: float  # on the answering side's clock
 
 
 class Goodbye(Frame, frozen=True):
-    """Nothing new is taken on this connection; what is open is finished."""
+    """No new request is accepted on this connection; open ones are finished."""
 
 
 class Fault(Frame, frozen=True):
-    """Why the connection ends."""
+    """Names the fault for which the connection is closed."""
 
     name: str
 
@@ -144,32 +148,34 @@
 
 
 def encode(frame: Frame) -> bytes:
+    """Returns the frame with its length in front."""
     body = ENCODER.encode(frame)
-    assert len(body) <= MOST_FRAME, "a frame over the limit of our own"
-    return HEAD.pack(len(body)) + body
+    assert len(body) <= MAX_FRAME, f"frame of {len(body)} bytes to be sent; at most {MAX_FRAME} are allowed"
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 class Reader:
-    """Bytes in, in whatever cuts, frames out. Raises LinkFault."""
+    """Decodes frames from a byte stream that may be split anywhere."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def receive(self, data: bytes) -> list[Any]:
+        """Returns the frames that `data` completes. Raises LinkFault."""
         self.buffer += data
-        found: list[Any] = []
-        at = 0
-        while len(self.buffer) - at >= HEAD.size:
-            (size,) = HEAD.unpack_from(self.buffer, at)
-            if not 0 < size <= MOST_FRAME:
-                raise LinkFault("frame_length", str(size))
-            if len(self.buffer) - at - HEAD.size < size:
+        frames: list[Any] = []
+        position = 0
+        while len(self.buffer) - position >= LENGTH_PREFIX.size:
+            (size,) = LENGTH_PREFIX.unpack_from(self.buffer, position)
+            if not 0 < size <= MAX_FRAME:
+                raise LinkFault("frame_length", f"got {size} bytes, expected 1 to {MAX_FRAME}")
+            if len(self.buffer) - position - LENGTH_PREFIX.size < size:
                 break
-            at += HEAD.size
+            position += LENGTH_PREFIX.size
             try:
-                found.append(DECODER.decode(memoryview(self.buffer)[at : at + size]))
-            except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-                raise LinkFault("frame_unreadable", str(fault)[:200]) from None
-            at += size
-        del self.buffer[:at]
-        return found
+                frames.append(DECODER.decode(memoryview(self.buffer)[position : position + size]))
+            except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+                raise LinkFault("frame_unreadable", str(error)[:200]) from None
+            position += size
+        del self.buffer[:position]
+        return frames
--- a/rainspindle/routing/sites.py
+++ b/rainspindle/routing/sites.py
@@ -1,4 +1,4 @@
-"""Between a front and the core: an exchange goes to its own site's core, or crosses to another site, once."""
+"""Routes each request to the core of its own site or over the link to another site, at most once."""
 
 from __future__ import annotations
 
@@ -14,82 +14,102 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Free:
-    """It has no answer there: it never ran and never will, or (not `never`) that cannot be known."""
+class NotAnswered:
+    """The other site gave no answer: the request provably never ran (`never_ran`), or that is not known."""
 
-    never: bool
-    hold_off: float = 0.0  # advised by the other site, where it turned the exchange away
+    never_ran: bool
+    hold_off: float = 0.0  # seconds, advised by the other site when it rejected the request
 
 
-AWAY = 0.5  # seconds to come back after, where an exchange found no site at all
-Crossed = Final | Free
-NOT_THERE = Free(never=True)
+NO_SITE_HOLD_OFF = 0.5  # seconds; hold-off advised to a client whose request no site took
+PeerResult = Final | NotAnswered
+UNREACHABLE = NotAnswered(never_ran=True)
 
 
-class Crossing(Protocol):
-    def cross(self, given: Given, gone: Callable[[], bool], may_rerun: bool) -> Coroutine[Crossed]: ...
+class PeerLink(Protocol):
+    """The link to one peer, as the router uses it."""
+
+    def cross(self, given: Given, gone: Callable[[], bool], may_rerun: bool) -> Coroutine[PeerResult]:
+        """Runs a request at the peer; `may_rerun` says that running it again elsewhere is safe."""
+        ...
 
 
 class SiteRouter:
-    """Takes what fronts bring."""
+    """Runs the requests that a front accepts at the selected site."""
 
     def __init__(
-        self, loop: Loop, core: Core, sites: Sites, intake: Intake, types: list[TrafficClass], one_group: bool
+        self,
+        loop: Loop,
+        core: Core,
+        sites: Sites,
+        intake: Intake,
+        traffic_classes: list[TrafficClass],
+        one_group: bool,
     ) -> None:
-        """`one_group`: whether all sites together drop repeats of fingerprinted exchanges."""
-        self.loop, self.core, self.sites, self.intake, self.types = loop, core, sites, intake, types
+        """Takes `one_group`: whether all sites together deduplicate fingerprinted requests."""
+        self.loop, self.core, self.sites, self.intake, self.traffic_classes = (
+            loop,
+            core,
+            sites,
+            intake,
+            traffic_classes,
+        )
         self.one_group = one_group
-        self.peers: dict[str, Crossing] = {}
+        self.peers: dict[str, PeerLink] = {}
         self.crossed = self.crossed_free = 0
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
-        kind, now = self.types[given.type_index], self.loop.now()
-        retriable = kind.idempotency is Idempotency.IDEMPOTENT
-        route = self.sites.route(now, given.key, retriable)
-        at, tried = route.site, list[str]()
+        """Runs a request to its final answer, at a further site if the first did not run it."""
+        traffic_class, accepted_at = self.traffic_classes[given.type_index], self.loop.now()
+        retriable = traffic_class.idempotency is Idempotency.IDEMPOTENT
+        route = self.sites.route(accepted_at, given.key, retriable)
+        site, tried = route.site, list[str]()
         may_rerun = retriable
         final: Final = Rejected(0.0, False)
         while True:
-            tried.append(at)
-            # Each site is judged by the time that it took itself: what was slow elsewhere is not its fault.
-            promised_at = self.loop.now() + kind.latency_objective
-            if at == self.sites.own.name:
-                final = yield from self.here(given, gone)
-                good: bool | None = isinstance(final, Finished) and self.loop.now() <= promised_at
-                free = isinstance(final, Rejected) and (retriable or not final.ran)
+            tried.append(site)
+            # Each site is judged by its own time alone, not by the time that an earlier site took.
+            objective_at = self.loop.now() + traffic_class.latency_objective
+            if site == self.sites.own.name:
+                final = yield from self.run_at_own_site(given, gone)
+                succeeded: bool | None = isinstance(final, Finished) and self.loop.now() <= objective_at
+                not_run = isinstance(final, Rejected) and (retriable or not final.ran)
             else:
                 self.crossed += 1
-                if self.one_group and kind.idempotency is Idempotency.DEDUPLICATED:
-                    may_rerun = self.loop.now() - now < kind.deduplication_window
-                crossed = yield from self.peers[at].cross(given, gone, may_rerun)
-                good = isinstance(crossed, Finished) and self.loop.now() <= promised_at
-                free = False
-                if isinstance(crossed, Free):
+                if self.one_group and traffic_class.idempotency is Idempotency.DEDUPLICATED:
+                    may_rerun = self.loop.now() - accepted_at < traffic_class.deduplication_window
+                peer_result = yield from self.peers[site].cross(given, gone, may_rerun)
+                succeeded = isinstance(peer_result, Finished) and self.loop.now() <= objective_at
+                not_run = False
+                if isinstance(peer_result, NotAnswered):
                     self.crossed_free += 1
-                    free = crossed.never or may_rerun
-                    good = None  # the link was lost, of which it is told otherwise, or the site is full
-                    final = Rejected(crossed.hold_off or AWAY, False) if free else Terminated()
+                    not_run = peer_result.never_ran or may_rerun
+                    succeeded = None  # a lost link is reported by `linked`; a full site is healthy
+                    final = (
+                        Rejected(peer_result.hold_off or NO_SITE_HOLD_OFF, False) if not_run else Terminated()
+                    )
                 else:
-                    final = crossed
+                    final = peer_result
             if isinstance(final, Left):
-                good = None
-            self.sites.ended(self.loop.now(), route, at, good, retriable)
-            if not free or isinstance(final, Left) or self.loop.now() >= given.expires_at or gone():
+                succeeded = None
+            self.sites.record_result(self.loop.now(), route, site, succeeded, retriable)
+            if not not_run or isinstance(final, Left) or self.loop.now() >= given.expires_at or gone():
                 return final
-            further = self.sites.spill(self.loop.now(), tried)
-            if further is None:
+            next_site = self.sites.spill(self.loop.now(), tried)
+            if next_site is None:
                 return final
-            at = further
+            site = next_site
 
-    def here(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
-        begun, promised = self.loop.now(), self.types[given.type_index].latency_objective
-        self.intake.own_began(begun)
-        good = False
+    def run_at_own_site(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
+        """Runs a request at the own site and reports its outcome to the admission control."""
+        started_at, objective = self.loop.now(), self.traffic_classes[given.type_index].latency_objective
+        self.intake.own_began(started_at)
+        succeeded = False
         try:
             final = yield from self.core.run(given, gone)
-            good = isinstance(final, Left) or (
-                isinstance(final, Finished) and self.loop.now() - begun <= promised
+            succeeded = isinstance(final, Left) or (
+                isinstance(final, Finished) and self.loop.now() - started_at <= objective
             )
             return final
         finally:
-            self.intake.own_ended(self.loop.now(), good)
+            self.intake.own_ended(self.loop.now(), succeeded)
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -1,4 +1,4 @@
-"""A binding exchange crosses the link, and the link is cut at every single byte, in every manner."""
+"""Requests over the link in virtual time, with the connection cut at every byte in each manner."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from rainspindle.protocol.application import Ask
 from rainspindle.protocol.endpoint import Answered
 from rainspindle.routing.core import Final, Finished, Given, Left, Rejected, Terminated
-from rainspindle.routing.sites import Crossed, Free
+from rainspindle.routing.sites import NotAnswered, PeerResult
 from rainspindle.transport.connection import Broken
 from rainspindle.transport.loop import Coroutine
 
 KEYS = (b"0123456789abcdef",)
-WORK, EXPIRY = 0.2, 1.4
+RUN_TIME, TIME_TO_EXPIRY = 0.2, 1.4
 BODY = b"answer sheet " * 4
 
 
 class Core:
-    """Runs what comes, and counts."""
+    """A stand-in for the core that records when each request ran."""
 
     last_answer = math.inf
 
@@ -40,7 +40,7 @@
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Final]:
         loop = self.pair.loop
         assert given.body.body == BODY and given.expires_at <= self.pair.expires
-        until = loop.now() + (WORK if self.runs else 0.0)
+        until = loop.now() + (RUN_TIME if self.runs else 0.0)
         self.pair.runs += [loop.now()] * self.runs
         while loop.now() < until and self.alive:
             if gone():
@@ -49,8 +49,8 @@
         return self.final()
 
 
-class Cut(Pipe):
-    """Passes so many bytes on; what follows is cut off in the stated manner."""
+class CutPipe(Pipe):
+    """Delivers `passes` bytes, then fails in the given manner: reset, restart, late or lost."""
 
     def __init__(self, pair: Pair, passes: float, manner: str) -> None:
         super().__init__(pair.loop, LinkModel(Spec(delay=0.002, jitter=0.0), [], lambda: 0.5))
@@ -83,36 +83,36 @@
     pipe.wake()
 
 
-class Joined(Link):
+class JoinedLink(Link):
     pair: Pair
     near = True
 
     def connect(self, site: str, until: float) -> Coroutine[Any]:
         yield self.loop.now() + 0.001
-        if not self.pair.way:
-            raise Broken("no way")
+        if not self.pair.link_usable:
+            raise Broken("the link is cut")
         return self.pair.join()
 
 
 class Pair:
-    """Two links in virtual time. The first connection is cut after so many bytes in one direction."""
+    """Two links in virtual time whose first connection is cut after a number of bytes in either direction."""
 
     def __init__(
         self,
         there: float = math.inf,
         back: float = math.inf,
         manner: str = "reset",
-        again: float = 0.05,
+        restore_after: float = 0.05,
         late: float = 2.0,
         rerun: bool = False,
     ) -> None:
         self.clock, self.rerun = Clock(), rerun
         self.faults: list[BaseException] = []
         self.loop = VirtualLoop(self.clock, self.faults.append)
-        self.limits, self.manner, self.again, self.late = (there, back), manner, again, late
+        self.limits, self.manner, self.restore_after, self.late = (there, back), manner, restore_after, late
         self.runs: list[float] = []
         self.expires = math.inf
-        self.way, self.joined, self.bytes = True, 0, [0, 0]
+        self.link_usable, self.joined, self.bytes = True, 0, [0, 0]
         self.epoch = 10
         self.casa = self.link("casa", 5)
         self.far_core = Core(self)
@@ -120,9 +120,9 @@
         self.casa.set_peers({"rabat": ("0.0.0.0", 1)})
         self.rabat.set_peers({"casa": None})
 
-    def link(self, site: str, epoch: int) -> Joined:
+    def link(self, site: str, epoch: int) -> JoinedLink:
         core: Any = self.far_core if site == "rabat" else Core(self)
-        made = Joined(
+        link = JoinedLink(
             self.loop,
             site,
             epoch,
@@ -135,13 +135,13 @@
             1,
             lambda peer, up: None,
         )
-        made.pair = self
-        return made
+        link.pair = self
+        return link
 
     def join(self) -> Pipe:
         self.joined += 1
         first = self.joined == 1
-        near, far = (Cut(self, limit if first else math.inf, self.manner) for limit in self.limits)
+        near, far = (CutPipe(self, limit if first else math.inf, self.manner) for limit in self.limits)
         near.other, far.other = far, near
         self.ends = near, far
         accept: Any = self.rabat.accepted
@@ -149,15 +149,15 @@
         return near
 
     def cut(self) -> None:
-        self.way = False
+        self.link_usable = False
 
-        def mended() -> None:
-            self.way = True
+        def restore_link() -> None:
+            self.link_usable = True
 
-        self.clock.at(self.clock.now + self.again, mended)
+        self.clock.at(self.clock.now + self.restore_after, restore_link)
 
     def restart(self) -> None:
-        """The far gateway is killed with all it held, and comes back with an empty ledger."""
+        """Kills the far gateway with its requests and starts it again with an empty ledger."""
         self.far_core.alive = False
         self.far_core.final = Terminated
         self.rabat.peers.clear()
@@ -166,14 +166,14 @@
         self.rabat = self.link("rabat", self.epoch)
         self.rabat.set_peers({"casa": None})
 
-    def submit(self, may_rerun: bool = False, settle: float = 6.0) -> Crossed:
-        """One exchange from casa to rabat; time goes on long after its answer."""
+    def submit(self, may_rerun: bool = False, settle: float = 6.0) -> PeerResult:
+        """Runs one request from casa to rabat until `settle` seconds after its expiry and checks it."""
         self.clock.env.run(until=self.clock.now + 0.5)
-        self.expires = self.clock.now + EXPIRY
+        self.expires = self.clock.now + TIME_TO_EXPIRY
         self.runs.clear()
-        finals: list[tuple[float, Crossed]] = []
+        finals: list[tuple[float, PeerResult]] = []
 
-        def one() -> Coroutine[None]:
+        def run_request() -> Coroutine[None]:
             given = Given(
                 0,
                 "k",
@@ -185,145 +185,145 @@
             final = yield from self.casa.peers["rabat"].cross(given, lambda: False, may_rerun)
             finals.append((self.clock.now, final))
 
-        self.loop.spawn(one())
+        self.loop.spawn(run_request())
         self.clock.env.run(until=self.expires + settle)
         assert not self.faults, self.faults
-        assert len(finals) == 1, "one final answer"
-        at, final = finals[0]
-        assert at <= self.expires + 1e-9
+        assert len(finals) == 1, f"{len(finals)} final answers, expected 1"
+        answered_at, final = finals[0]
+        assert answered_at <= self.expires + 1e-9
         if not may_rerun:
-            assert len(self.runs) <= 1, "it ran twice"
-        assert all(ran <= self.expires for ran in self.runs), "it began after its expiry"
-        assert all(ran <= at + 1e-9 for ran in self.runs), "it began after its final answer"
-        if isinstance(final, Rejected) or (isinstance(final, Free) and final.never):
-            assert not self.runs, "said never to have run, and ran"
+            assert len(self.runs) <= 1, f"ran {len(self.runs)} times, expected at most once"
+        assert all(ran <= self.expires for ran in self.runs), "ran after its expiry"
+        assert all(ran <= answered_at + 1e-9 for ran in self.runs), "ran after its final answer"
+        if isinstance(final, Rejected) or (isinstance(final, NotAnswered) and final.never_ran):
+            assert not self.runs, "reported as never run, but ran"
         if isinstance(final, Finished):
             assert len(self.runs) >= 1
-        assert not self.casa.peers["rabat"].under
+        assert not self.casa.peers["rabat"].requests
         return final
 
 
-def crossed() -> tuple[int, int]:
-    """Bytes that go either way in a day without a cut: what there is to be cut at."""
+def bytes_without_cut() -> tuple[int, int]:
+    """Returns the bytes sent in each direction without a cut."""
     pair = Pair()
     assert isinstance(pair.submit(settle=0.0), Finished) and len(pair.runs) == 1
     return pair.ends[0].sent, pair.ends[1].sent
 
 
-def test_it_crosses_and_the_answer_comes_back() -> None:
+def test_request_runs_at_the_peer_and_its_answer_returns() -> None:
     pair = Pair()
     final = pair.submit()
     assert isinstance(final, Finished) and final.payload.body == b"done" and len(pair.runs) == 1
-    assert pair.rabat.taken_in == 1 and not pair.rabat.foreign
+    assert pair.rabat.taken_in == 1 and not pair.rabat.foreign_requests
 
 
 @pytest.mark.parametrize("manner", ["reset", "lost", "late", "restart"])
 @pytest.mark.parametrize("way", ["there", "back"])
-def test_cut_at_every_byte_it_runs_at_most_once_and_has_one_answer_in_time(manner: str, way: str) -> None:
-    there, back = crossed()
+def test_request_cut_at_any_byte_runs_at_most_once_and_has_one_answer_in_time(manner: str, way: str) -> None:
+    there, back = bytes_without_cut()
     total, kinds = there if way == "there" else back, set()
-    for at in range(total + 1):
-        # After the cut the link is mended soon, or not before the expiry.
-        cut_there, cut_back = (at, math.inf) if way == "there" else (math.inf, at)
-        pair = Pair(cut_there, cut_back, manner, again=0.05 if at % 3 else 3.0)
+    for cut_at in range(total + 1):
+        # After the cut the link is restored soon, or only after the expiry.
+        cut_there, cut_back = (cut_at, math.inf) if way == "there" else (math.inf, cut_at)
+        pair = Pair(cut_there, cut_back, manner, restore_after=0.05 if cut_at % 3 else 3.0)
         final = pair.submit()
-        kinds.add("free" if isinstance(final, Free) else type(final).__name__.lower())
+        kinds.add("free" if isinstance(final, NotAnswered) else type(final).__name__.lower())
     assert "finished" in kinds and kinds <= {"finished", "free", "rejected", "terminated"}
     if manner == "restart" and way == "there":
-        assert "terminated" in kinds  # what a restarted gateway has forgotten proves nothing
+        assert "terminated" in kinds  # a restarted gateway cannot prove that a request never ran
 
 
-def test_what_may_rerun_is_free_as_soon_as_its_connection_is_gone() -> None:
-    there, _ = crossed()
+def test_rerunnable_request_is_released_when_its_connection_is_lost() -> None:
+    there, _ = bytes_without_cut()
     for at in range(0, there + 1, 5):
-        final = Pair(there=at, manner="reset", again=3.0).submit(may_rerun=True)
-        assert isinstance(final, Free | Finished)
+        final = Pair(there=at, manner="reset", restore_after=3.0).submit(may_rerun=True)
+        assert isinstance(final, NotAnswered | Finished)
 
 
-def test_a_site_with_no_room_or_no_such_type_proves_that_nothing_ran() -> None:
-    full = Pair()
-    full.rabat.intake.part, full.rabat.intake.floor = 0.0, 0
-    final = full.submit()
-    assert final == Free(True, 0.5) and not full.runs and full.rabat.refused == 1
-    strange = Pair()
-    strange.rabat.types.clear()
-    assert strange.submit() == Free(True, 0.0)
+def test_full_site_or_unknown_type_proves_that_nothing_ran() -> None:
+    full_site = Pair()
+    full_site.rabat.intake.part, full_site.rabat.intake.floor = 0.0, 0
+    final = full_site.submit()
+    assert final == NotAnswered(True, 0.5) and not full_site.runs and full_site.rabat.refused == 1
+    unknown_type = Pair()
+    unknown_type.rabat.type_indexes.clear()
+    assert unknown_type.submit() == NotAnswered(True, 0.0)
 
 
-def test_what_its_sender_has_given_up_with_the_connection_is_cancelled_there() -> None:
+def test_request_abandoned_with_its_connection_is_cancelled_at_the_peer() -> None:
     for rerun in (True, False):
         pair = Pair(rerun=rerun)
         pair.clock.env.run(until=0.0)
 
         def cut(pair: Pair = pair) -> None:
-            assert pair.rabat.foreign  # it runs there
+            assert pair.rabat.foreign_requests  # the request runs at the peer
             pair.cut()
             for end in pair.ends:
                 end_now(end)
 
-        pair.again = 9.0
+        pair.restore_after = 9.0
         pair.clock.at(0.55, cut)
-        pair.clock.at(0.60, lambda pair=pair, rerun=rerun: check(pair, rerun))  # type: ignore[misc]
+        pair.clock.at(0.60, lambda pair=pair, rerun=rerun: check_cancelled(pair, rerun))  # type: ignore[misc]
         pair.submit(may_rerun=rerun)
 
 
-def check(pair: Pair, cancelled: bool) -> None:
-    assert bool(pair.rabat.foreign) != cancelled
+def check_cancelled(pair: Pair, cancelled: bool) -> None:
+    assert bool(pair.rabat.foreign_requests) != cancelled
 
 
-def test_far_rejections_and_terminations_come_back_as_such() -> None:
-    for made, told in (
+def test_rejections_and_terminations_of_the_peer_are_returned() -> None:
+    for far_result, expected in (
         (Terminated(), Terminated()),
-        (Rejected(0.7, False), Free(True, 0.7)),
+        (Rejected(0.7, False), NotAnswered(True, 0.7)),
         (Rejected(0.7, True), Rejected(0.7, True)),
     ):
         pair = Pair()
-        pair.far_core.final, pair.far_core.runs = lambda made=made: made, False  # type: ignore[misc]
-        assert pair.submit() == told
+        pair.far_core.final, pair.far_core.runs = lambda far_result=far_result: far_result, False  # type: ignore[misc]
+        assert pair.submit() == expected
 
 
-def test_with_no_connection_it_never_ran_and_that_is_said_at_once() -> None:
+def test_without_a_connection_the_request_is_reported_as_never_run() -> None:
     pair = Pair()
-    pair.way = False
-    assert pair.submit() == Free(True)
+    pair.link_usable = False
+    assert pair.submit() == NotAnswered(True)
 
 
-def test_a_client_that_leaves_ends_it_there_too() -> None:
+def test_client_that_leaves_cancels_the_request_at_the_peer() -> None:
     pair = Pair()
     pair.clock.env.run(until=0.0)
     pair.expires = 10.0
-    finals: list[Crossed] = []
+    finals: list[PeerResult] = []
     gone = [False]
 
-    def one() -> Coroutine[None]:
+    def run_request() -> Coroutine[None]:
         ask = Ask(b"x1", b"POST", b"/", BODY, (), 0, "k", None, None, False)
         given = Given(0, "k", None, False, 2.0, ask)
         finals.append((yield from pair.casa.peers["rabat"].cross(given, lambda: gone[0], False)))
 
-    task = pair.loop.spawn(one())
+    task = pair.loop.spawn(run_request())
     pair.clock.env.run(until=0.05)
-    assert pair.rabat.foreign
+    assert pair.rabat.foreign_requests
     gone[0] = True
     task.wake()
     pair.clock.env.run(until=1.0)
-    assert finals == [Left()] and not pair.rabat.foreign and pair.rabat.intake.foreign == 0
+    assert finals == [Left()] and not pair.rabat.foreign_requests and pair.rabat.intake.foreign_active == 0
 
 
-def test_goodbye_takes_nothing_new_and_finishes_what_is_open() -> None:
+def test_goodbye_rejects_new_requests_and_finishes_open_ones() -> None:
     pair = Pair()
     pair.clock.env.run(until=0.0)
-    pair.clock.at(pair.clock.now + 0.55, pair.rabat.leave)  # while it runs
+    pair.clock.at(pair.clock.now + 0.55, pair.rabat.leave)  # while the request runs
     assert isinstance(pair.submit(), Finished)
-    assert pair.submit() == Free(True) and not pair.runs
+    assert pair.submit() == NotAnswered(True) and not pair.runs
 
 
-def test_peers_that_are_not_configured_or_were_removed_get_no_line() -> None:
+def test_unknown_and_removed_peers_get_no_connection() -> None:
     pair = Pair()
     pair.rabat.set_peers({})
-    assert pair.submit() == Free(True) and not pair.rabat.lines
+    assert pair.submit() == NotAnswered(True) and not pair.rabat.channels
     pair = Pair()
     pair.clock.env.run(until=0.0)
-    assert pair.casa.peers["rabat"].lines
+    assert pair.casa.peers["rabat"].channels
     pair.casa.set_peers({})
     pair.clock.env.run(until=1.0)
-    assert not pair.casa.lines and not pair.rabat.peers["casa"].lines
+    assert not pair.casa.channels and not pair.rabat.peers["casa"].channels
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: its file, its start, SIGHUP and SIGTERM, strangers, and days with two of them."""
+"""The gateway as a program: configuration, signals, unauthenticated peers, and two-site experiments."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 KEY = b"0123456789abcdef"
 
 
-def write(folder: Path, text: str = "", mode: int = 0o600, **platform: Any) -> Path:
+def write_config(folder: Path, text: str = "", mode: int = 0o600, **platform: Any) -> Path:
     key = folder / "link.key"
     key.write_bytes(KEY + b"\n")
     key.chmod(mode)
     (folder / "platform.json").write_text(json.dumps(config(**platform)))
     path = folder / "gateway.toml"
-    path.write_text(text or GOOD)
+    path.write_text(text or VALID_FILE)
     return path
 
 
-GOOD = """
+VALID_FILE = """
 [gateway]
 site = "casa"
 link = "127.0.0.1:0"
@@ -54,10 +54,10 @@
     return [line.removeprefix(f"{path}: ") for line in str(raised.value).splitlines()]
 
 
-def test_every_fault_of_the_file_is_named_at_once(tmp_path: Path) -> None:
-    assert load_gateway(str(write(tmp_path)), {}).peers == {"rabat": None}
+def test_every_fault_of_the_file_is_reported_at_once(tmp_path: Path) -> None:
+    assert load_gateway(str(write_config(tmp_path)), {}).peers == {"rabat": None}
     assert faults(
-        write(
+        write_config(
             tmp_path,
             """
         [gateway]
@@ -82,7 +82,7 @@
     assert [
         line.split(": ")[0]
         for line in faults(
-            write(
+            write_config(
                 tmp_path,
                 """
         [gateway]
@@ -108,11 +108,14 @@
         "gateway.stall",
         "intake.part",
     ]
-    assert "gateway.platform: " in faults(write(tmp_path, GOOD.replace("platform.json", "none.json")))[0]
-    assert "600 is needed" in faults(write(tmp_path, mode=0o644))[0]
-    write(tmp_path).with_name("link.key").write_bytes(b"short")
+    assert (
+        "gateway.platform: "
+        in faults(write_config(tmp_path, VALID_FILE.replace("platform.json", "none.json")))[0]
+    )
+    assert "600 is needed" in faults(write_config(tmp_path, mode=0o644))[0]
+    write_config(tmp_path).with_name("link.key").write_bytes(b"short")
     assert "16 are needed" in faults(tmp_path / "gateway.toml")[0]
-    assert "not TOML" in faults(write(tmp_path, "[gateway"))[0]
+    assert "not TOML" in faults(write_config(tmp_path, "[gateway"))[0]
     refused = subprocess.run(
         [sys.executable, "-m", "rainspindle", "gateway", "--config", "none.toml"],
         cwd=ROOT,
@@ -123,14 +126,14 @@
     assert refused.returncode == 2 and "Traceback" not in refused.stderr
 
 
-class Started(Service):
-    """A gateway under way, started as a service is."""
+class RunningGateway(Service):
+    """A running gateway, started as a service starts it."""
 
     def __init__(self, folder: Path) -> None:
         Open.__init__(self)
         self.endpoint, self.discovery = Stand(), Stand()
         known = {"generation": 41, "reset": True, "instances": [entry("e0", self.endpoint.port)]}
-        self.file = write(folder, discovery=f"127.0.0.1:{self.discovery.port}", known=known)
+        self.file = write_config(folder, discovery=f"127.0.0.1:{self.discovery.port}", known=known)
         self.log = folder / "log"
         self.process = self.start("gateway", "--config", str(self.file))
         self.port = int(self.logged_part(r"event=serving listen=127.0.0.1:(\d+)"))
@@ -141,15 +144,15 @@
 
 
 @pytest.fixture
-def gateway(tmp_path: Path) -> Started:
-    return Started(tmp_path)
+def gateway(tmp_path: Path) -> RunningGateway:
+    return RunningGateway(tmp_path)
 
 
-def test_it_serves_its_own_site_reads_its_file_again_and_leaves(gateway: Started) -> None:
+def test_gateway_serves_its_site_reloads_its_file_and_stops(gateway: RunningGateway) -> None:
     client = gateway.asked(ask("x1"))
     gateway.got().answer(200, b"done")
     assert gateway.answer(client)[:2] == (200, b"done")
-    gateway.file.write_text(GOOD.replace('site = "rabat"', 'site = "fes"').replace("0.5", "0.3"))
+    gateway.file.write_text(VALID_FILE.replace('site = "rabat"', 'site = "fes"').replace("0.5", "0.3"))
     gateway.process.send_signal(signal.SIGHUP)
     assert gateway.logged_part(r'peers="fes at any address" (foreign=0.3)')
     gateway.file.write_text("[gateway")
@@ -159,35 +162,35 @@
     assert gateway.process.wait(PATIENCE) == 0 and "faults=0" in gateway.logged()
 
 
-def test_strangers_are_few_are_told_why_and_are_ended(gateway: Started) -> None:
-    def stranger() -> socket.socket:
+def test_unauthenticated_connections_are_bounded_and_closed_with_a_fault(gateway: RunningGateway) -> None:
+    def connect() -> socket.socket:
         return socket.create_connection(("127.0.0.1", gateway.link_port), PATIENCE)
 
-    rude = stranger()
-    rude.sendall(b"GET / HTTP/1.1\r\n\r\n")
-    told = b""
-    while part := rude.recv(4096):
-        told += part
-    assert b"frame_length" in told
-    many = [stranger() for _ in range(60)]
+    invalid = connect()
+    invalid.sendall(b"GET / HTTP/1.1\r\n\r\n")
+    received = b""
+    while part := invalid.recv(4096):
+        received += part
+    assert b"frame_length" in received
+    connections = [connect() for _ in range(60)]
     ended = 0
-    for sock in many:  # at most 32 of them stay, and these for two seconds
-        sock.settimeout(PATIENCE)
+    for connection in connections:  # at most 32 stay connected, for two seconds each
+        connection.settimeout(PATIENCE)
         data = b""
-        while part := sock.recv(4096):
+        while part := connection.recv(4096):
             data += part
         ended += 1
     assert ended == 60
-    wrong = stranger()
-    wrong.sendall(f.encode(f.Hello((1,), "rabat", 3, b"n" * 16)) + f.encode(f.Proof((b"x" * 32,))))
+    unproved = connect()
+    unproved.sendall(f.encode(f.Hello((1,), "rabat", 3, b"n" * 16)) + f.encode(f.Proof((b"x" * 32,))))
     data = b""
-    while part := wrong.recv(4096):
+    while part := unproved.recv(4096):
         data += part
     assert f.Reader().receive(data)[-1] == f.Fault("proof")
     assert "why=proof" in gateway.logged() and gateway.process.poll() is None
 
 
-def day(**changes: Any) -> Any:
+def two_site_experiment(**changes: Any) -> Any:
     return experiment(
         **{
             "sidecars": {"count": 2, "skew": 0.0},
@@ -199,7 +202,7 @@
     )
 
 
-def test_one_site_leans_on_the_other_in_virtual_time_and_runs_nothing_twice() -> None:
+def test_failing_site_uses_its_peer_in_virtual_time_without_double_runs() -> None:
     silent = {"kind": "silent", "at": 3.0, "length": 8.0, "zone": "b"}
     flapping = [
         {
@@ -211,27 +214,27 @@
         }
         for n in range(3)
     ]
-    for faults_, better in (([silent], 0.15), ([silent, *flapping], 0.02)):
-        x = day(faults=faults_)
-        leaning, alone = (runs.play(x, "virtual", v, 1) for v in ("module", "alone"))
-        for one in (leaning, alone):
-            assert one.breaks == [] and one.faults == []
-        assert leaning.figures["goodput"] > alone.figures["goodput"] + better
+    for injected, better in (([silent], 0.15), ([silent, *flapping], 0.02)):
+        spec = two_site_experiment(faults=injected)
+        with_peer, alone = (runs.play(spec, "virtual", variant, 1) for variant in ("module", "alone"))
+        for run in (with_peer, alone):
+            assert run.breaks == [] and run.faults == []
+        assert with_peer.figures["goodput"] > alone.figures["goodput"] + better
 
 
-def test_a_killed_gateway_comes_back_and_its_peer_is_unharmed() -> None:
-    x = day(
+def test_killed_gateway_restarts_and_its_peer_keeps_working() -> None:
+    spec = two_site_experiment(
         faults=[
             {"kind": "sidecar_crash", "at": 4.0, "length": 3.0, "names": ["s1"]},
             {"kind": "errors", "at": 2.0, "length": 9.0, "zone": "a", "size": 0.8},
         ]
     )
-    one = runs.play(x, "virtual", "module", 1)
-    assert one.breaks == [] and one.faults == [] and one.figures["goodput"] > 0.5
+    run = runs.play(spec, "virtual", "module", 1)
+    assert run.breaks == [] and run.faults == [] and run.figures["goodput"] > 0.5
 
 
-def test_two_gateways_on_sockets_with_a_silent_site_a_cut_link_and_a_frozen_gateway() -> None:
-    x = day(
+def test_gateways_on_sockets_survive_silent_site_cut_link_and_frozen_gateway() -> None:
+    spec = two_site_experiment(
         length=6.0,
         settle=2.6,
         clients={"rate": 50.0, "keys": 200},
@@ -243,5 +246,5 @@
             {"kind": "sidecar_freeze", "at": 4.5, "length": 1.0, "names": ["s0"]},
         ],
     )
-    one = runs.play(x, "sockets", "module", 1)
-    assert one.faults == [] and one.breaks == [] and one.figures["goodput"] > 0.3
+    run = runs.play(spec, "sockets", "module", 1)
+    assert run.faults == [] and run.breaks == [] and run.figures["goodput"] > 0.3
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The decision for sites and the intake, by themselves: plain cases and random histories."""
+"""Site selection, admission of foreign requests and the site router: single cases and random histories."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from rainspindle.lab.virtual import Clock
 from rainspindle.lab.virtual_sites import VirtualLoop
 from rainspindle.routing.core import Finished, Given, Rejected, Terminated
-from rainspindle.routing.sites import Free, SiteRouter
+from rainspindle.routing.sites import NotAnswered, SiteRouter
 from rainspindle.transport.loop import Coroutine
 
 
-class Both:
-    """Two sites as one gateway sees them; `broken` are those at which everything fails."""
+class SelectionFixture:
+    """The site selection of the gateway of site casa, with a clock that is moved by hand."""
 
     def __init__(self, peers: tuple[str, ...] = ("rabat",)) -> None:
         self.now, self.logs = 100.0, list[str]()
@@ -36,173 +36,185 @@
 
     def send(self, key: str | None, good: bool | None = True, retriable: bool = True) -> Route:
         route = self.sites.route(self.now, key, retriable)
-        self.sites.ended(self.now, route, route.site, good, retriable)
+        self.sites.record_result(self.now, route, route.site, good, retriable)
         return route
 
-    def goes(self, key: str, retriable: bool = False) -> str:
-        """Where an exchange would go; called off at once, so that it says nothing."""
+    def site_of(self, key: str, retriable: bool = False) -> str:
+        """Returns where a request would go; its end tells nothing about the site."""
         return self.send(key, None, retriable).site
 
 
-def test_a_partition_moves_on_its_own_failures_and_comes_back_by_one_trial() -> None:
-    both = Both()
-    assert [both.send("k", good=False).site for _ in range(3)] == ["casa"] * 3
-    assert both.goes("k") == "rabat" and both.sites.moves == 1
-    others = [f"o{n}" for n in range(40) if both.sites.partition(f"o{n}") != both.sites.partition("k")]
-    assert {both.goes(key) for key in others} == {"casa"}
-    both.wait(6.5)
-    assert both.goes("k", retriable=False) == "rabat"  # a binding exchange is never the trial
-    trial = both.sites.route(both.now, "k", True)
+def test_partition_moves_on_its_own_failures_and_returns_after_one_trial() -> None:
+    fixture = SelectionFixture()
+    assert [fixture.send("k", good=False).site for _ in range(3)] == ["casa"] * 3
+    assert fixture.site_of("k") == "rabat" and fixture.sites.moves == 1
+    others = [f"o{n}" for n in range(40) if fixture.sites.partition(f"o{n}") != fixture.sites.partition("k")]
+    assert {fixture.site_of(key) for key in others} == {"casa"}
+    fixture.wait(6.5)
+    # A request that is not retriable is never the trial.
+    assert fixture.site_of("k", retriable=False) == "rabat"
+    trial = fixture.sites.route(fixture.now, "k", True)
     assert trial.site == "casa" and trial.partition_trial
-    assert both.goes("k", retriable=True) == "rabat"  # one alone
-    both.sites.ended(both.now, trial, "casa", False, True)
-    both.wait(2.0)
-    assert both.goes("k", retriable=True) == "rabat"
-    both.wait(5.0)
-    assert both.send("k").site == "casa" and both.goes("k") == "casa"
+    assert fixture.site_of("k", retriable=True) == "rabat"  # only one trial at a time
+    fixture.sites.record_result(fixture.now, trial, "casa", False, True)
+    fixture.wait(2.0)
+    assert fixture.site_of("k", retriable=True) == "rabat"
+    fixture.wait(5.0)
+    assert fixture.send("k").site == "casa" and fixture.site_of("k") == "casa"
 
 
-def test_five_other_failures_are_let_pass_and_the_sixth_moves() -> None:
-    both = Both()
+def test_non_retriable_failures_move_a_partition_at_the_sixth() -> None:
+    fixture = SelectionFixture()
     for _ in range(5):
-        both.send("k", good=False, retriable=False)
-    assert both.goes("k") == "casa"
-    both.send("k", good=False, retriable=False)
-    assert both.goes("k") == "rabat"
+        fixture.send("k", good=False, retriable=False)
+    assert fixture.site_of("k") == "casa"
+    fixture.send("k", good=False, retriable=False)
+    assert fixture.site_of("k") == "rabat"
 
 
-def test_no_partition_moves_in_vain_on_a_calm_day() -> None:
-    for rate in (2, 20):  # exchanges a second and partition, 0.5% of which fail
-        both, rng = Both(), random.Random(3)
+def test_rare_failures_move_no_partition() -> None:
+    for rate in (2, 20):  # requests per second and partition, of which 0.5% fail
+        fixture, rng = SelectionFixture(), random.Random(3)
         for _ in range(300):
             for _ in range(rate):
                 for key in ("a", "b", "c"):
-                    both.send(key, good=rng.random() > 0.005)
-            both.wait(1.0)
-        assert both.sites.moves == 0 and not both.sites.own.breaker
+                    fixture.send(key, good=rng.random() > 0.005)
+            fixture.wait(1.0)
+        assert fixture.sites.moves == 0 and not fixture.sites.own.breaker
 
 
-def test_a_site_that_fails_whole_is_given_up_at_once_and_taken_back_over_a_ramp() -> None:
-    both = Both()
+def test_failing_site_is_ejected_at_once_and_readmitted_over_a_ramp() -> None:
+    fixture = SelectionFixture()
     for n in range(30):
-        both.send(f"k{n}", good=n < 10)
-        both.now += 0.05
-    assert both.sites.own.breaker and {both.goes(f"k{n}") for n in range(99)} == {"rabat"}
-    both.wait(6.5)
-    trial = both.sites.route(both.now, "x", True)
+        fixture.send(f"k{n}", good=n < 10)
+        fixture.now += 0.05
+    assert fixture.sites.own.breaker and {fixture.site_of(f"k{n}") for n in range(99)} == {"rabat"}
+    fixture.wait(6.5)
+    trial = fixture.sites.route(fixture.now, "x", True)
     assert trial.site == "casa" and trial.site_trial
-    both.sites.ended(both.now, trial, "casa", True, True)
+    fixture.sites.record_result(fixture.now, trial, "casa", True, True)
     shares = []
     for _ in range(4):
-        shares.append(sum(both.goes(f"k{n}") == "casa" for n in range(200)) / 200)
-        both.wait(3.0)
+        shares.append(sum(fixture.site_of(f"k{n}") == "casa" for n in range(200)) / 200)
+        fixture.wait(3.0)
     assert shares[0] < 0.1 and 0.15 < shares[1] < 0.5 and shares[1] < shares[2] < shares[3]
-    assert both.goes("k") == "casa"
+    assert fixture.site_of("k") == "casa"
 
 
-def test_a_bad_trial_of_a_site_doubles_the_wait_for_the_next() -> None:
-    both = Both()
-    while not both.sites.own.breaker:
-        both.send("k", good=False)
-        both.now += 0.05
-    waits, since = list[float](), both.now
+def test_failed_site_trial_doubles_the_delay_of_the_next() -> None:
+    fixture = SelectionFixture()
+    while not fixture.sites.own.breaker:
+        fixture.send("k", good=False)
+        fixture.now += 0.05
+    waits, since = list[float](), fixture.now
     while len(waits) < 6:
-        both.wait(0.5)
-        route = both.sites.route(both.now, "x", True)
+        fixture.wait(0.5)
+        route = fixture.sites.route(fixture.now, "x", True)
         if route.site_trial:
-            waits.append(both.now - since)
-            since = both.now
-        both.sites.ended(both.now, route, route.site, route.site != "casa", True)
+            waits.append(fixture.now - since)
+            since = fixture.now
+        fixture.sites.record_result(fixture.now, route, route.site, route.site != "casa", True)
     assert waits == sorted(waits) and waits[0] < 8 and 55 < waits[-1] < 65
 
 
-def test_a_link_that_flaps_is_used_less_and_less() -> None:
-    both = Both()
-    for _ in range(10):  # every 3 s for a minute
-        both.sites.linked(both.now, "rabat", False)
-        both.wait(3.0)
-        both.sites.linked(both.now, "rabat", True)
-        both.wait(3.0)
-    peer = both.sites.sites["rabat"]
-    assert not peer.usable(both.now) and peer.hold == Site.MOST_HOLD
-    both.sites.own.breaker = CircuitBreaker(both.now)  # with nothing at home it is used all the same
-    assert both.goes("k") == "rabat"
-    both.sites.own.breaker = None
-    both.wait(Site.MOST_HOLD)
-    assert peer.usable(both.now)
-    both.wait(Site.CALM)
-    both.sites.linked(both.now, "rabat", False)
-    both.sites.linked(both.now, "rabat", True)
-    both.wait(Site.HOLD)
-    assert peer.usable(both.now)  # a calm minute: the first fall again
-
-
-def test_with_no_link_all_stays_at_home() -> None:
-    both = Both()
-    both.sites.linked(both.now, "rabat", False)
+def test_flapping_link_is_held_back_longer() -> None:
+    fixture = SelectionFixture()
+    for _ in range(10):  # one loss every 6 s for a minute
+        fixture.sites.linked(fixture.now, "rabat", False)
+        fixture.wait(3.0)
+        fixture.sites.linked(fixture.now, "rabat", True)
+        fixture.wait(3.0)
+    peer = fixture.sites.sites["rabat"]
+    assert not peer.usable(fixture.now) and peer.hold_time == Site.MAX_HOLD
+    # While the own site is ejected the hold is ignored.
+    fixture.sites.own.breaker = CircuitBreaker(fixture.now)
+    assert fixture.site_of("k") == "rabat"
+    fixture.sites.own.breaker = None
+    fixture.wait(Site.MAX_HOLD)
+    assert peer.usable(fixture.now)
+    fixture.wait(Site.FLAP_WINDOW)
+    fixture.sites.linked(fixture.now, "rabat", False)
+    fixture.sites.linked(fixture.now, "rabat", True)
+    fixture.wait(Site.INITIAL_HOLD)
+    assert peer.usable(fixture.now)  # after a stable minute the hold is the initial one again
+
+
+def test_without_links_all_requests_stay_at_the_own_site() -> None:
+    fixture = SelectionFixture()
+    fixture.sites.linked(fixture.now, "rabat", False)
     for n in range(50):
-        assert both.send(f"k{n}", good=False).site == "casa"
-        both.now += 0.05
-    assert both.sites.spill(both.now, ["casa"]) is None
+        assert fixture.send(f"k{n}", good=False).site == "casa"
+        fixture.now += 0.05
+    assert fixture.sites.spill(fixture.now, ["casa"]) is None
 
 
-def test_what_is_turned_away_crosses_once_and_within_credit() -> None:
-    both = Both(("rabat", "fes"))
-    assert both.sites.spill(both.now, ["rabat"]) == "casa"
-    assert both.sites.spill(both.now, ["casa", "rabat"]) is None
-    given = [both.sites.spill(both.now, ["casa"]) for _ in range(30)]
-    assert given.count("rabat") == int(Site.START_CREDIT) and given[-1] is None
+def test_rejected_requests_go_to_one_peer_within_credit() -> None:
+    fixture = SelectionFixture(("rabat", "fes"))
+    assert fixture.sites.spill(fixture.now, ["rabat"]) == "casa"
+    assert fixture.sites.spill(fixture.now, ["casa", "rabat"]) is None
+    spill_sites = [fixture.sites.spill(fixture.now, ["casa"]) for _ in range(30)]
+    assert spill_sites.count("rabat") == int(Site.INITIAL_CREDIT) and spill_sites[-1] is None
     for _ in range(11):
-        both.send("k")
-    assert both.sites.spill(both.now, ["casa"]) == "rabat"
+        fixture.send("k")
+    assert fixture.sites.spill(fixture.now, ["casa"]) == "rabat"
 
 
-def test_peers_that_change_leave_nothing_behind() -> None:
-    both = Both(("rabat", "fes"))
+def test_removed_peers_leave_no_state() -> None:
+    fixture = SelectionFixture(("rabat", "fes"))
     for _ in range(3):
-        both.send("k", good=False)
-    assert both.goes("k") == "rabat"
-    both.sites.set_peers(["fes"], both.now)
-    assert both.goes("k") == "casa" and set(both.sites.sites) == {"casa", "fes"}
-    assert both.sites.sites["fes"].up
+        fixture.send("k", good=False)
+    assert fixture.site_of("k") == "rabat"
+    fixture.sites.set_peers(["fes"], fixture.now)
+    assert fixture.site_of("k") == "casa" and set(fixture.sites.sites) == {"casa", "fes"}
+    assert fixture.sites.sites["fes"].up
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_histories_keep_the_rules_of_sites(seed: int) -> None:
-    """Whatever fails: binding exchanges are no trials, at most one trial is out for a partition and a site,
-    nothing
-    goes to a site whose link is down, and state stays bounded."""
-    rng, both = random.Random(seed), Both(("rabat", "fes"))
-    out: list[tuple[Route, bool]] = []
+def test_random_histories_keep_the_invariants_of_site_selection(seed: int) -> None:
+    """Checks the invariants of site selection under random failures.
+
+    Only retriable requests are trials, each partition and site has at most one trial in progress, no request
+    goes to a site whose link is down, and the state stays bounded.
+    """
+    rng, fixture = random.Random(seed), SelectionFixture(("rabat", "fes"))
+    in_progress: list[tuple[Route, bool]] = []
     health = {"casa": 1.0, "rabat": 1.0, "fes": 1.0}
     for step in range(4000):
         if rng.random() < 0.01:
             health[rng.choice(list(health))] = rng.choice([0.0, 0.5, 1.0, 1.0])
         if rng.random() < 0.01:
-            both.sites.linked(both.now, rng.choice(["rabat", "fes"]), rng.random() < 0.7)
+            fixture.sites.linked(fixture.now, rng.choice(["rabat", "fes"]), rng.random() < 0.7)
         retriable = rng.random() < 0.5
-        route = both.sites.route(both.now, None if rng.random() < 0.1 else f"k{rng.randrange(60)}", retriable)
-        site = both.sites.sites[route.site]
-        assert site.own or both.sites.usable(site, both.now)
+        route = fixture.sites.route(
+            fixture.now, None if rng.random() < 0.1 else f"k{rng.randrange(60)}", retriable
+        )
+        site = fixture.sites.sites[route.site]
+        assert site.own or fixture.sites.usable(site, fixture.now)
         assert retriable or not (route.partition_trial or route.site_trial)
-        trials = [r.partition_trial or r.site_trial for r, _ in out if r.partition_trial or r.site_trial]
+        trials = [
+            open_route.partition_trial or open_route.site_trial
+            for open_route, _ in in_progress
+            if open_route.partition_trial or open_route.site_trial
+        ]
         assert (route.partition_trial or route.site_trial) not in trials or not trials
-        out.append((route, retriable))
-        if rng.random() < 0.9 and out:
-            ended, was_retriable = out.pop(rng.randrange(len(out)))
+        in_progress.append((route, retriable))
+        if rng.random() < 0.9 and in_progress:
+            ended, was_retriable = in_progress.pop(rng.randrange(len(in_progress)))
             good = None if rng.random() < 0.05 else rng.random() < health[ended.site]
-            both.sites.ended(both.now, ended, ended.site, good, was_retriable)
+            fixture.sites.record_result(fixture.now, ended, ended.site, good, was_retriable)
         if step % 20 == 0:
-            both.wait(rng.random() * 3)
-        assert max(len(both.sites.table.entries), len(both.sites.shares)) <= Sites.PARTITIONS
+            fixture.wait(rng.random() * 3)
+        assert (
+            max(len(fixture.sites.table.entries), len(fixture.sites.partition_outcomes)) <= Sites.PARTITIONS
+        )
 
 
-# The intake.
+# Admission of foreign requests.
 
 
-def test_own_clients_come_first() -> None:
+def test_own_clients_have_priority() -> None:
     intake = Intake(0.0, 0.5, 8, lambda line: None)
-    for n in range(200):  # while all is well the window grows
+    for n in range(200):  # the window grows while all requests succeed
         for _ in range(20):
             intake.own_began(n * 0.1)
         admitted = 0
@@ -214,82 +226,93 @@
             intake.own_ended(n * 0.1, True)
     for _ in range(20):
         intake.own_began(20.0)
-    assert 15 <= intake.most() <= 20  # half of all under way, and no more
+    assert 15 <= intake.limit() <= 20  # at most half of all requests in progress
     for n in range(300):
         intake.admit(20.0 + n * 0.1)
         intake.own_ended(20.0 + n * 0.1, False)
         intake.own_began(20.0 + n * 0.1)
-    assert intake.most() == Intake.LEAST and intake.turned_away > 0
+    assert intake.limit() == Intake.MIN_WINDOW and intake.turned_away > 0
 
 
-def test_a_floor_is_open_to_foreign_work_where_there_is_none_of_ones_own() -> None:
+def test_floor_admits_foreign_requests_without_own_requests() -> None:
     logs: list[str] = []
     intake = Intake(0.0, 0.5, 3, logs.append)
     assert [intake.admit(0.0) for _ in range(5)] == [True, True, True, False, False] and len(logs) == 1
-    one_part = Intake(0.0, 0.0, 0, lambda line: None)
-    assert not one_part.admit(0.0)
+    without_limits = Intake(0.0, 0.0, 0, lambda line: None)
+    assert not without_limits.admit(0.0)
 
 
-# The router between home and elsewhere.
+# The site router.
 
 
-class Leg:
-    """A site as the router meets it: takes so long, then ends so."""
+class SiteStub:
+    """A stand-in for a site: returns `result` after `duration` seconds and counts its requests."""
 
-    def __init__(self, loop: VirtualLoop, takes: float, end: Any) -> None:
-        self.loop, self.takes, self.end, self.came = loop, takes, end, 0
+    def __init__(self, loop: VirtualLoop, duration: float, result: Any) -> None:
+        self.loop, self.duration, self.result, self.received = loop, duration, result, 0
 
     def run(self, given: Given, gone: Callable[[], bool]) -> Coroutine[Any]:
-        self.came += 1
-        until = self.loop.now() + self.takes
+        self.received += 1
+        until = self.loop.now() + self.duration
         while self.loop.now() < until:
             yield until
-        return self.end
+        return self.result
 
     def cross(self, given: Given, gone: Callable[[], bool], may_rerun: bool) -> Coroutine[Any]:
         return (yield from self.run(given, gone))
 
 
-def routed(
-    effect: Idempotency, home: tuple[float, Any], away: tuple[float, Any]
-) -> tuple[Any, Sites, Leg, Leg]:
+def run_routed(
+    effect: Idempotency, own_reply: tuple[float, Any], peer_reply: tuple[float, Any]
+) -> tuple[Any, Sites, SiteStub, SiteStub]:
     clock = Clock()
     loop = VirtualLoop(clock, lambda fault: None)
     sites = Sites("casa", ["rabat"], 7, loop.now(), lambda line: None)
     sites.linked(loop.now(), "rabat", True)
-    kind = TrafficClass(effect, DeduplicationScope.ALL, 0.6, 2.0, 0.0)
-    core, peer = Leg(loop, *home), Leg(loop, *away)
-    fake: Any = core
-    router = SiteRouter(loop, fake, sites, Intake(loop.now(), 0.5, 4, lambda line: None), [kind], False)
+    traffic_class = TrafficClass(effect, DeduplicationScope.ALL, 0.6, 2.0, 0.0)
+    core, peer = SiteStub(loop, *own_reply), SiteStub(loop, *peer_reply)
+    core_as_any: Any = core
+    router = SiteRouter(
+        loop, core_as_any, sites, Intake(loop.now(), 0.5, 4, lambda line: None), [traffic_class], False
+    )
     router.peers["rabat"] = peer
     finals: list[Any] = []
 
-    def one() -> Coroutine[None]:
+    def run_request() -> Coroutine[None]:
         given = Given(0, "k", None, False, loop.now() + 2.0, None)
         finals.append((yield from router.run(given, lambda: False)))
 
-    loop.spawn(one())
+    loop.spawn(run_request())
     clock.env.run(until=3.0)
     return finals[0], sites, core, peer
 
 
-def test_each_site_is_judged_by_the_time_that_it_took_itself() -> None:
+def test_each_site_is_judged_by_its_own_time() -> None:
     done = Finished(None)
-    final, sites, _, peer = routed(Idempotency.NON_IDEMPOTENT, (0.5, Rejected(0.0, False)), (0.4, done))
-    assert final is done and peer.came == 1
-    assert sites.sites["rabat"].shares.failed() == 0 and sites.own.shares.failed() == 1
-    final, sites, _, _ = routed(Idempotency.NON_IDEMPOTENT, (0.0, Rejected(0.0, False)), (0.7, done))
-    assert final is done and sites.sites["rabat"].shares.failed() == 1
-
-
-def test_what_may_have_run_goes_nowhere_else_and_what_did_not_crosses_once() -> None:
-    for effect, home, away, came in (
+    final, sites, _, peer = run_routed(Idempotency.NON_IDEMPOTENT, (0.5, Rejected(0.0, False)), (0.4, done))
+    assert final is done and peer.received == 1
+    assert (
+        sites.sites["rabat"].recent_outcomes.failure_share() == 0
+        and sites.own.recent_outcomes.failure_share() == 1
+    )
+    final, sites, _, _ = run_routed(Idempotency.NON_IDEMPOTENT, (0.0, Rejected(0.0, False)), (0.7, done))
+    assert final is done and sites.sites["rabat"].recent_outcomes.failure_share() == 1
+
+
+def test_only_requests_that_did_not_run_go_to_a_peer_and_only_once() -> None:
+    for effect, own_reply, peer_reply, expected_received in (
         (Idempotency.NON_IDEMPOTENT, Terminated(), Finished(None), 0),
         (Idempotency.DEDUPLICATED, Rejected(0.0, True), Finished(None), 0),
         (Idempotency.IDEMPOTENT, Rejected(0.0, True), Finished(None), 1),
-        (Idempotency.NON_IDEMPOTENT, Rejected(0.0, False), Free(True, 0.5), 1),
+        (Idempotency.NON_IDEMPOTENT, Rejected(0.0, False), NotAnswered(True, 0.5), 1),
         (Idempotency.NON_IDEMPOTENT, Rejected(0.0, False), Terminated(), 1),
     ):
-        final, _, core, peer = routed(effect, (0.0, home), (0.0, away))
-        assert (core.came, peer.came) == (1, came)
-        assert final == (home if not came else Rejected(0.5, False) if isinstance(away, Free) else away)
+        final, _, core, peer = run_routed(effect, (0.0, own_reply), (0.0, peer_reply))
+        assert (core.received, peer.received) == (1, expected_received)
+        assert final == (
+            own_reply
+            if not expected_received
+            else Rejected(0.5, False)
+            if isinstance(peer_reply, NotAnswered)
+            else peer_reply
+        )
