--- a/rainspindle/decisions/statements/__init__.py
+++ b/rainspindle/decisions/statements/__init__.py
@@ -1,1 +1,1 @@
-"""What a statement is: its traffic type, its key, and what it leaves behind in its session."""
+"""Classifies SQL statements: traffic class, routing key and effects on the session's state."""
--- a/rainspindle/decisions/statements/digest.py
+++ b/rainspindle/decisions/statements/digest.py
@@ -1,11 +1,11 @@
-"""A statement's text without its literals, so that one parse serves all that differ in these alone."""
+"""Normalises SQL text by replacing literals with placeholders, so that one parse serves every variant."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-MOST_TEXT = 256 * 1024  # bytes; longer ones are not looked into
+MAX_TEXT_LENGTH = 256 * 1024  # longer texts are not analysed
 
 TOKEN = re.compile(
     r"""
@@ -21,53 +21,58 @@
 """,
     re.VERBOSE | re.DOTALL,
 )
-HINT = re.compile(r"\bkey\s*=\s*([^\s*,;]{1,200})")
+KEY_HINT = re.compile(r"\bkey\s*=\s*([^\s*,;]{1,200})")
 ESCAPES = {"0": "\0", "n": "\n", "t": "\t", "r": "\r", "b": "\b", "Z": "\x1a"}
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """`text` has :l0, :l1 ... for literals and :p0, :p1 ... for parameters."""
+    """Normalised text, with :l0, :l1 ... in place of literals and :p0, :p1 ... in place of parameters."""
 
     text: str
     literals: tuple[str, ...]
     parameters: int
-    hint: str | None  # a key told in a comment: /* key=... */
+    hint: str | None  # routing key from a comment of the form /* key=... */
 
 
 def digest(sql: str) -> Digest | None:
-    """None where the text is too long, has no end to a string or comment, or code hidden in a comment."""
-    if len(sql) > MOST_TEXT:
+    """Return None for text that is too long, untokenizable or contains executable or optimizer-hint comments.
+
+    Unterminated strings and comments cannot be tokenized. Comments that start with /*! or /*+ carry code
+    that the parser would not see.
+    """
+    if len(sql) > MAX_TEXT_LENGTH:
         return None
-    out: list[str] = []
+    fragments: list[str] = []
     literals: list[str] = []
-    parameters, hint, at = 0, None, 0
-    while at < len(sql):
-        token = TOKEN.match(sql, at)
+    parameters, hint, position = 0, None, 0
+    while position < len(sql):
+        token = TOKEN.match(sql, position)
         if token is None:
             return None
-        at = token.end()
+        position = token.end()
         kind = token.lastgroup
         if kind == "hidden":
             return None
         if kind == "comment":
-            told = HINT.search(token[0])
-            hint = told[1] if told else hint
-            out.append(" ")
+            hint_match = KEY_HINT.search(token[0])
+            hint = hint_match[1] if hint_match else hint
+            fragments.append(" ")
         elif kind in ("string", "number"):
-            out.append(f" :l{len(literals)} ")
-            literals.append(unquoted(token[0]) if kind == "string" else token[0])
+            fragments.append(f" :l{len(literals)} ")
+            literals.append(unquote(token[0]) if kind == "string" else token[0])
         elif kind == "mark":
-            out.append(f" :p{parameters} ")
+            fragments.append(f" :p{parameters} ")
             parameters += 1
         else:
-            out.append(" " if kind == "space" else token[0])
-    return Digest(" ".join("".join(out).split()), tuple(literals), parameters, hint)
+            fragments.append(" " if kind == "space" else token[0])
+    return Digest(" ".join("".join(fragments).split()), tuple(literals), parameters, hint)
 
 
-def unquoted(token: str) -> str:
+def unquote(token: str) -> str:
+    """Return the value of a quoted string literal, with doubled quotes and backslash escapes resolved."""
     quote, inner = token[0], token[1:-1]
     if "\\" not in inner and quote not in inner:
         return inner
     inner = inner.replace(quote * 2, quote)
-    return re.sub(r"\\(.)", lambda m: ESCAPES.get(m[1], m[1]), inner, flags=re.DOTALL)
+    return re.sub(r"\\(.)", lambda match: ESCAPES.get(match[1], match[1]), inner, flags=re.DOTALL)
--- a/rainspindle/decisions/statements/parse.py
+++ b/rainspindle/decisions/statements/parse.py
@@ -1,4 +1,4 @@
-"""Statements parsed by sqlglot, and what of them matters here. Anything that is not understood says so."""
+"""Parses statements with sqlglot and extracts what routing needs; anything unsupported becomes UNKNOWN."""
 
 from __future__ import annotations
 
@@ -21,114 +21,135 @@
     exp.Update: "update",
     exp.Delete: "delete",
 }
-ENDS: dict[type[exp.Expr], str] = {exp.Transaction: "begin", exp.Commit: "commit", exp.Rollback: "rollback"}
-LOCKING = ("GET_LOCK", "RELEASE_LOCK", "RELEASE_ALL_LOCKS")
-PLAIN = re.compile(r"SET (?:SESSION |LOCAL |@@SESSION\.|@@)?([A-Za-z_]\w*) ?:?= ?(:l\d+|[A-Za-z]\w*)$", re.I)
-NAMES = re.compile(r"SET NAMES (:l\d+|\w+)(?: COLLATE (:l\d+|\w+))?$", re.I)
+TRANSACTION_KINDS: dict[type[exp.Expr], str] = {
+    exp.Transaction: "begin",
+    exp.Commit: "commit",
+    exp.Rollback: "rollback",
+}
+LOCK_FUNCTIONS = ("GET_LOCK", "RELEASE_LOCK", "RELEASE_ALL_LOCKS")
+SET_VARIABLE = re.compile(
+    r"SET (?:SESSION |LOCAL |@@SESSION\.|@@)?([A-Za-z_]\w*) ?:?= ?(:l\d+|[A-Za-z]\w*)$", re.I
+)
+SET_NAMES = re.compile(r"SET NAMES (:l\d+|\w+)(?: COLLATE (:l\d+|\w+))?$", re.I)
 USE = re.compile(r"USE (?:`((?:[^`]|``)+)`|([\w$]+))$", re.I)
 REPLACE = re.compile(r"^REPLACE (?:LOW_PRIORITY |DELAYED )?(?:INTO )?(?=[`\w])", re.I)
-FIRST = re.compile(r"\w+")
-SAVE = re.compile(r"(?:SAVEPOINT|RELEASE SAVEPOINT|ROLLBACK TO|START TRANSACTION|BEGIN)\b", re.I)
+FIRST_WORD = re.compile(r"\w+")
+TRANSACTION_CONTROL = re.compile(
+    r"(?:SAVEPOINT|RELEASE SAVEPOINT|ROLLBACK TO|START TRANSACTION|BEGIN)\b", re.I
+)
 
 
 def parse(text: str) -> Parsed:
-    """Of a digested text. Never raises."""
+    """Parse a digested text. Returns UNKNOWN instead of raising if any statement in it cannot be parsed."""
     parts = []
-    for one in split(text):
-        part = plain(one)
+    for statement in split_statements(text):
+        part = part_from_pattern(statement)
         if part is None:
-            replaced = REPLACE.sub("INSERT INTO ", one)  # which the parser does not know
+            rewritten = REPLACE.sub("INSERT INTO ", statement)  # sqlglot does not parse REPLACE
             try:
-                tree = sqlglot.parse_one(replaced, read="mysql")
+                tree = sqlglot.parse_one(rewritten, read="mysql")
             except (sqlglot.errors.SqlglotError, RecursionError, ValueError):
                 return UNKNOWN
-            part = looked_into(tree)
-            if replaced != one and part.kind == "insert":
+            part = part_from_tree(tree)
+            if rewritten != statement and part.kind == "insert":
                 part = replace(part, kind="replace")
         parts.append(part)
     return Parsed(tuple(parts)) if parts else UNKNOWN
 
 
-def split(text: str) -> Iterator[str]:
-    """The statements of a digested text: no literal is left that could hide a semicolon."""
+def split_statements(text: str) -> Iterator[str]:
+    """Split a digested text at semicolons; literals are already replaced, so only backticks need care."""
     quoted, start = False, 0
-    for at, character in enumerate(text):
+    for index, character in enumerate(text):
         if character == "`":
             quoted = not quoted
         elif character == ";" and not quoted:
-            if text[start:at].strip():
-                yield text[start:at].strip()
-            start = at + 1
+            if text[start:index].strip():
+                yield text[start:index].strip()
+            start = index + 1
     if text[start:].strip():
         yield text[start:].strip()
 
 
-def plain(text: str) -> Part | None:
-    """What needs no parser, or what the parser keeps as text."""
-    if found := NAMES.match(text):
-        return Part("set", leaves=frozenset(("set",)), sets=(("names", text[len("SET NAMES ") :]),))
-    if found := PLAIN.match(text):
-        name = found[1].lower()
+def part_from_pattern(text: str) -> Part | None:
+    """Classify a statement that sqlglot would leave unparsed or that needs no parser; None for the rest."""
+    if match := SET_NAMES.match(text):
+        return Part(
+            "set", side_effects=frozenset(("set",)), variables=(("names", text[len("SET NAMES ") :]),)
+        )
+    if match := SET_VARIABLE.match(text):
+        name = match[1].lower()
         if name in ("global", "persist", "password"):
-            return Part("unknown", leaves=frozenset(("unknown",)))
-        return Part("set", leaves=frozenset(("set",)), sets=((name, found[2]),))
-    if found := USE.match(text):
-        return Part("use", leaves=frozenset(("use",)), use=(found[1] or found[2]).replace("``", "`"))
-    first = FIRST.match(text)
-    word = first[0].upper() if first else ""
-    if SAVE.match(text):
+            return Part("unknown", side_effects=frozenset(("unknown",)))
+        return Part("set", side_effects=frozenset(("set",)), variables=((name, match[2]),))
+    if match := USE.match(text):
+        return Part("use", side_effects=frozenset(("use",)), use=(match[1] or match[2]).replace("``", "`"))
+    first_match = FIRST_WORD.match(text)
+    word = first_match[0].upper() if first_match else ""
+    if TRANSACTION_CONTROL.match(text):
         return Part("begin")
     if word in ("SHOW", "DESCRIBE", "DESC", "EXPLAIN"):
         return Part("show")
     if word in ("LOCK", "UNLOCK", "FLUSH"):
-        return Part("lock", leaves=frozenset(("lock",)))
+        return Part("lock", side_effects=frozenset(("lock",)))
     if word in ("PREPARE", "EXECUTE", "DEALLOCATE"):
-        return Part("prepare", leaves=frozenset(("prepare",)))
+        return Part("prepare", side_effects=frozenset(("prepare",)))
     if word == "CALL":
-        return Part("call", leaves=frozenset(("unknown",)))
+        return Part("call", side_effects=frozenset(("unknown",)))
     return None
 
 
-def looked_into(tree: exp.Expr | None) -> Part:
+def part_from_tree(tree: exp.Expr | None) -> Part:
+    """Classify a parsed statement; `tree` is None for empty text."""
     if tree is None or tree.find(exp.Command):
         return UNKNOWN.parts[0]
-    kind = next((name for cls, name in {**KINDS, **ENDS}.items() if isinstance(tree, cls)), "")
-    leaves: set[str] = set()
+    kind = next(
+        (name for node_type, name in {**KINDS, **TRANSACTION_KINDS}.items() if isinstance(tree, node_type)),
+        "",
+    )
+    side_effects: set[str] = set()
     if isinstance(tree, exp.Create) and any(tree.find_all(exp.TemporaryProperty)):
-        leaves.add("temporary")
+        side_effects.add("temporary")
     if isinstance(tree, exp.Create | exp.Drop | exp.Alter):
         kind = "definition"
     if not kind:
         return UNKNOWN.parts[0]
     for node in tree.walk():
         if isinstance(node, exp.Parameter | exp.PropertyEQ):
-            leaves.add("variable")
+            side_effects.add("variable")
         elif isinstance(node, exp.SessionParameter) and node.name.lower() in ("last_insert_id", "identity"):
-            leaves.add("insert_id")
+            side_effects.add("insert_id")
         elif isinstance(node, exp.Anonymous):
             name = str(node.this).upper()
-            if name in LOCKING:
-                leaves.add("lock")
+            if name in LOCK_FUNCTIONS:
+                side_effects.add("lock")
             elif name == "LAST_INSERT_ID":
-                leaves.add("insert_id")
+                side_effects.add("insert_id")
             elif name in ("FOUND_ROWS", "ROW_COUNT"):
-                leaves.add("variable")
+                side_effects.add("variable")
         elif isinstance(node, exp.Lock):
             kind = "update"  # SELECT ... FOR UPDATE
         elif isinstance(node, exp.Into):
-            leaves.add("unknown")
-    tables = frozenset(str(t.name).lower() for t in tree.find_all(exp.Table) if t.name)
-    return Part(kind, tables, frozenset(leaves), equal=tuple(equalities(tree)))
+            side_effects.add("unknown")
+    tables = frozenset(str(table.name).lower() for table in tree.find_all(exp.Table) if table.name)
+    return Part(kind, tables, frozenset(side_effects), comparisons=tuple(equalities(tree)))
 
 
 def equalities(tree: exp.Expr) -> Iterator[tuple[str, str]]:
-    """Columns compared with a literal or a parameter in the WHERE, or given one in an INSERT of one row."""
+    """Yield (column, placeholder) for equality tests in the WHERE clause and for single-row INSERT values.
+
+    A WHERE clause that contains OR yields nothing, as its comparisons don't determine the key.
+    """
     where = tree.args.get("where")
     if where is not None and not where.find(exp.Or):
         for node in where.find_all(exp.EQ):
-            for one, other in ((node.left, node.right), (node.right, node.left)):
-                if isinstance(one, exp.Column) and isinstance(other, exp.Placeholder) and other.this:
-                    yield one.name.lower(), str(other.this)
+            for operand, other_operand in ((node.left, node.right), (node.right, node.left)):
+                if (
+                    isinstance(operand, exp.Column)
+                    and isinstance(other_operand, exp.Placeholder)
+                    and other_operand.this
+                ):
+                    yield operand.name.lower(), str(other_operand.this)
     values = tree.args.get("expression") if isinstance(tree, exp.Insert) else None
     if isinstance(values, exp.Values) and len(values.expressions) == 1 and isinstance(tree.this, exp.Schema):
         for column, value in zip(tree.this.expressions, values.expressions[0].expressions, strict=False):
--- a/rainspindle/decisions/statements/statements.py
+++ b/rainspindle/decisions/statements/statements.py
@@ -1,6 +1,7 @@
-"""What a statement is, by the operator's rules: parsed once for all that differ in literals alone.
+"""Classifies statements by the operator's rules, with one parse per digested text.
 
-What cannot be parsed, is too long or fits no rule is binding, is keyed by its session, and pins it.
+A statement that cannot be parsed, is too long or matches no rule is treated as non-idempotent and keyed by
+its session. One that cannot be parsed or is too long also pins the session.
 """
 
 from __future__ import annotations
@@ -11,109 +12,134 @@
 
 from .digest import Digest, digest
 
-# What a statement leaves behind in its session; any of them pins it but "set", "use" and "insert_id".
-PINNING = frozenset(("variable", "temporary", "lock", "unknown", "prepare", "autocommit"))
+# Side effects that pin a session to its server connection. "set", "use" and "insert_id" don't: they can be
+# reproduced on another connection.
+PINNING_EFFECTS = frozenset(("variable", "temporary", "lock", "unknown", "prepare", "autocommit"))
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """The first rule that fits says what a statement is. Empty fields fit all."""
+    """Classification rule; the first match applies. An empty field matches every statement."""
 
     traffic_type: int
     kinds: frozenset[str] = frozenset()  # select, insert, replace, update, delete, call, show
-    # lower case; it fits when all tables of the statement are among them
+    # Lower case. The rule matches if every table of the statement is in this set.
     tables: frozenset[str] = frozenset()
     key: str = "session"  # column:NAME, parameter:N, literal:N, hint, user, session, none
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """One statement of a text."""
+    """One statement of a text that may hold several, separated by semicolons."""
 
     kind: str
     tables: frozenset[str] = frozenset()
-    leaves: frozenset[str] = frozenset()
-    sets: tuple[tuple[str, str], ...] = ()  # session variables and their literal texts, as digested
+    side_effects: frozenset[str] = frozenset()
+    variables: tuple[tuple[str, str], ...] = ()  # session variables and their values in digested form
     use: str = ""
-    equal: tuple[tuple[str, str], ...] = ()  # columns compared with l0, p1 ...
+    # Columns and the placeholders (l0, p1 ...) that they are compared with.
+    comparisons: tuple[tuple[str, str], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Parsed:
+    """The parsed statements of a text; never empty."""
+
     parts: tuple[Part, ...]
 
-    def leaves(self) -> frozenset[str]:
-        return frozenset().union(*(part.leaves for part in self.parts))
+    def side_effects(self) -> frozenset[str]:
+        """Return the union of the side effects of all statements."""
+        return frozenset().union(*(part.side_effects for part in self.parts))
 
 
 @dataclass(frozen=True, slots=True)
-class Meant:
-    """What one statement with its literals is."""
+class Classification:
+    """Classification of a text with its literal values; `key` is None if it may go to any server."""
 
     traffic_type: int
     key: str | None
-    leaves: frozenset[str]
-    sets: dict[str, str] = field(default_factory=dict)
+    side_effects: frozenset[str]
+    variables: dict[str, str] = field(default_factory=dict)
     use: str = ""
 
     @property
     def pins(self) -> bool:
-        return bool(self.leaves & PINNING)
+        """Whether the session must stay on its server connection afterwards."""
+        return bool(self.side_effects & PINNING_EFFECTS)
 
 
-UNKNOWN = Parsed((Part("unknown", leaves=frozenset(("unknown",))),))
+UNKNOWN = Parsed((Part("unknown", side_effects=frozenset(("unknown",))),))
 Parse = Callable[[str], Parsed]
 
 
 class Statements:
-    """Gives the meaning of statements; holds `most` parses, the latest used."""
+    """Classifies statements; keeps the `max_parses` latest used parses in an LRU cache."""
 
     def __init__(
-        self, rules: Sequence[Rule], default: int, ranks: Sequence[int], parse: Parse, most: int = 2000
+        self, rules: Sequence[Rule], default: int, ranks: Sequence[int], parse: Parse, max_parses: int = 2000
     ) -> None:
-        """`default` is the traffic type of what fits no rule, a binding one. `ranks` by traffic type: of
-        several
-        statements in one text the highest counts."""
-        self.rules, self.default, self.ranks, self.parse, self.most = rules, default, ranks, parse, most
+        """Take `default` as the traffic class of statements that match no rule; it must be non-idempotent.
+
+        `ranks` is indexed by traffic class: the class with the highest rank applies to a text with several
+        statements.
+        """
+        self.rules, self.default, self.ranks, self.parse, self.max_parses = (
+            rules,
+            default,
+            ranks,
+            parse,
+            max_parses,
+        )
         self.cache: OrderedDict[str, Parsed] = OrderedDict()
         self.hits = self.misses = 0
 
-    def parsed(self, found: Digest | None) -> Parsed:
-        if found is None:
+    def parsed(self, digested: Digest | None) -> Parsed:
+        """Return the cached parse of a digest, or parse it now; UNKNOWN if there is no digest."""
+        if digested is None:
             return UNKNOWN
-        known = self.cache.get(found.text)
-        if known is not None:
+        cached = self.cache.get(digested.text)
+        if cached is not None:
             self.hits += 1
-            self.cache.move_to_end(found.text)
-            return known
+            self.cache.move_to_end(digested.text)
+            return cached
         self.misses += 1
-        known = self.cache[found.text] = self.parse(found.text)
-        if len(self.cache) > self.most:
+        cached = self.cache[digested.text] = self.parse(digested.text)
+        if len(self.cache) > self.max_parses:
             self.cache.popitem(last=False)
-        return known
-
-    def meaning(self, sql: str, user: str, session: str, parameters: Sequence[str | None] = ()) -> Meant:
-        found = digest(sql)
-        parsed = self.parsed(found)
-        kind, rule, part = self.default, None, parsed.parts[0]
-        for n, one in enumerate(parsed.parts):
-            fits = next((r for r in self.rules if self.fits(r, one)), None)
-            its = fits.traffic_type if fits is not None else self.default
-            if n == 0 or self.ranks[its] > self.ranks[kind]:
-                kind, rule, part = its, fits, one
-        literals = found.literals if found is not None else ()
-        sets = {name: literal(value, literals) for one in parsed.parts for name, value in one.sets}
-        leaves = parsed.leaves()
-        if sets.pop("autocommit", "1").lower() in ("0", "off", "false"):
-            leaves |= {"autocommit"}
-        use = next((one.use for one in reversed(parsed.parts) if one.use), "")
-        key = self.key(rule, part, found, user, session, parameters)
-        return Meant(kind, key, leaves, sets, use)
-
-    def fits(self, rule: Rule, part: Part) -> bool:
+        return cached
+
+    def meaning(
+        self, sql: str, user: str, session: str, parameters: Sequence[str | None] = ()
+    ) -> Classification:
+        """Classify `sql`; `parameters` are the values of a prepared statement, None if no key."""
+        digested = digest(sql)
+        parsed = self.parsed(digested)
+        traffic_type, rule, part = self.default, None, parsed.parts[0]
+        for index, statement in enumerate(parsed.parts):
+            rule_match = next(
+                (candidate for candidate in self.rules if self.matches(candidate, statement)), None
+            )
+            statement_type = rule_match.traffic_type if rule_match is not None else self.default
+            if index == 0 or self.ranks[statement_type] > self.ranks[traffic_type]:
+                traffic_type, rule, part = statement_type, rule_match, statement
+        literals = digested.literals if digested is not None else ()
+        variables = {
+            name: restore_literal(value, literals)
+            for statement in parsed.parts
+            for name, value in statement.variables
+        }
+        side_effects = parsed.side_effects()
+        if variables.pop("autocommit", "1").lower() in ("0", "off", "false"):
+            side_effects |= {"autocommit"}
+        use = next((statement.use for statement in reversed(parsed.parts) if statement.use), "")
+        key = self.key(rule, part, digested, user, session, parameters)
+        return Classification(traffic_type, key, side_effects, variables, use)
+
+    def matches(self, rule: Rule, part: Part) -> bool:
+        """Return whether a rule matches; a statement with unknown side effects matches none."""
         return (
             (not rule.kinds or part.kind in rule.kinds)
-            and "unknown" not in part.leaves
+            and "unknown" not in part.side_effects
             and (not rule.tables or (bool(part.tables) and part.tables <= rule.tables))
         )
 
@@ -121,40 +147,43 @@
         self,
         rule: Rule | None,
         part: Part,
-        found: Digest | None,
+        digested: Digest | None,
         user: str,
         session: str,
         parameters: Sequence[str | None],
     ) -> str | None:
-        if rule is None or found is None:
+        """Return the routing key that the rule names, or the session's name if the statement lacks it."""
+        if rule is None or digested is None:
             return session
-        how, _, what = rule.key.partition(":")
-        if how == "none":
+        source, _, argument = rule.key.partition(":")
+        if source == "none":
             return None
-        if how == "user":
+        if source == "user":
             return user
-        if how == "hint":
-            return found.hint or session
-        place = what if how == "parameter" else ""
-        if how == "column":
-            place = next((value for column, value in part.equal if column == what.lower()), "")
-        elif how in ("parameter", "literal"):
-            place = f"{how[0]}{what}"
-        number = int(place[1:]) if place[1:].isdecimal() else -1
-        if place.startswith("l") and 0 <= number < len(found.literals):
-            return found.literals[number]
-        if place.startswith("p") and 0 <= number < len(parameters):
+        if source == "hint":
+            return digested.hint or session
+        placeholder = argument if source == "parameter" else ""
+        if source == "column":
+            placeholder = next(
+                (value for column, value in part.comparisons if column == argument.lower()), ""
+            )
+        elif source in ("parameter", "literal"):
+            placeholder = f"{source[0]}{argument}"
+        number = int(placeholder[1:]) if placeholder[1:].isdecimal() else -1
+        if placeholder.startswith("l") and 0 <= number < len(digested.literals):
+            return digested.literals[number]
+        if placeholder.startswith("p") and 0 <= number < len(parameters):
             return parameters[number] or session
         return session
 
 
-def literal(value: str, literals: Sequence[str]) -> str:
-    """A digested value as it was: `:l3` is the fourth literal, quoted anew unless it is a number."""
+def restore_literal(value: str, literals: Sequence[str]) -> str:
+    """Substitute literals in a digested value: `:l3` is the fourth one, requoted unless it is a number."""
     if value.startswith(":l") and value[2:].isdecimal() and int(value[2:]) < len(literals):
-        told = literals[int(value[2:])]
+        text = literals[int(value[2:])]
         return (
-            told
-            if told.replace(".", "", 1).isdecimal()
-            else "'" + told.replace("\\", "\\\\").replace("'", "''") + "'"
+            text
+            if text.replace(".", "", 1).isdecimal()
+            else "'" + text.replace("\\", "\\\\").replace("'", "''") + "'"
         )
     return value
--- a/rainspindle/fronts/mysql/__init__.py
+++ b/rainspindle/fronts/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""The MySQL wire protocol towards clients, and towards database servers."""
+"""Serves clients over the MySQL wire protocol and forwards their statements to database servers."""
--- a/rainspindle/fronts/mysql/back.py
+++ b/rainspindle/fronts/mysql/back.py
@@ -1,5 +1,4 @@
-"""Statements on their way to a server, and their answers on the way back: whole, or streamed with back-
-pressure."""
+"""Runs statements on database servers and buffers or streams the responses, with back-pressure."""
 
 from __future__ import annotations
 
@@ -9,54 +8,63 @@
 from dataclasses import dataclass, field
 
 from ...balancer.host import AttemptOutcome
-from ...protocol.mysql.messages import AnswerReader, Command, Status
+from ...protocol.mysql.messages import Command, ResponseReader, Status
 from ...protocol.mysql.wire import Malformed, packets
 from ...protocol.settings import SocketSettings
 from ...routing.core import Directory, Forwarded, Given
 from ...transport.address import Address
 from ...transport.connection import Broken, Connection, Late, OutOfSockets, Unless, Unwanted
 from ...transport.loop import Coroutine, Loop
-from .servers import FULL_CODES, Account, Refused, Server, Servers
+from .servers import FULL_CODES, Account, Refused, ServerConnection, ServerPool
 
 log = logging.getLogger("rainspindle.mysql")
 
-HELD = 64 * 1024  # bytes of an answer that are held before the first goes to the client
-SHUT_DOWN = (1053, 3032)  # a server that is going down: the statement may have run
-LONG_CHUNK = 1 << 20
+STREAM_THRESHOLD = 64 * 1024  # bytes of a response that are buffered before streaming to the client starts
+SHUTDOWN_CODES = (1053, 3032)  # server shutdown in progress: the statement may have run
+LONG_DATA_CHUNK = 1 << 20  # bytes of parameter data per packet
 
 
 @dataclass(slots=True)
-class Order:
-    """One command of a session, as it is to be run on whichever server."""
+class CommandRequest:
+    """One command of a session, to be run on any server, and its result."""
 
     command: Command
-    body: bytes  # after the command's byte; of an EXECUTE, after the statement's id
+    body: bytes  # without the command byte; for EXECUTE, also without the statement id
     account: Account
     database: str
-    sets: dict[str, str]
-    insert_id: int  # that LAST_INSERT_ID() must tell, 0 if it is not asked for
-    client: Connection | None  # to which the answer is streamed; None: it is held whole
-    sql: str = ""  # of the prepared statement
+    variables: dict[str, str]
+    insert_id: int  # the value that LAST_INSERT_ID() must return, 0 if the statement doesn't use it
+    client: Connection | None  # receives the streamed response; None buffers it whole
+    sql: str = ""  # text of the prepared statement
     long_data: dict[int, bytes] = field(default_factory=dict)
-    held_by: bool = False  # its session holds the connection, with all that was left behind there
-    # What became of it:
-    server: Server | None = None  # that answered, for the session to keep or give back
-    answer: AnswerReader | None = None
-    held: bytearray = field(default_factory=bytearray)  # of the answer, what has not gone to the client
-    streamed: bool = False  # a part of the answer has gone to the client
-    why: str = ""
+    pinned: bool = False  # the session is pinned to the connection, whose state is already its own
+    # Result:
+    server: ServerConnection | None = None  # connection that responded; the session keeps or releases it
+    response: ResponseReader | None = None
+    # The part of the response that has not been sent to the client.
+    buffered: bytearray = field(default_factory=bytearray)
+    streamed: bool = False  # part of the response has been sent to the client
+    failure: str = ""  # cause of a failure, for the error message to the client
 
 
 class MysqlBack:
-    def __init__(self, loop: Loop, servers: Servers, settings: SocketSettings, directory: Directory) -> None:
+    """Forwards commands to database servers for the balancer."""
+
+    def __init__(
+        self, loop: Loop, servers: ServerPool, settings: SocketSettings, directory: Directory
+    ) -> None:
         self.loop, self.servers, self.settings, self.directory = loop, servers, settings, directory
-        self.heard: dict[str, float] = {}
+        self.last_success: dict[str, float] = {}
 
     def drop(self, endpoint: str, address: Address) -> None:
+        """Close the idle connections to an endpoint."""
         self.servers.drop((endpoint, address))
 
     def keep_only(self, endpoints: dict[str, Address]) -> None:
-        self.heard = {id: at for id, at in self.heard.items() if id in endpoints}
+        """Forget endpoints that have left the endpoint list."""
+        self.last_success = {
+            endpoint: time for endpoint, time in self.last_success.items() if endpoint in endpoints
+        }
 
     def forward(
         self,
@@ -68,156 +76,179 @@
         after: Callable[[], bool],
         started: Callable[[], None],
     ) -> Coroutine[Forwarded]:
-        """One statement at one server. The answer is in the `Order`; its server is for the session to
-        keep."""
-        order: Order = given.body
+        """Make one attempt at one server, whose response is stored in the `CommandRequest`.
+
+        The attempt is cancelled when `before` (until the command is sent) or `after` (until the response is
+        complete) returns True. `started` is called when streaming starts. On success the session owns the
+        server connection.
+        """
+        request: CommandRequest = given.body
         connect_time = min(self.settings.connect_times[given.type_index], self.settings.drain_grace)
         try:
             connect_until = min(until, self.loop.now() + connect_time)
-            server = yield from self.servers.take(
-                (endpoint, address), order.account, order.sets, connect_until, before
+            server = yield from self.servers.acquire(
+                (endpoint, address), request.account, request.variables, connect_until, before
             )
         except OutOfSockets:
             return Forwarded(AttemptOutcome.NOT_SENT)
-        except Refused as fault:
-            order.why = str(fault)
-            if not fault.full:
-                log.warning("server refuses", extra={"fields": {"endpoint": endpoint, **fault.fields()}})
-            return Forwarded(AttemptOutcome.OVERLOADED if fault.full else AttemptOutcome.NOT_CONNECTED)
+        except Refused as error:
+            request.failure = str(error)
+            if not error.full:
+                log.warning(
+                    "server refused the connection",
+                    extra={"fields": {"endpoint": endpoint, **error.fields()}},
+                )
+            return Forwarded(AttemptOutcome.OVERLOADED if error.full else AttemptOutcome.NOT_CONNECTED)
         except (Broken, Late):
             return Forwarded(AttemptOutcome.NOT_CONNECTED)
         except Unwanted:
             return Forwarded(AttemptOutcome.CANCELLED)
-        came = yield from self.run(order, server, until, given.expires_at, before, after, started)
-        if came.outcome is AttemptOutcome.SERVED:
-            self.heard[endpoint] = self.loop.now()
+        result = yield from self.run(request, server, until, given.expires_at, before, after, started)
+        if result.outcome is AttemptOutcome.SERVED:
+            self.last_success[endpoint] = self.loop.now()
         elif (
-            came.outcome is AttemptOutcome.TIMED_OUT
-            and self.heard.get(endpoint, -math.inf) < self.loop.now() - 1
+            result.outcome is AttemptOutcome.TIMED_OUT
+            and self.last_success.get(endpoint, -math.inf) < self.loop.now() - 1
         ):
             self.servers.drop((endpoint, address))
-        return came
+        return result
 
     def run(
         self,
-        order: Order,
-        server: Server,
+        request: CommandRequest,
+        server: ServerConnection,
         until: float,
         expires_at: float,
         before: Unless,
         after: Unless,
         started: Callable[[], None],
     ) -> Coroutine[Forwarded]:
-        """The statement on a connection, which is closed unless the answer is whole."""
+        """Run the command on a connection, which is closed unless the response is complete."""
         sent = False
         try:
             server.connection.mine()
-            yield from self.servers.bring(
-                server, order.database, order.sets, order.insert_id, order.held_by, until, before
+            yield from self.servers.apply_session_state(
+                server, request.database, request.variables, request.insert_id, request.pinned, until, before
             )
-            body = order.body
-            if order.command is Command.PREPARE:
-                yield from self.servers.room_to_prepare(server, order.sql, until, before)
-            if order.command is Command.EXECUTE:
-                prepared = yield from self.servers.prepare(server, order.sql, until, before)
+            body = request.body
+            if request.command is Command.PREPARE:
+                yield from self.servers.evict_prepared(server, request.sql, until, before)
+            if request.command is Command.EXECUTE:
+                prepared = yield from self.servers.prepare(server, request.sql, until, before)
                 body = prepared.id.to_bytes(4, "little") + body
-                yield from self.send_long(order, server, prepared.id, until, before)
+                yield from self.send_long_data(request, server, prepared.id, until, before)
             if before is not None and before():
                 raise Unwanted
-            yield from self.servers.write(server, bytes((order.command,)) + body, until, before)
+            yield from self.servers.send_command(server, bytes((request.command,)) + body, until, before)
             sent = True
-            answer = yield from self.answer(order, server, until, expires_at, after, started)
-        except Refused as fault:  # of a command before it: the statement itself was not sent
-            order.why = str(fault)
+            response = yield from self.read_response(request, server, until, expires_at, after, started)
+        except Refused as error:  # by a preparatory command; the statement itself was not sent
+            request.failure = str(error)
             self.servers.close(server)
             return Forwarded(AttemptOutcome.NOT_CONNECTED)
         except Unwanted:
             self.servers.close(server)
-            return Forwarded(AttemptOutcome.CANCELLED, broke=order.streamed)
+            return Forwarded(AttemptOutcome.CANCELLED, broke=request.streamed)
         except Late:
             self.servers.close(server)
             return Forwarded(
-                AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.NOT_CONNECTED, broke=order.streamed
+                AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.NOT_CONNECTED, broke=request.streamed
             )
-        except (Broken, Malformed) as fault:
-            order.why = str(fault)
+        except (Broken, Malformed) as error:
+            request.failure = str(error)
             self.servers.close(server)
             return Forwarded(
-                AttemptOutcome.RESET if sent else AttemptOutcome.NOT_CONNECTED, broke=order.streamed
+                AttemptOutcome.RESET if sent else AttemptOutcome.NOT_CONNECTED, broke=request.streamed
             )
-        order.server, order.answer = server, answer
-        if answer.error is not None and answer.error.code in SHUT_DOWN + FULL_CODES and not order.streamed:
-            order.why = f"{answer.error.code} {answer.error.message}"[:200]
+        request.server, request.response = server, response
+        if (
+            response.error is not None
+            and response.error.code in SHUTDOWN_CODES + FULL_CODES
+            and not request.streamed
+        ):
+            request.failure = f"{response.error.code} {response.error.message}"[:200]
             self.servers.close(server)
-            order.server = None
-            order.held.clear()
+            request.server = None
+            request.buffered.clear()
             return Forwarded(AttemptOutcome.ERROR)
-        return Forwarded(AttemptOutcome.SERVED, order)
+        return Forwarded(AttemptOutcome.SERVED, request)
 
-    def send_long(
-        self, order: Order, server: Server, id: int, until: float, before: Unless
+    def send_long_data(
+        self,
+        request: CommandRequest,
+        server: ServerConnection,
+        statement_id: int,
+        until: float,
+        before: Unless,
     ) -> Coroutine[None]:
-        head = bytes((Command.LONG_DATA,)) + id.to_bytes(4, "little")
-        if order.long_data:
-            yield from self.servers.ask(server, Command.RESET, id.to_bytes(4, "little"), until, before)
-        for parameter, data in order.long_data.items():
-            for at in range(0, max(len(data), 1), LONG_CHUNK):
-                part = head + parameter.to_bytes(2, "little") + data[at : at + LONG_CHUNK]
-                yield from server.connection.send(packets(part, 0), until, before)
-
-    def answer(
+        """Send the parameter data of COM_STMT_SEND_LONG_DATA, replacing what the server has."""
+        header = bytes((Command.LONG_DATA,)) + statement_id.to_bytes(4, "little")
+        if request.long_data:
+            yield from self.servers.run_internal(
+                server, Command.RESET, statement_id.to_bytes(4, "little"), until, before
+            )
+        for parameter, data in request.long_data.items():
+            for offset in range(0, max(len(data), 1), LONG_DATA_CHUNK):
+                packet = header + parameter.to_bytes(2, "little") + data[offset : offset + LONG_DATA_CHUNK]
+                yield from server.connection.send(packets(packet, 0), until, before)
+
+    def read_response(
         self,
-        order: Order,
-        server: Server,
+        request: CommandRequest,
+        server: ServerConnection,
         until: float,
         expires_at: float,
         after: Unless,
         started: Callable[[], None],
-    ) -> Coroutine[AnswerReader]:
-        """Follows the answer to its end; what is over HELD goes to the client while it comes.
-
-        From then on `until` bounds each silence of the server alone: no other forward can answer."""
-        reader, answer = server.reader, AnswerReader(server.account.can, order.command)
-        patience = until - self.loop.now()
-
-        def over() -> bool:  # guards against a server that is held, or blamed, for a client that has left
-            left = order.streamed and order.client is not None and order.client.ended
-            return left or (after is not None and after())
-
-        continued = whole = False
-        order.held.clear()
-        while not whole:
+    ) -> Coroutine[ResponseReader]:
+        """Read the response to its end, streaming to the client once it reaches STREAM_THRESHOLD bytes.
+
+        From then on `until` limits only each silence of the server, as no other attempt can respond.
+        """
+        reader, response = server.reader, ResponseReader(server.account.capabilities, request.command)
+        silence_limit = until - self.loop.now()
+
+        def cancelled() -> bool:
+            # Without this check, a client that disconnects would keep the server busy, or count as its failure.
+            client_left = request.streamed and request.client is not None and request.client.ended
+            return client_left or (after is not None and after())
+
+        continued = complete = False
+        request.buffered.clear()
+        while not complete:
             packet = reader.packet()
             if packet is None:
                 server.connection.mine()
-                data = yield from server.connection.await_bytes(until, over)
+                data = yield from server.connection.await_bytes(until, cancelled)
                 if not data:
-                    raise Broken("the server ended the connection")
+                    raise Broken("the server closed the connection")
                 reader.receive(data)
                 continue
-            whole = answer.packet(packet.payload, continued)
+            complete = response.packet(packet.payload, continued)
             continued = packet.more
             size = len(packet.payload)
-            order.held += (size | (packet.sequence & 0xFF) << 24).to_bytes(4, "little")
-            order.held += packet.payload
-            if order.client is not None and len(order.held) >= HELD and not whole:
-                if not order.streamed:
-                    order.streamed = True
+            request.buffered += (size | (packet.sequence & 0xFF) << 24).to_bytes(4, "little")
+            request.buffered += packet.payload
+            if request.client is not None and len(request.buffered) >= STREAM_THRESHOLD and not complete:
+                if not request.streamed:
+                    request.streamed = True
                     started()
-                yield from self.flush(order, expires_at)
-                until = min(self.loop.now() + patience, expires_at)
-        return answer
-
-    def flush(self, order: Order, until: float) -> Coroutine[None]:
-        assert order.client is not None
-        data = bytes(order.held)
-        order.held.clear()
-        # The client may be slow for as long as the exchange lasts: the server waits meanwhile.
+                yield from self.flush(request, expires_at)
+                until = min(self.loop.now() + silence_limit, expires_at)
+        return response
+
+    def flush(self, request: CommandRequest, until: float) -> Coroutine[None]:
+        """Send the buffered part of the response to the client; raises Unwanted if it has disconnected."""
+        assert request.client is not None
+        data = bytes(request.buffered)
+        request.buffered.clear()
+        # The client may read slowly until the request expires; the server waits meanwhile.
         try:
-            client = order.client
+            client = request.client
             yield from client.send(data, until, lambda: client.closed)
         except Broken:
             raise Unwanted from None
 
-    def in_transaction(self, order: Order) -> bool:
-        return order.answer is not None and bool(order.answer.status & Status.IN_TRANSACTION)
+    def in_transaction(self, request: CommandRequest) -> bool:
+        """Return whether the response left a transaction open."""
+        return request.response is not None and bool(request.response.status & Status.IN_TRANSACTION)
--- a/rainspindle/fronts/mysql/front.py
+++ b/rainspindle/fronts/mysql/front.py
@@ -1,8 +1,8 @@
-"""Clients that speak the MySQL wire protocol: each statement is an exchange.
+"""Serves clients that speak the MySQL wire protocol; each statement is a request to the balancer.
 
-A session that has left something behind is pinned to its server connection until that is provably gone; the
-others share connections. The answer to a statement is one: what the server said, or one ERR that tells what
-is known.
+A session with state on a server is pinned to its connection until that state is known to be gone; other
+sessions share connections. The client gets the server's response, or one ERR packet that says whether the
+statement may have run.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 
 from ...balancer.host import AttemptOutcome
-from ...decisions.statements.statements import Meant, Statements
+from ...decisions.statements.statements import Classification, Statements
 from ...protocol.mysql import auth
 from ...protocol.mysql.messages import (
-    NEEDED,
-    OURS,
-    Can,
+    REQUIRED_CAPABILITIES,
+    SUPPORTED_CAPABILITIES,
+    Capability,
     Command,
     Err,
     Greeting,
@@ -28,23 +28,29 @@
     Ok,
     Prepared,
     Status,
-    switch,
+    encode_auth_switch,
 )
 from ...protocol.mysql.wire import Cursor, Malformed, PacketReader, packets
 from ...routing.core import Broke, Core, Final, Finished, Given, Left, Rejected, Taker
 from ...transport.connection import Broken, Connection, Late, Unwanted
 from ...transport.loop import Coroutine, Loop
-from .back import MysqlBack, Order
-from .servers import Account, Server
+from .back import CommandRequest, MysqlBack
+from .servers import Account, ServerConnection
 
 log = logging.getLogger("rainspindle.mysql")
 
 VERSION = "8.0.36-rainspindle"
-MOST_PAYLOAD = 64 * 1024 * 1024  # of a command; long data too
-MOST_STATEMENTS = 1000  # prepared, of one session
-LOGIN_TIME, COMMAND_TIME = 5.0, 30.0  # for a log-in; for a command, from its first byte on
-FLAGS = Can.FOUND_ROWS | Can.MULTI_STATEMENTS | Can.MULTI_RESULTS | Can.PS_MULTI_RESULTS | Can.DEPRECATE_EOF
-DENIED, UNKNOWN_COMMAND, MALFORMED, NOT_DONE, NO_STATEMENT, TOO_LARGE, NO_DATABASE = (
+MAX_PAYLOAD = 64 * 1024 * 1024  # limit in bytes for a command, and for the long data of a session
+MAX_STATEMENTS = 1000  # prepared statements per session
+LOGIN_TIMEOUT, COMMAND_TIMEOUT = 5.0, 30.0  # seconds; the latter from a command's first byte
+FORWARDED_CAPABILITIES = (
+    Capability.FOUND_ROWS
+    | Capability.MULTI_STATEMENTS
+    | Capability.MULTI_RESULTS
+    | Capability.PS_MULTI_RESULTS
+    | Capability.DEPRECATE_EOF
+)
+ACCESS_DENIED, UNKNOWN_COMMAND, MALFORMED, NOT_SUPPORTED, NO_STATEMENT, TOO_LARGE, NO_DATABASE = (
     (1045, "28000"),
     (1047, "08S01"),
     (1835, "HY000"),
@@ -63,32 +69,36 @@
     id: int
     sql: str
     parameters: int
-    types: bytes = b""  # as the client last told them
+    types: bytes = b""  # parameter types as the client last sent them
     long_data: dict[int, bytearray] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Session:
+    """A client's authenticated connection and its session state."""
+
     client: Connection
     number: int
     account: Account
-    can: Can
+    capabilities: Capability
     database: str = ""
-    sets: dict[str, str] = field(default_factory=dict)
+    variables: dict[str, str] = field(default_factory=dict)
     insert_id: int = 0
-    pinned: Server | None = None
-    left_behind: set[str] = field(default_factory=set)  # what pins it, but for an open transaction
+    pinned: ServerConnection | None = None
+    # Side effects that pin the session; an open transaction pins it as well.
+    pinning_effects: set[str] = field(default_factory=set)
     in_transaction: bool = False
     statements: OrderedDict[int, Statement] = field(default_factory=OrderedDict)
     last_statement: int = 0
 
     @property
     def name(self) -> str:
+        """Name used as the routing key where a rule gives no other."""
         return f"session {self.number}"
 
 
 class Fault(Exception):
-    """A command that gets an ERR; the session goes on."""
+    """Error sent to the client in response to a command; the session continues."""
 
     def __init__(self, code: tuple[int, str], message: str) -> None:
         super().__init__(message)
@@ -96,6 +106,8 @@
 
 
 class MysqlFront:
+    """Accepts clients, authenticates them and runs their commands."""
+
     def __init__(
         self,
         loop: Loop,
@@ -110,43 +122,47 @@
         self.statements, self.users, self.most_clients = statements, users, most_clients
         self.clients: dict[Connection, Session | None] = {}
         self.sessions = 0
-        self.leaving = self.closing = False  # SIGTERM has come; connections end when they are idle
+        self.leaving = self.closing = False  # shutting down: connections are closed once idle
         self.ready_from = -math.inf
         self.pins = self.refused = 0
 
     def accepted(self, client: Connection) -> None:
+        """Start serving a new client, or refuse it if there are too many."""
         if len(self.clients) >= self.most_clients or self.closing:
             self.refused += 1
             client.send_some(memoryview(packets(Err(1040, "08004", "Too many connections").encode(), 0)))
             client.close()
             return
         self.clients[client] = None
-        self.loop.spawn(self.serve(client), lambda: self.gone(client))
+        self.loop.spawn(self.serve(client), lambda: self.client_closed(client))
 
-    def gone(self, client: Connection) -> None:
+    def client_closed(self, client: Connection) -> None:
+        """Release what a finished client held."""
         session = self.clients.pop(client, None)
         if session is not None and session.pinned is not None:
-            self.back.servers.close(session.pinned)  # with it goes whatever the session left behind
+            self.back.servers.close(session.pinned)  # discards the session's state on the server
             session.pinned = None
         client.close()
 
     def make_room(self) -> bool:
+        """Return False: no client is closed to admit another."""
         return False
 
     def set_stream_memory(self, size: int) -> None:
-        """Nothing is passed on piece by piece here."""
+        """Do nothing: the MySQL front allots no stream memory."""
 
     def trim_clients(self) -> None:
-        """Sessions may lie idle for as long as they like: they hold no server unless they are pinned."""
+        """Do nothing: idle sessions may stay, as they hold no server connection unless pinned."""
 
     def finish_clients(self, idle: float = 0.0) -> bool:
-        """Sessions end as soon as they are idle, whatever `idle` says."""
+        """Wake all clients, so that idle sessions end; `idle` is ignored. Returns whether none is left."""
         for client in list(self.clients):
             client.wake()
         return not self.clients
 
     def serve(self, client: Connection) -> Coroutine[None]:
-        reader = PacketReader(MOST_PAYLOAD)
+        """Run a client's commands until it disconnects or the sidecar shuts down."""
+        reader = PacketReader(MAX_PAYLOAD)
         try:
             session = yield from self.log_in(client, reader)
             if session is None:
@@ -154,23 +170,24 @@
             self.clients[client] = session
             while not client.closed and not (self.closing and session.pinned is None):
                 reader.restart()
-                payload = yield from self.command(client, reader)
+                payload = yield from self.read_command(client, reader)
                 if not payload or payload[0] == Command.QUIT:
                     return
                 try:
-                    out = yield from self.one(session, payload)
-                except Fault as fault:
-                    out = packets(fault.err.encode(), 1)
-                if out is None:
+                    response_bytes = yield from self.handle_command(session, payload)
+                except Fault as error:
+                    response_bytes = packets(error.err.encode(), 1)
+                if response_bytes is None:
                     return
-                yield from client.send(out, self.loop.now() + COMMAND_TIME)
-        except Malformed as fault:
+                yield from client.send(response_bytes, self.loop.now() + COMMAND_TIMEOUT)
+        except Malformed as error:
             client.mine()
-            yield from self.say(client, Err(*MALFORMED, f"malformed packet: {fault}"), 0)
+            yield from self.send_error(client, Err(*MALFORMED, f"malformed packet: {error}"), 0)
         except (Broken, Late, Unwanted):
             return
 
-    def say(self, client: Connection, err: Err, sequence: int) -> Coroutine[None]:
+    def send_error(self, client: Connection, err: Err, sequence: int) -> Coroutine[None]:
+        """Send an ERR packet, unless the client can't take it now."""
         if client.writable and not client.closed:
             try:
                 client.send_some(memoryview(packets(err.encode(), sequence)))
@@ -178,97 +195,110 @@
                 return
         yield from ()
 
-    def command(self, client: Connection, reader: PacketReader) -> Coroutine[bytes | None]:
+    def read_command(self, client: Connection, reader: PacketReader) -> Coroutine[bytes | None]:
+        """Read the next command; None if the client disconnected or an idle session ends by shutdown."""
         until = math.inf
         while (payload := reader.payload()) is None:
-            if reader.begun and until == math.inf:
-                until = self.loop.now() + COMMAND_TIME
+            if reader.has_partial_payload and until == math.inf:
+                until = self.loop.now() + COMMAND_TIMEOUT
             client.mine()
             data = yield from client.await_bytes(
-                until, lambda: client.closed or (self.closing and not reader.begun)
+                until, lambda: client.closed or (self.closing and not reader.has_partial_payload)
             )
             if not data:
                 return None
             reader.receive(data)
         return payload
 
-    # The log-in.
+    # Authentication.
 
     def log_in(self, client: Connection, reader: PacketReader) -> Coroutine[Session | None]:
-        until = self.loop.now() + LOGIN_TIME
-        nonce = bytes(1 + b % 255 for b in secrets.token_bytes(20))  # no byte is zero: it goes as a string
+        """Run the handshake; returns None if the client was refused."""
+        until = self.loop.now() + LOGIN_TIMEOUT
+        # Without zero bytes, as the nonce is sent as a NUL-terminated string.
+        nonce = bytes(1 + byte % 255 for byte in secrets.token_bytes(20))
         self.sessions += 1
-        greeting = Greeting(VERSION, self.sessions & 0xFFFFFFFF, nonce, OURS, auth.CACHING)
+        greeting = Greeting(VERSION, self.sessions & 0xFFFFFFFF, nonce, SUPPORTED_CAPABILITIES, auth.CACHING)
         yield from client.send(packets(greeting.encode(), 0), until)
         reader.restart(1)
-        reader.most = 64 * 1024
-        login = Login.decode((yield from self.packet(client, reader, until)))
-        account = yield from self.prove(client, reader, login, nonce, until)
-        reader.most = MOST_PAYLOAD
+        reader.max_payload = 64 * 1024
+        login = Login.decode((yield from self.read_payload(client, reader, until)))
+        account = yield from self.authenticate(client, reader, login, nonce, until)
+        reader.max_payload = MAX_PAYLOAD
         if account is None:
             return None
-        session = Session(client, self.sessions, account, login.can & OURS, login.database)
-        yield from client.send(packets(Ok().encode(session.can), reader.sequence), until)
+        session = Session(
+            client, self.sessions, account, login.capabilities & SUPPORTED_CAPABILITIES, login.database
+        )
+        yield from client.send(packets(Ok().encode(session.capabilities), reader.sequence), until)
         return session
 
-    def packet(self, client: Connection, reader: PacketReader, until: float) -> Coroutine[bytes]:
+    def read_payload(self, client: Connection, reader: PacketReader, until: float) -> Coroutine[bytes]:
+        """Read a payload during the handshake; raises Broken if the client disconnects."""
         while (payload := reader.payload()) is None:
             data = yield from client.await_bytes(until, lambda: client.closed)
             if not data:
-                raise Broken("the client left")
+                raise Broken("the client closed the connection")
             reader.receive(data)
         return payload
 
-    def prove(
+    def authenticate(
         self, client: Connection, reader: PacketReader, login: Login, nonce: bytes, until: float
     ) -> Coroutine[Account | None]:
-        """The account, once the password is proved."""
-        if login.can & NEEDED != NEEDED:
-            yield from self.say(client, Err(*NOT_DONE, "a client of protocol 4.1 is needed"), reader.sequence)
+        """Authenticate the client; returns None after an ERR packet."""
+        if login.capabilities & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES:
+            yield from self.send_error(
+                client,
+                Err(*NOT_SUPPORTED, "the client must support protocol 4.1 and secure connections"),
+                reader.sequence,
+            )
             return None
-        plugin, proof = login.plugin, login.proof
-        if plugin not in auth.PROOFS:
+        plugin, auth_response = login.plugin, login.auth_response
+        if plugin not in auth.RESPONSE_FUNCTIONS:
             plugin = auth.CACHING
-            yield from client.send(packets(switch(plugin, nonce), reader.sequence), until)
+            yield from client.send(packets(encode_auth_switch(plugin, nonce), reader.sequence), until)
             reader.restart(reader.sequence + 1)
-            proof = yield from self.packet(client, reader, until)
+            auth_response = yield from self.read_payload(client, reader, until)
         password = self.users.get(login.user)
-        # One who is not known takes as long as one with a wrong password.
-        good = auth.proves(plugin, proof, password if password is not None else nonce, nonce)
-        if password is None or not good:
-            who = f"Access denied for user '{login.user[:32]}'"
-            yield from self.say(client, Err(*DENIED, who), reader.sequence)
+        # An unknown user takes as long as a wrong password, so timing doesn't reveal which users exist.
+        verified = auth.verify_response(
+            plugin, auth_response, password if password is not None else nonce, nonce
+        )
+        if password is None or not verified:
+            message = f"Access denied for user '{login.user[:32]}'"
+            yield from self.send_error(client, Err(*ACCESS_DENIED, message), reader.sequence)
             return None
-        if plugin == auth.CACHING and proof:
+        if plugin == auth.CACHING and auth_response:
             yield from client.send(packets(bytes((1, auth.FAST_OK)), reader.sequence), until)
             reader.restart(reader.sequence + 1)
         return Account(
             login.user,
             password,
-            login.can & OURS & (FLAGS | NEEDED)
-            | Can.PLUGIN_AUTH
-            | NEEDED
-            | Can.PLUGIN_AUTH_LENENC
-            | Can.TRANSACTIONS
-            | Can.LONG_PASSWORD
-            | Can.LONG_FLAG,
+            login.capabilities & SUPPORTED_CAPABILITIES & (FORWARDED_CAPABILITIES | REQUIRED_CAPABILITIES)
+            | Capability.PLUGIN_AUTH
+            | REQUIRED_CAPABILITIES
+            | Capability.PLUGIN_AUTH_LENENC
+            | Capability.TRANSACTIONS
+            | Capability.LONG_PASSWORD
+            | Capability.LONG_FLAG,
         )
 
-    # One command: its bytes to the client, None where the connection is to end.
+    # Commands. Handlers return the bytes for the client, or None if its connection must be closed.
 
-    def one(self, session: Session, payload: bytes) -> Coroutine[bytes | None]:
+    def handle_command(self, session: Session, payload: bytes) -> Coroutine[bytes | None]:
+        """Run one command."""
         code, body = payload[0], payload[1:]
         try:
             command = Command(code)
         except ValueError:
             raise Fault(UNKNOWN_COMMAND, f"unknown command {code}") from None
         if command is Command.PING:
-            return self.ok(session)
+            return self.ok_packet(session)
         if command is Command.INIT_DB:
-            return (yield from self.use(session, body.decode("utf-8", "replace")))
+            return (yield from self.change_database(session, body.decode("utf-8", "replace")))
         if command is Command.RESET_CONNECTION:
-            self.clean(session)
-            return self.ok(session)
+            self.reset_session(session)
+            return self.ok_packet(session)
         if command is Command.QUERY:
             return (yield from self.query(session, body))
         if command is Command.PREPARE:
@@ -276,257 +306,294 @@
         if command is Command.EXECUTE:
             return (yield from self.execute(session, body))
         if command in (Command.LONG_DATA, Command.CLOSE, Command.RESET):
-            return self.of_statement(session, command, body)
-        raise Fault(NOT_DONE, f"{command.name} is not passed on")
+            return self.handle_statement_command(session, command, body)
+        raise Fault(NOT_SUPPORTED, f"{command.name} is not supported")
 
-    def ok(self, session: Session) -> bytes:
+    def ok_packet(self, session: Session) -> bytes:
+        """Return an OK packet with the session's status."""
         status = Status.AUTOCOMMIT | (Status.IN_TRANSACTION if session.in_transaction else Status(0))
-        return packets(Ok(status=status).encode(session.can), 1)
+        return packets(Ok(status=status).encode(session.capabilities), 1)
 
-    def clean(self, session: Session) -> None:
-        """As after a log-in, but for the database."""
+    def reset_session(self, session: Session) -> None:
+        """Reset the session to its state after log-in, except for the database."""
         if session.pinned is not None:
             self.back.servers.close(session.pinned)
         session.pinned, session.in_transaction, session.insert_id = None, False, 0
-        session.left_behind.clear()
-        session.sets.clear()
+        session.pinning_effects.clear()
+        session.variables.clear()
         session.statements.clear()
 
-    def use(self, session: Session, database: str) -> Coroutine[bytes | None]:
+    def change_database(self, session: Session, database: str) -> Coroutine[bytes | None]:
+        """Change the database, at once on a pinned server connection."""
         if not database or len(database) > 64:
-            raise Fault(NO_DATABASE, "no database of this name")
+            raise Fault(NO_DATABASE, "expected a database name of 1 to 64 characters")
         if session.pinned is not None:
-            order = self.order(session, Command.INIT_DB, database.encode())
-            out = yield from self.on_pinned(session, order, self.statements.default)
-            if order.answer is not None and order.answer.error is None:
+            request = self.make_request(session, Command.INIT_DB, database.encode())
+            response_bytes = yield from self.run_pinned(session, request, self.statements.default)
+            if request.response is not None and request.response.error is None:
                 session.database = session.pinned.database = database
-            return out
-        session.database = database  # taken by the server that the next statement goes to
-        return self.ok(session)
-
-    def order(self, session: Session, command: Command, body: bytes, **more: object) -> Order:
-        return Order(
+            return response_bytes
+        session.database = database  # set on the server that runs the next statement
+        return self.ok_packet(session)
+
+    def make_request(
+        self, session: Session, command: Command, body: bytes, **options: object
+    ) -> CommandRequest:
+        """Build a request with the session's current state."""
+        return CommandRequest(
             command,
             body,
             session.account,
             session.database,
-            dict(session.sets),
+            dict(session.variables),
             0,
             session.client,
-            **more,  # type: ignore[arg-type]
+            **options,  # type: ignore[arg-type]
         )
 
     def query(self, session: Session, body: bytes) -> Coroutine[bytes | None]:
+        """Run a text query; SET and USE alone need no server unless the session is pinned."""
         sql = body.decode("utf-8", "replace")
-        meant = self.statements.meaning(sql, session.account.user, session.name)
-        only_sets = meant.leaves <= {"set", "use"} and meant.leaves
+        classification = self.statements.meaning(sql, session.account.user, session.name)
+        only_sets = classification.side_effects <= {"set", "use"} and classification.side_effects
         if only_sets and session.pinned is None and ";" not in sql.rstrip().rstrip(";"):
-            # Kept by the session, and told to whichever server it goes to next.
-            session.sets.update(meant.sets)
-            session.database = meant.use or session.database
-            return self.ok(session)
-        return (yield from self.run(session, self.order(session, Command.QUERY, body), meant))
-
-    def run(self, session: Session, order: Order, meant: Meant) -> Coroutine[bytes | None]:
-        if "insert_id" in meant.leaves:
-            order.insert_id = session.insert_id
+            # Stored in the session and applied to the server that runs the next statement.
+            session.variables.update(classification.variables)
+            session.database = classification.use or session.database
+            return self.ok_packet(session)
+        return (
+            yield from self.run_request(
+                session, self.make_request(session, Command.QUERY, body), classification
+            )
+        )
+
+    def run_request(
+        self, session: Session, request: CommandRequest, classification: Classification
+    ) -> Coroutine[bytes | None]:
+        """Run a request on the pinned connection or through the balancer."""
+        if "insert_id" in classification.side_effects:
+            request.insert_id = session.insert_id
         if session.pinned is not None:
-            out = yield from self.on_pinned(session, order, meant.traffic_type)
+            response_bytes = yield from self.run_pinned(session, request, classification.traffic_type)
         else:
             now = self.loop.now()
             given = Given(
-                meant.traffic_type,
-                meant.key,
+                classification.traffic_type,
+                classification.key,
                 None,
                 False,
-                self.core.expiry(meant.traffic_type, now, None),
-                order,
+                self.core.expiry(classification.traffic_type, now, None),
+                request,
             )
             final = yield from self.taker.run(given, lambda: session.client.ended)
-            out = self.told(session, order, final)
-        self.after(session, order, meant)
-        return out
+            response_bytes = self.client_bytes(session, request, final)
+        self.update_session(session, request, classification)
+        return response_bytes
 
-    def told(self, session: Session, order: Order, final: Final) -> bytes | None:
+    def client_bytes(self, session: Session, request: CommandRequest, final: Final) -> bytes | None:
+        """Return the bytes for the client; raises Fault if the request was rejected or terminated."""
         if isinstance(final, Finished):
-            return bytes(order.held)
+            return bytes(request.buffered)
         if isinstance(final, Left | Broke):
             return None
-        why = f" ({order.why})" if order.why else ""
+        cause = f" ({request.failure})" if request.failure else ""
         if isinstance(final, Rejected):
-            wait = f", best after {final.hold_off:.1f} s" if final.hold_off > 0 else ""
-            harmless = "it may have run, and may run again" if final.ran else "it never ran"
-            raise Fault(REJECTED, f"rejected: {harmless}; trying again is harmless{wait}{why}")
-        raise Fault(TERMINATED, f"terminated: it may have run{why}")
-
-    def on_pinned(self, session: Session, order: Order, type_index: int) -> Coroutine[bytes | None]:
-        """On the server connection that the session holds: nowhere else, and once."""
+            delay = f", best after {final.hold_off:.1f} s" if final.hold_off > 0 else ""
+            effect = "it may have run, but may safely run again" if final.ran else "it never ran"
+            raise Fault(REJECTED, f"rejected: {effect}; retrying is safe{delay}{cause}")
+        raise Fault(TERMINATED, f"terminated: it may have run{cause}")
+
+    def run_pinned(
+        self, session: Session, request: CommandRequest, type_index: int
+    ) -> Coroutine[bytes | None]:
+        """Run a request once, on the server connection that the session is pinned to."""
         server = session.pinned
         assert server is not None
-        directory, (endpoint, address) = self.core.directory, server.place
-        since = directory.draining.get(endpoint)
-        late = since is not None and self.loop.now() - since > self.core.settings.drain_grace
+        directory, (endpoint, address) = self.core.directory, server.target
+        draining_since = directory.draining.get(endpoint)
+        grace_over = (
+            draining_since is not None and self.loop.now() - draining_since > self.core.settings.drain_grace
+        )
         if (
             directory.addresses.get(endpoint) != address
-            or late
-            or (since is not None and not session.in_transaction)
+            or grace_over
+            or (draining_since is not None and not session.in_transaction)
         ):
-            lost = self.lose(session)
-            raise Fault(STATE_LOST, f"never ran: the server leaves, and with it {lost}")
-        order.sets, order.database, order.held_by = dict(server.sets), server.database, True
+            lost = self.discard_pinned(session)
+            raise Fault(
+                STATE_LOST, f"never ran: the server is draining or was removed; lost session state: {lost}"
+            )
+        request.variables, request.database, request.pinned = dict(server.variables), server.database, True
         until = self.core.expiry(type_index, self.loop.now(), None)
 
-        def left() -> bool:
+        def client_left() -> bool:
             return session.client.ended
 
-        came = yield from self.back.run(order, server, until, until, left, left, lambda: None)
-        if came.outcome is AttemptOutcome.SERVED:
-            return bytes(order.held)
-        lost = self.lose(session)
-        if came.broke or left():
+        result = yield from self.back.run(
+            request, server, until, until, client_left, client_left, lambda: None
+        )
+        if result.outcome is AttemptOutcome.SERVED:
+            return bytes(request.buffered)
+        lost = self.discard_pinned(session)
+        if result.broke or client_left():
             return None
-        never = came.outcome is AttemptOutcome.NOT_CONNECTED
+        never_ran = result.outcome is AttemptOutcome.NOT_CONNECTED
         raise Fault(
-            STATE_LOST if never else TERMINATED,
-            f"{'never ran' if never else 'terminated: it may have run'}; with the server went {lost}",
+            STATE_LOST if never_ran else TERMINATED,
+            f"{'never ran' if never_ran else 'terminated: it may have run'}; "
+            f"the server connection was lost, and with it: {lost}",
         )
 
-    def lose(self, session: Session) -> str:
-        """The pinned connection is gone: what went with it, in words. The session is clean again."""
-        lost = sorted(session.left_behind) + (["the open transaction"] if session.in_transaction else [])
+    def discard_pinned(self, session: Session) -> str:
+        """Reset a session whose pinned connection is lost; returns a description of the lost state."""
+        lost = sorted(session.pinning_effects) + (["the open transaction"] if session.in_transaction else [])
         statements = session.statements
         session.statements = OrderedDict()
-        self.clean(session)
-        session.statements = statements  # they are the front's own
+        self.reset_session(session)
+        session.statements = statements  # the sidecar keeps prepared statements itself
         return ", ".join(lost) or "nothing"
 
-    def after(self, session: Session, order: Order, meant: Meant) -> None:
-        """What the statement left behind, and so whether the connection is kept or given back."""
-        server, answer = order.server, order.answer
-        if server is None or answer is None:
+    def update_session(
+        self, session: Session, request: CommandRequest, classification: Classification
+    ) -> None:
+        """Record the statement's side effects, and pin or release the connection accordingly."""
+        server, response = request.server, request.response
+        if server is None or response is None:
             return
-        if answer.error is None:
-            session.sets.update(meant.sets)
-            session.database = meant.use or session.database
-            server.sets.update(meant.sets)
-            server.database = meant.use or server.database
-            session.left_behind |= {name for name in meant.leaves if meant.pins and name != "set"}
-        elif meant.pins:
-            session.left_behind |= {"unknown"}  # of several statements some may have run
-        if answer.ok is not None and answer.ok.insert_id:
-            session.insert_id = server.insert_id = answer.ok.insert_id
-            server.unclean = True
-        if answer.error is None:
-            session.in_transaction = bool(answer.status & Status.IN_TRANSACTION)
-            if answer.status & Status.AUTOCOMMIT:
-                session.left_behind.discard("autocommit")
-        if session.left_behind or session.in_transaction:
+        if response.error is None:
+            session.variables.update(classification.variables)
+            session.database = classification.use or session.database
+            server.variables.update(classification.variables)
+            server.database = classification.use or server.database
+            session.pinning_effects |= {
+                name for name in classification.side_effects if classification.pins and name != "set"
+            }
+        elif classification.pins:
+            session.pinning_effects |= {"unknown"}  # some of several statements may have run
+        if response.ok is not None and response.ok.insert_id:
+            session.insert_id = server.insert_id = response.ok.insert_id
+            server.needs_reset = True
+        if response.error is None:
+            session.in_transaction = bool(response.status & Status.IN_TRANSACTION)
+            if response.status & Status.AUTOCOMMIT:
+                session.pinning_effects.discard("autocommit")
+        if session.pinning_effects or session.in_transaction:
             if session.pinned is None:
                 self.pins += 1
             session.pinned = server
             return
         session.pinned = None
-        self.back.servers.give(server)
+        self.back.servers.release(server)
 
     # Prepared statements.
 
     def prepare(self, session: Session, body: bytes) -> Coroutine[bytes | None]:
-        if len(session.statements) >= MOST_STATEMENTS:
+        """Prepare a statement on a server and replace the server's id by the session's own."""
+        if len(session.statements) >= MAX_STATEMENTS:
             session.statements.popitem(last=False)
         sql = body.decode("utf-8", "replace")
-        meant = self.statements.meaning(sql, session.account.user, session.name)
-        order = self.order(session, Command.PREPARE, body, sql=sql)
-        order.client = None
-        # To prepare runs nothing; it goes where the statement would.
-        harmless = Meant(meant.traffic_type, meant.key, frozenset())
-        out = yield from self.run(session, order, harmless)
-        if out is None or order.answer is None or order.answer.prepared is None:
-            return out
-        told = order.answer.prepared
-        if order.server is not None:
-            order.server.prepared[sql] = told
+        classification = self.statements.meaning(sql, session.account.user, session.name)
+        request = self.make_request(session, Command.PREPARE, body, sql=sql)
+        request.client = None
+        # Preparing runs nothing; the key sends it to the server that would run the statement.
+        no_effects = Classification(classification.traffic_type, classification.key, frozenset())
+        response_bytes = yield from self.run_request(session, request, no_effects)
+        if response_bytes is None or request.response is None or request.response.prepared is None:
+            return response_bytes
+        prepared = request.response.prepared
+        if request.server is not None:
+            request.server.prepared[sql] = prepared
         session.last_statement += 1
-        statement = Statement(session.last_statement, sql, told.parameters)
+        statement = Statement(session.last_statement, sql, prepared.parameters)
         session.statements[statement.id] = statement
-        head = Prepared(statement.id, told.columns, told.parameters, told.warnings).encode()
-        return out[:4] + head + out[4 + len(head) :]
-
-    def statement(self, session: Session, body: bytes) -> Statement:
-        id = Cursor(body).number(4)
-        found = session.statements.get(id)
-        if found is None:
-            raise Fault(NO_STATEMENT, f"Unknown prepared statement handler ({id})")
-        session.statements.move_to_end(id)
-        return found
-
-    def of_statement(self, session: Session, command: Command, body: bytes) -> bytes:
+        header = Prepared(statement.id, prepared.columns, prepared.parameters, prepared.warnings).encode()
+        return response_bytes[:4] + header + response_bytes[4 + len(header) :]
+
+    def find_statement(self, session: Session, body: bytes) -> Statement:
+        """Return the prepared statement that the command names; raises Fault if there is none."""
+        statement_id = Cursor(body).number(4)
+        statement = session.statements.get(statement_id)
+        if statement is None:
+            raise Fault(NO_STATEMENT, f"Unknown prepared statement handler ({statement_id})")
+        session.statements.move_to_end(statement_id)
+        return statement
+
+    def handle_statement_command(self, session: Session, command: Command, body: bytes) -> bytes:
+        """Handle COM_STMT_SEND_LONG_DATA, COM_STMT_CLOSE and COM_STMT_RESET, which need no server."""
         if command is Command.CLOSE:
             session.statements.pop(Cursor(body).number(4), None)
             return b""
         if command is Command.RESET:
-            self.statement(session, body).long_data.clear()
-            return self.ok(session)
-        c = Cursor(body, 4)
+            self.find_statement(session, body).long_data.clear()
+            return self.ok_packet(session)
+        cursor = Cursor(body, 4)
         try:
-            statement, parameter = self.statement(session, body), c.number(2)
+            statement, parameter = self.find_statement(session, body), cursor.number(2)
         except Fault:
-            return b""  # long data has no answer; the EXECUTE will have one
+            return b""  # long data has no response; EXECUTE reports the error
         data = statement.long_data.setdefault(parameter, bytearray())
-        data += c.rest()
-        held = sum(len(d) for s in session.statements.values() for d in s.long_data.values())
-        if held > MOST_PAYLOAD or parameter >= statement.parameters:
-            session.statements.pop(statement.id)  # its EXECUTE gets an error
+        data += cursor.rest()
+        total_size = sum(
+            len(chunk)
+            for session_statement in session.statements.values()
+            for chunk in session_statement.long_data.values()
+        )
+        if total_size > MAX_PAYLOAD or parameter >= statement.parameters:
+            session.statements.pop(statement.id)  # EXECUTE reports the error
         return b""
 
     def execute(self, session: Session, body: bytes) -> Coroutine[bytes | None]:
-        statement = self.statement(session, body)
-        c = Cursor(body, 4)
-        c.take(1)  # a cursor is not kept: the whole result comes at once
-        c.take(4)
+        """Run a prepared statement."""
+        statement = self.find_statement(session, body)
+        cursor = Cursor(body, 4)
+        cursor.take(1)  # cursor flags: cursors are not supported, the whole result is sent at once
+        cursor.take(4)  # iteration count
         values: list[str | None] = [None] * statement.parameters
-        rest = b"\0" + struct.pack("<I", 1)
+        body_rest = b"\0" + struct.pack("<I", 1)
         if statement.parameters:
-            nulls = c.take((statement.parameters + 7) // 8)
-            if c.number(1):
-                statement.types = c.take(2 * statement.parameters)
+            null_bitmap = cursor.take((statement.parameters + 7) // 8)
+            if cursor.number(1):
+                statement.types = cursor.take(2 * statement.parameters)
             if len(statement.types) != 2 * statement.parameters:
-                raise Malformed("parameters without their types")
-            data = c.rest()
-            values = parameters(statement, nulls, data)
-            rest += nulls + b"\1" + statement.types + data
-        meant = self.statements.meaning(statement.sql, session.account.user, session.name, values)
-        order = self.order(
+                raise Malformed("expected the parameter types with the first EXECUTE")
+            data = cursor.rest()
+            values = parameter_values(statement, null_bitmap, data)
+            body_rest += null_bitmap + b"\1" + statement.types + data
+        classification = self.statements.meaning(statement.sql, session.account.user, session.name, values)
+        request = self.make_request(
             session,
             Command.EXECUTE,
-            rest,
+            body_rest,
             sql=statement.sql,
-            long_data={n: bytes(d) for n, d in statement.long_data.items()},
+            long_data={index: bytes(chunk) for index, chunk in statement.long_data.items()},
         )
-        out = yield from self.run(session, order, meant)
+        response_bytes = yield from self.run_request(session, request, classification)
         statement.long_data.clear()
-        return out
-
-
-WIDTHS = {1: 1, 2: 2, 13: 2, 3: 4, 9: 4, 8: 8}  # integers
-OTHERS = {4: 4, 5: 8, 6: 0}  # float, double, null
-DATES = (7, 10, 11, 12)
-
-
-def parameters(statement: Statement, nulls: bytes, data: bytes) -> list[str | None]:
-    """The values that can be keys, as text; the others are None."""
-    c, found = Cursor(data), list[str | None]()
-    for n in range(statement.parameters):
-        kind, unsigned = statement.types[2 * n], statement.types[2 * n + 1] & 0x80
-        if nulls[n // 8] >> n % 8 & 1 or n in statement.long_data:
-            found.append(None)
-        elif kind in WIDTHS:
-            found.append(str(int.from_bytes(c.take(WIDTHS[kind]), "little", signed=not unsigned)))
-        elif kind in OTHERS:
-            c.take(OTHERS[kind])
-            found.append(None)
-        elif kind in DATES:
-            c.take(c.number(1))
-            found.append(None)
+        return response_bytes
+
+
+INTEGER_SIZES = {1: 1, 2: 2, 13: 2, 3: 4, 9: 4, 8: 8}  # integers: bytes by type code
+FIXED_SIZES = {4: 4, 5: 8, 6: 0}  # float, double, null: bytes by type code
+DATE_TYPES = (7, 10, 11, 12)  # timestamp, date, time, datetime
+
+
+def parameter_values(statement: Statement, null_bitmap: bytes, data: bytes) -> list[str | None]:
+    """Return the parameter values that can serve as keys, as text; None for the others."""
+    cursor, values = Cursor(data), list[str | None]()
+    for index in range(statement.parameters):
+        kind, unsigned = statement.types[2 * index], statement.types[2 * index + 1] & 0x80
+        if null_bitmap[index // 8] >> index % 8 & 1 or index in statement.long_data:
+            values.append(None)
+        elif kind in INTEGER_SIZES:
+            values.append(
+                str(int.from_bytes(cursor.take(INTEGER_SIZES[kind]), "little", signed=not unsigned))
+            )
+        elif kind in FIXED_SIZES:
+            cursor.take(FIXED_SIZES[kind])
+            values.append(None)
+        elif kind in DATE_TYPES:
+            cursor.take(cursor.number(1))
+            values.append(None)
         else:
-            found.append(c.lenenc_bytes().decode("utf-8", "replace"))
-    return found
+            values.append(cursor.lenenc_bytes().decode("utf-8", "replace"))
+    return values
--- a/rainspindle/fronts/mysql/servers.py
+++ b/rainspindle/fronts/mysql/servers.py
@@ -1,5 +1,4 @@
-"""Connections to database servers: logged in, kept, brought to the state that a session needs, or thrown
-away."""
+"""Pool of connections to database servers: authentication, reuse and session state."""
 
 from __future__ import annotations
 
@@ -9,188 +8,214 @@
 from ...errors import Trouble
 from ...protocol.mysql import auth
 from ...protocol.mysql.messages import (
-    NEEDED,
-    AnswerReader,
-    Can,
+    REQUIRED_CAPABILITIES,
+    Capability,
     Command,
     Err,
     Greeting,
     Login,
     Prepared,
-    decode_switch,
+    ResponseReader,
+    decode_auth_switch,
 )
 from ...protocol.mysql.wire import Malformed, Packet, PacketReader, count_packets, packets
 from ...transport.address import Address
 from ...transport.connection import Broken, Connection, Unless, Unwanted, open_connection
 from ...transport.loop import Coroutine, Loop, Task
 
-MOST_PACKET = 0xFFFFFF
-MOST_PREPARED = 100  # statements prepared on one connection
-FULL_CODES = (1040, 1203, 1226)  # too many connections: turned away unseen
-IDLE_TIME = 60.0
+MAX_PACKET_PAYLOAD = 0xFFFFFF
+MAX_PREPARED = 100  # statements prepared on one connection
+FULL_CODES = (1040, 1203, 1226)  # too many connections: refused without running anything
+IDLE_TIMEOUT = 60.0  # seconds
 
-Place = tuple[str, Address]
+Target = tuple[str, Address]
 
 
 class Refused(Trouble):
-    """A server that does not let us in, or not now; `full` where it has no room."""
+    """The server refused a connection or an internal command; `full` if it has no connection left."""
 
-    remedy = "see that the server knows the users of the front's file, and takes their passwords without TLS"
+    remedy = (
+        "make sure that the server has the users of the MySQL configuration file and accepts their passwords "
+        "without TLS"
+    )
 
-    def __init__(self, why: str, full: bool = False) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, full: bool = False) -> None:
+        super().__init__(reason)
         self.full = full
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """Who is logged in, and what was agreed: connections of one account serve any of its sessions."""
+    """User, password and negotiated capabilities; connections of one account serve any of its sessions."""
 
     user: str
     password: bytes
-    can: Can
+    capabilities: Capability
 
 
 @dataclass(slots=True, eq=False)
-class Server:
-    """One connection that is logged in, and the state that it is in."""
+class ServerConnection:
+    """One authenticated connection and the state of its session on the server."""
 
     connection: Connection
-    place: Place
+    target: Target
     account: Account
     database: str
     reader: PacketReader
-    sets: dict[str, str] = field(default_factory=dict)
+    variables: dict[str, str] = field(default_factory=dict)
     prepared: OrderedDict[str, Prepared] = field(default_factory=OrderedDict)
     insert_id: int = 0
-    unclean: bool = False  # something is left that only a reset takes away
+    needs_reset: bool = False  # holds session state that only a reset removes
     idle_since: float = 0.0
 
-    def clean_for(self, sets: dict[str, str]) -> bool:
-        """Whether it can take up a session with these variables without a reset."""
-        return not self.unclean and all(name in sets for name in self.sets)
+    def reusable_for(self, variables: dict[str, str]) -> bool:
+        """Return whether a session with these variables can use the connection without a reset."""
+        return not self.needs_reset and all(name in variables for name in self.variables)
 
 
-class Servers:
-    """All connections to database servers, so many to each at most."""
+class ServerPool:
+    """Connections to database servers, limited to `most_each` per server."""
 
     def __init__(self, loop: Loop, most_each: int) -> None:
         self.loop, self.most_each = loop, most_each
-        self.idle: dict[Place, list[Server]] = {}
-        self.open: dict[Place, int] = {}
-        self.queue: dict[Place, deque[Task]] = {}  # who waits for one, the longest first
-        self.made = self.reused = self.resets = 0
-
-    # Taking and giving back.
-
-    def take(
-        self, place: Place, account: Account, sets: dict[str, str], until: float, unless: Unless
-    ) -> Coroutine[Server]:
-        """One for this account; waits in turn where all are in use. Raises Broken, Late, Unwanted,
-        Refused."""
-        task, waits = self.loop.current, False
+        self.idle: dict[Target, list[ServerConnection]] = {}
+        self.open_counts: dict[Target, int] = {}
+        self.waiting: dict[Target, deque[Task]] = {}  # tasks waiting for a connection, in order of arrival
+        self.created = self.reused = self.resets = 0
+
+    # Acquiring and releasing.
+
+    def acquire(
+        self, target: Target, account: Account, variables: dict[str, str], until: float, unless: Unless
+    ) -> Coroutine[ServerConnection]:
+        """Return a connection of this account, waiting in turn if all are in use.
+
+        Raises Broken, Late, Unwanted or Refused.
+        """
+        task, queued = self.loop.current, False
         assert task is not None
-        queue = self.queue.setdefault(place, deque())
+        waiting = self.waiting.setdefault(target, deque())
         try:
             while True:
-                first = not queue or queue[0] is task
-                if first and (server := self.pick(place, account, sets)) is not None:
+                first = not waiting or waiting[0] is task
+                if first and (server := self.take_idle(target, account, variables)) is not None:
                     self.reused += 1
                     return server
-                if first and (self.open.get(place, 0) < self.most_each or self.make_room(place)):
+                if first and (self.open_counts.get(target, 0) < self.most_each or self.make_room(target)):
                     break
-                if not waits:
-                    waits = True
-                    queue.append(task)
+                if not queued:
+                    queued = True
+                    waiting.append(task)
                 if unless is not None and unless():
                     raise Unwanted
                 if self.loop.now() >= until:
-                    raise Refused("all connections are in use", full=True)
+                    raise Refused("all connections to the server are in use", full=True)
                 yield until
         finally:
-            if waits:
-                queue.remove(task)
-                if queue:
-                    queue[0].wake()
-        self.open[place] = self.open.get(place, 0) + 1
+            if queued:
+                waiting.remove(task)
+                if waiting:
+                    waiting[0].wake()
+        self.open_counts[target] = self.open_counts.get(target, 0) + 1
         try:
-            server = yield from self.log_in(place, account, until, unless)
+            server = yield from self.log_in(target, account, until, unless)
         except BaseException:
-            self.closed(place)
+            self.discard(target)
             raise
-        self.made += 1
+        self.created += 1
         return server
 
-    def pick(self, place: Place, account: Account, sets: dict[str, str]) -> Server | None:
-        idle = self.idle.get(place, [])
-        mine = [s for s in idle if s.account == account]
-        for server in sorted(mine, key=lambda s: (s.clean_for(sets), s.idle_since), reverse=True):
+    def take_idle(
+        self, target: Target, account: Account, variables: dict[str, str]
+    ) -> ServerConnection | None:
+        """Return an idle connection of this account, preferring no reset, then the latest used."""
+        idle = self.idle.get(target, [])
+        candidates = [candidate for candidate in idle if candidate.account == account]
+        for server in sorted(
+            candidates,
+            key=lambda candidate: (candidate.reusable_for(variables), candidate.idle_since),
+            reverse=True,
+        ):
             idle.remove(server)
             if server.connection.sound():
                 return server
             self.close(server)
         return None
 
-    def make_room(self, place: Place) -> bool:
-        """Closes one that lies idle for another account."""
-        idle = self.idle.get(place)
+    def make_room(self, target: Target) -> bool:
+        """Close the connection that has been idle longest, so that another account can connect."""
+        idle = self.idle.get(target)
         if not idle:
             return False
         self.close(idle.pop(0))
         return True
 
-    def give(self, server: Server) -> None:
+    def release(self, server: ServerConnection) -> None:
+        """Return a connection to the pool."""
         server.idle_since = self.loop.now()
         server.connection.wake = lambda: None
-        self.idle.setdefault(server.place, []).append(server)
-        self.next_waits(server.place)
+        self.idle.setdefault(server.target, []).append(server)
+        self.wake_next(server.target)
 
-    def close(self, server: Server) -> None:
+    def close(self, server: ServerConnection) -> None:
+        """Close a connection, unless it is closed already."""
         if not server.connection.closed:
             server.connection.close()
-            self.closed(server.place)
-
-    def closed(self, place: Place) -> None:
-        self.open[place] -= 1
-        if not self.open[place]:
-            del self.open[place]
-        self.next_waits(place)
-
-    def next_waits(self, place: Place) -> None:
-        if self.queue.get(place):
-            self.queue[place][0].wake()
-
-    def drop(self, place: Place) -> None:
-        for server in self.idle.pop(place, []):
+            self.discard(server.target)
+
+    def discard(self, target: Target) -> None:
+        """Count a connection as closed and let the next task proceed."""
+        self.open_counts[target] -= 1
+        if not self.open_counts[target]:
+            del self.open_counts[target]
+        self.wake_next(target)
+
+    def wake_next(self, target: Target) -> None:
+        """Wake the task that has waited longest."""
+        if self.waiting.get(target):
+            self.waiting[target][0].wake()
+
+    def drop(self, target: Target) -> None:
+        """Close all idle connections to a server."""
+        for server in self.idle.pop(target, []):
             self.close(server)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
+        """Close connections that have been idle too long or are no longer healthy."""
         now = self.loop.now()
-        for place, idle in list(self.idle.items()):
+        for target, idle in list(self.idle.items()):
             for server in list(idle):
-                if now - server.idle_since > IDLE_TIME or not server.connection.sound():
+                if now - server.idle_since > IDLE_TIMEOUT or not server.connection.sound():
                     idle.remove(server)
                     self.close(server)
             if not idle:
-                del self.idle[place]
-        self.queue = {place: queue for place, queue in self.queue.items() if queue}
+                del self.idle[target]
+        self.waiting = {target: waiting for target, waiting in self.waiting.items() if waiting}
 
-    # Logging in.
+    # Authentication.
 
-    def log_in(self, place: Place, account: Account, until: float, unless: Unless) -> Coroutine[Server]:
-        connection = open_connection(self.loop, place[1])
+    def log_in(
+        self, target: Target, account: Account, until: float, unless: Unless
+    ) -> Coroutine[ServerConnection]:
+        """Open a connection and authenticate; raises Refused if the server doesn't accept it."""
+        connection = open_connection(self.loop, target[1])
         try:
             yield from connection.establish(until, unless)
-            server = Server(connection, place, account, "", PacketReader(MOST_PACKET + 1))
-            greeting = Greeting.decode(self.no_error((yield from self.payload(server, until, unless))))
-            if not greeting.can & NEEDED == NEEDED or account.can & ~greeting.can & Can.DEPRECATE_EOF:
-                raise Refused("it cannot do what is needed")
-            plugin = greeting.plugin if greeting.plugin in auth.PROOFS else auth.NATIVE
+            server = ServerConnection(connection, target, account, "", PacketReader(MAX_PACKET_PAYLOAD + 1))
+            greeting = Greeting.decode(
+                self.check_error((yield from self.read_payload(server, until, unless)))
+            )
+            if (
+                not greeting.capabilities & REQUIRED_CAPABILITIES == REQUIRED_CAPABILITIES
+                or account.capabilities & ~greeting.capabilities & Capability.DEPRECATE_EOF
+            ):
+                raise Refused("the server lacks required protocol capabilities")
+            plugin = greeting.plugin if greeting.plugin in auth.RESPONSE_FUNCTIONS else auth.NATIVE
             nonce = greeting.nonce
             login = Login(
-                account.can,
+                account.capabilities,
                 account.user,
-                auth.PROOFS[plugin](account.password, nonce),
+                auth.RESPONSE_FUNCTIONS[plugin](account.password, nonce),
                 "",
                 plugin,
                 greeting.charset,
@@ -198,109 +223,127 @@
             yield from connection.send(packets(login.encode(), server.reader.sequence), until, unless)
             server.reader.restart(server.reader.sequence + 1)
             while True:
-                told = self.no_error((yield from self.payload(server, until, unless)))
-                if told[:1] == b"\0":
+                payload = self.check_error((yield from self.read_payload(server, until, unless)))
+                if payload[:1] == b"\0":
                     return server
-                if told[:1] == b"\xfe":
-                    plugin, nonce = decode_switch(told)
-                    if plugin not in auth.PROOFS:
-                        raise Refused(f"it wants {plugin[:40]!r}")
-                    proof = auth.PROOFS[plugin](account.password, nonce)
-                    yield from connection.send(packets(proof, server.reader.sequence), until, unless)
+                if payload[:1] == b"\xfe":
+                    plugin, nonce = decode_auth_switch(payload)
+                    if plugin not in auth.RESPONSE_FUNCTIONS:
+                        raise Refused(
+                            f"the server requires the unsupported authentication plugin {plugin[:40]!r}"
+                        )
+                    auth_response = auth.RESPONSE_FUNCTIONS[plugin](account.password, nonce)
+                    yield from connection.send(packets(auth_response, server.reader.sequence), until, unless)
                     server.reader.restart(server.reader.sequence + 1)
-                elif told[:2] == bytes((1, auth.FULL_NEEDED)):
-                    # The password itself would have to go over a line that all can read.
-                    raise Refused("it wants the whole password, which goes over TLS alone")
-                elif told[:2] != bytes((1, auth.FAST_OK)):
-                    raise Refused("its log-in is not understood")
-        except Malformed as fault:
+                elif payload[:2] == bytes((1, auth.FULL_AUTH_REQUIRED)):
+                    # Full authentication would send the password unencrypted.
+                    raise Refused(
+                        "the server requires full authentication, which sends the password and needs TLS"
+                    )
+                elif payload[:2] != bytes((1, auth.FAST_OK)):
+                    raise Refused("unexpected packet from the server during authentication")
+        except Malformed as error:
             connection.close()
-            raise Refused(str(fault)) from None
+            raise Refused(str(error)) from None
         except BaseException:
             connection.close()
             raise
 
-    def no_error(self, payload: bytes) -> bytes:
+    def check_error(self, payload: bytes) -> bytes:
+        """Return the payload; raises Refused for an ERR packet."""
         if payload[:1] == b"\xff":
-            error = Err.decode(payload)
-            raise Refused(f"{error.code} {error.message}"[:200], full=error.code in FULL_CODES)
+            err = Err.decode(payload)
+            raise Refused(f"{err.code} {err.message}"[:200], full=err.code in FULL_CODES)
         return payload
 
-    # Commands of our own.
+    # Internal commands.
 
-    def packet(self, server: Server, until: float, unless: Unless) -> Coroutine[Packet]:
+    def read_packet(self, server: ServerConnection, until: float, unless: Unless) -> Coroutine[Packet]:
+        """Read the next packet."""
         while (packet := server.reader.packet()) is None:
             data = yield from server.connection.await_bytes(until, unless)
             if not data:
-                raise Broken("the server ended the connection")
+                raise Broken("the server closed the connection")
             server.reader.receive(data)
         return packet
 
-    def payload(self, server: Server, until: float, unless: Unless) -> Coroutine[bytes]:
-        """A short one, whole in one packet."""
-        return (yield from self.packet(server, until, unless)).payload
+    def read_payload(self, server: ServerConnection, until: float, unless: Unless) -> Coroutine[bytes]:
+        """Read a payload that fits one packet."""
+        return (yield from self.read_packet(server, until, unless)).payload
 
-    def write(self, server: Server, command: bytes, until: float, unless: Unless) -> Coroutine[None]:
+    def send_command(
+        self, server: ServerConnection, command: bytes, until: float, unless: Unless
+    ) -> Coroutine[None]:
+        """Send a command and expect the sequence numbers of its response."""
         server.reader.restart(count_packets(len(command)))
         yield from server.connection.send(packets(command, 0), until, unless)
 
-    def ask(
-        self, server: Server, kind: Command, body: bytes, until: float, unless: Unless
-    ) -> Coroutine[AnswerReader]:
-        """A command whose answer is short and only matters to us. Raises Refused for an ERR."""
-        yield from self.write(server, bytes((kind,)) + body, until, unless)
-        answer = AnswerReader(server.account.can, kind)
-        whole = False
-        while not whole:
-            packet = yield from self.packet(server, until, unless)
-            whole = answer.packet(packet.payload)
-        if answer.error is not None:
-            raise Refused(f"{answer.error.code} {answer.error.message}"[:200])
-        return answer
-
-    def bring(
+    def run_internal(
+        self, server: ServerConnection, kind: Command, body: bytes, until: float, unless: Unless
+    ) -> Coroutine[ResponseReader]:
+        """Run a command whose response is short and not for the client; raises Refused for an ERR packet."""
+        yield from self.send_command(server, bytes((kind,)) + body, until, unless)
+        response = ResponseReader(server.account.capabilities, kind)
+        complete = False
+        while not complete:
+            packet = yield from self.read_packet(server, until, unless)
+            complete = response.packet(packet.payload)
+        if response.error is not None:
+            raise Refused(f"{response.error.code} {response.error.message}"[:200])
+        return response
+
+    def apply_session_state(
         self,
-        server: Server,
+        server: ServerConnection,
         database: str,
-        sets: dict[str, str],
+        variables: dict[str, str],
         insert_id: int,
-        held: bool,
+        pinned: bool,
         until: float,
         unless: Unless,
     ) -> Coroutine[None]:
-        """Into the state that a session needs, and no other's. One that the session holds is its own
-        already."""
-        if not held and not server.clean_for(sets):
-            yield from self.ask(server, Command.RESET_CONNECTION, b"", until, unless)
+        """Set the state that the session needs and remove that of others.
+
+        A connection that the session is pinned to already has its state.
+        """
+        if not pinned and not server.reusable_for(variables):
+            yield from self.run_internal(server, Command.RESET_CONNECTION, b"", until, unless)
             self.resets += 1
-            server.sets, server.unclean, server.insert_id = {}, False, 0
+            server.variables, server.needs_reset, server.insert_id = {}, False, 0
             server.prepared.clear()
         if database and server.database != database:
-            yield from self.ask(server, Command.INIT_DB, database.encode(), until, unless)
+            yield from self.run_internal(server, Command.INIT_DB, database.encode(), until, unless)
             server.database = database
-        wanted = [(name, value) for name, value in sets.items() if server.sets.get(name) != value]
-        for name, value in wanted:
-            text = f"SET NAMES {value}" if name == "names" else f"SET SESSION {name} = {value}"
-            yield from self.ask(server, Command.QUERY, text.encode(), until, unless)
-            server.sets[name] = value
+        changes = [(name, value) for name, value in variables.items() if server.variables.get(name) != value]
+        for name, value in changes:
+            statement = f"SET NAMES {value}" if name == "names" else f"SET SESSION {name} = {value}"
+            yield from self.run_internal(server, Command.QUERY, statement.encode(), until, unless)
+            server.variables[name] = value
         if insert_id and server.insert_id != insert_id:
-            yield from self.ask(server, Command.QUERY, b"SET last_insert_id = %d" % insert_id, until, unless)
-            server.insert_id, server.unclean = insert_id, True
-
-    def room_to_prepare(self, server: Server, sql: str, until: float, unless: Unless) -> Coroutine[None]:
-        """Closes the same text prepared before, and those used the longest ago."""
-        while sql in server.prepared or len(server.prepared) >= MOST_PREPARED:
-            oldest = server.prepared.pop(sql if sql in server.prepared else next(iter(server.prepared)))
-            body = bytes((Command.CLOSE,)) + oldest.id.to_bytes(4, "little")  # which has no answer
+            yield from self.run_internal(
+                server, Command.QUERY, b"SET last_insert_id = %d" % insert_id, until, unless
+            )
+            server.insert_id, server.needs_reset = insert_id, True
+
+    def evict_prepared(
+        self, server: ServerConnection, sql: str, until: float, unless: Unless
+    ) -> Coroutine[None]:
+        """Close an earlier preparation of the same text, and the least recently used beyond the limit."""
+        while sql in server.prepared or len(server.prepared) >= MAX_PREPARED:
+            evicted = server.prepared.pop(sql if sql in server.prepared else next(iter(server.prepared)))
+            body = bytes((Command.CLOSE,)) + evicted.id.to_bytes(4, "little")  # has no response
             yield from server.connection.send(packets(body, 0), until, unless)
 
-    def prepare(self, server: Server, sql: str, until: float, unless: Unless) -> Coroutine[Prepared]:
-        known = server.prepared.get(sql)
-        if known is not None:
+    def prepare(
+        self, server: ServerConnection, sql: str, until: float, unless: Unless
+    ) -> Coroutine[Prepared]:
+        """Return the server's prepared statement for this text, preparing it if necessary."""
+        prepared = server.prepared.get(sql)
+        if prepared is not None:
             server.prepared.move_to_end(sql)
-            return known
-        yield from self.room_to_prepare(server, sql, until, unless)
-        answer = yield from self.ask(server, Command.PREPARE, sql.encode(), until, unless)
-        assert answer.prepared is not None
-        server.prepared[sql] = answer.prepared
-        return answer.prepared
+            return prepared
+        yield from self.evict_prepared(server, sql, until, unless)
+        response = yield from self.run_internal(server, Command.PREPARE, sql.encode(), until, unless)
+        assert response.prepared is not None
+        server.prepared[sql] = response.prepared
+        return response.prepared
--- a/rainspindle/lab/mysql/database.py
+++ b/rainspindle/lab/mysql/database.py
@@ -19,8 +19,8 @@
 
 from ...protocol.mysql import auth
 from ...protocol.mysql.messages import (
-    OURS,
-    Can,
+    SUPPORTED_CAPABILITIES,
+    Capability,
     Column,
     Command,
     Err,
@@ -61,7 +61,7 @@
 @dataclass(slots=True)
 class Session:
     user: str
-    can: Can
+    capabilities: Capability
     database: str = ""
     variables: dict[str, str] = field(default_factory=dict)
     temporary: dict[str, tuple[list[str], Rows]] = field(default_factory=dict)
@@ -117,7 +117,7 @@
         self.executed: list[str] = []
         self.log_ins = 0
         self.connections: set[Connection] = set()
-        self.can = OURS
+        self.capabilities = SUPPORTED_CAPABILITIES
         self.listener: Listener | None = None
         self.start()
 
@@ -177,12 +177,12 @@
 
     def log_in(self, connection: Connection, reader: PacketReader) -> Coroutine[Session | None]:
         nonce = bytes(1 + b % 255 for b in secrets.token_bytes(20))
-        greeting = Greeting("8.0.0-stand-in", 7, nonce, self.can, self.plugin)
+        greeting = Greeting("8.0.0-stand-in", 7, nonce, self.capabilities, self.plugin)
         yield from connection.send(packets(greeting.encode(), 0), math.inf)
         reader.restart(1)
         login = Login.decode((yield from self.payload(connection, reader)))
         sequence = 2
-        proof = login.proof
+        proof = login.auth_response
         if login.plugin != self.plugin:
             ask = b"\xfe" + self.plugin.encode() + b"\0" + nonce + b"\0"
             yield from connection.send(packets(ask, 2), math.inf)
@@ -190,18 +190,18 @@
             proof, sequence = (yield from self.payload(connection, reader)), 4
         refused = self.refuses
         password = self.users.get(login.user, b"")
-        if refused is None and not auth.proves(self.plugin, proof, password, nonce):
+        if refused is None and not auth.verify_response(self.plugin, proof, password, nonce):
             refused = Err(1045, "28000", f"Access denied for user '{login.user}'")
         if refused is not None:
             yield from connection.send(packets(refused.encode(), sequence), math.inf)
             return None
         if self.plugin == auth.CACHING:
-            told = auth.FULL_NEEDED if self.full_needed else auth.FAST_OK
+            told = auth.FULL_AUTH_REQUIRED if self.full_needed else auth.FAST_OK
             yield from connection.send(packets(bytes((1, told)), sequence), math.inf)
             sequence += 1
-        yield from connection.send(packets(Ok().encode(login.can), sequence), math.inf)
+        yield from connection.send(packets(Ok().encode(login.capabilities), sequence), math.inf)
         self.log_ins += 1
-        return Session(login.user, login.can, login.database)
+        return Session(login.user, login.capabilities, login.database)
 
     # Commands.
 
@@ -213,7 +213,7 @@
             elif command is Command.RESET_CONNECTION:
                 if session.saved is not None:
                     self.store.tables = session.saved
-                fresh = Session(session.user, session.can, session.database)
+                fresh = Session(session.user, session.capabilities, session.database)
                 for name in Session.__slots__:
                     setattr(session, name, getattr(fresh, name))
             elif command is Command.CLOSE:
@@ -240,7 +240,9 @@
             elif command is Command.EXECUTE:
                 yield from self.execute(connection, session, body)
                 return
-            yield from connection.send(packets(Ok(status=session.status()).encode(session.can), 1), math.inf)
+            yield from connection.send(
+                packets(Ok(status=session.status()).encode(session.capabilities), 1), math.inf
+            )
         except Failed as failed:
             yield from connection.send(packets(failed.err.encode(), 1), math.inf)
 
@@ -256,7 +258,7 @@
             for _ in range(count):
                 out += packets(Column("?").encode(), sequence)
                 sequence += 1
-            if count and not session.can & Can.DEPRECATE_EOF:
+            if count and not session.capabilities & Capability.DEPRECATE_EOF:
                 out += packets(eof(session.status()), sequence)
                 sequence += 1
         yield from connection.send(out, math.inf)
@@ -318,7 +320,7 @@
         status = session.status() | (Status.MORE_RESULTS if more else Status(0))
         if isinstance(result, Ok):
             ok = Ok(result.affected, result.insert_id, status)
-            yield from connection.send(packets(ok.encode(session.can), sequence), math.inf)
+            yield from connection.send(packets(ok.encode(session.capabilities), sequence), math.inf)
             return sequence + 1
         return (yield from self.rows(connection, session, sql, result, sequence, status, binary))
 
@@ -332,7 +334,7 @@
         status: Status,
         binary: bool,
     ) -> Coroutine[int]:
-        old = not session.can & Can.DEPRECATE_EOF
+        old = not session.capabilities & Capability.DEPRECATE_EOF
         out = bytearray(packets(lenenc(len(result.columns)), sequence))
         sequence += 1
         for n, name in enumerate(result.columns):
@@ -357,7 +359,7 @@
                 out.clear()
         yield from connection.send(bytes(out), math.inf)
         self.phase(connection, sql, "final")
-        end = eof(status) if old else Ok(status=status).encode(session.can, 0xFE)
+        end = eof(status) if old else Ok(status=status).encode(session.capabilities, 0xFE)
         yield from connection.send(packets(end, sequence), math.inf)
         return sequence + 1
 
--- a/rainspindle/program/mysql.py
+++ b/rainspindle/program/mysql.py
@@ -10,7 +10,7 @@
 from ..decisions.statements.statements import Statements
 from ..fronts.mysql.back import MysqlBack
 from ..fronts.mysql.front import MysqlFront
-from ..fronts.mysql.servers import Servers
+from ..fronts.mysql.servers import ServerPool
 from ..protocol.settings import EFFECTS
 from ..routing.core import Back, Directory
 from .config import ConfigFault
@@ -29,7 +29,7 @@
         super().__init__(config.sidecar, lambda: load().sidecar)
 
     def make_back(self, directory: Directory) -> Back:
-        self.servers = Servers(self.loop, self.mysql.most_each)
+        self.servers = ServerPool(self.loop, self.mysql.most_each)
         self.back = MysqlBack(self.loop, self.servers, self.config.settings, directory)
         return self.back
 
@@ -50,7 +50,7 @@
         return Statements(self.mysql.rules, self.mysql.default, [RANKS[t["effect"]] for t in types], parse)
 
     def each_tick(self) -> None:
-        self.servers.sweep()
+        self.servers.close_expired()
 
     def reload(self) -> None:
         """Users, rules and limits take effect at once; sessions that are logged in stay."""
@@ -88,7 +88,7 @@
         yield from super().figures()
         yield "sessions", self.mysql_front.sessions
         yield "pins", self.mysql_front.pins
-        yield "server_connections", self.servers.made
+        yield "server_connections", self.servers.created
         yield "server_reused", self.servers.reused
         yield "server_resets", self.servers.resets
         yield "parse_hits", self.mysql_front.statements.hits
--- a/rainspindle/protocol/mysql/auth.py
+++ b/rainspindle/protocol/mysql/auth.py
@@ -1,4 +1,4 @@
-"""Proofs of a password: mysql_native_password and caching_sha2_password, as published."""
+"""Password authentication by mysql_native_password and caching_sha2_password, as MySQL documents them."""
 
 from __future__ import annotations
 
@@ -6,32 +6,35 @@
 import hmac
 
 NATIVE, CACHING = "mysql_native_password", "caching_sha2_password"
-FAST_OK, FULL_NEEDED = 3, 4  # what a server says within caching_sha2_password
+FAST_OK, FULL_AUTH_REQUIRED = 3, 4  # status bytes of caching_sha2_password
 
 
-def xor(a: bytes, b: bytes) -> bytes:
-    return bytes(x ^ y for x, y in zip(a, b, strict=True))
+def xor_bytes(left: bytes, right: bytes) -> bytes:
+    """Return the bytewise XOR of two strings of equal length."""
+    return bytes(left_byte ^ right_byte for left_byte, right_byte in zip(left, right, strict=True))
 
 
-def native(password: bytes, nonce: bytes) -> bytes:
-    """SHA1(password) xor SHA1(nonce + SHA1(SHA1(password))); empty for no password."""
+def native_response(password: bytes, nonce: bytes) -> bytes:
+    """Return SHA1(password) xor SHA1(nonce + SHA1(SHA1(password))); empty for an empty password."""
     if not password:
         return b""
-    once = hashlib.sha1(password).digest()
-    return xor(once, hashlib.sha1(nonce[:20] + hashlib.sha1(once).digest()).digest())
+    password_hash = hashlib.sha1(password).digest()
+    return xor_bytes(password_hash, hashlib.sha1(nonce[:20] + hashlib.sha1(password_hash).digest()).digest())
 
 
-def caching(password: bytes, nonce: bytes) -> bytes:
-    """SHA256(password) xor SHA256(SHA256(SHA256(password)) + nonce); empty for no password."""
+def caching_response(password: bytes, nonce: bytes) -> bytes:
+    """Return SHA256(password) xor SHA256(SHA256(SHA256(password)) + nonce); empty for an empty password."""
     if not password:
         return b""
-    once = hashlib.sha256(password).digest()
-    return xor(once, hashlib.sha256(hashlib.sha256(once).digest() + nonce[:20]).digest())
+    password_hash = hashlib.sha256(password).digest()
+    return xor_bytes(
+        password_hash, hashlib.sha256(hashlib.sha256(password_hash).digest() + nonce[:20]).digest()
+    )
 
 
-PROOFS = {NATIVE: native, CACHING: caching}
+RESPONSE_FUNCTIONS = {NATIVE: native_response, CACHING: caching_response}
 
 
-def proves(plugin: str, proof: bytes, password: bytes, nonce: bytes) -> bool:
-    """Whether a client's proof is that of the password."""
-    return hmac.compare_digest(proof, PROOFS[plugin](password, nonce))
+def verify_response(plugin: str, response: bytes, password: bytes, nonce: bytes) -> bool:
+    """Return whether `response` is the response to `nonce` that the password gives, in constant time."""
+    return hmac.compare_digest(response, RESPONSE_FUNCTIONS[plugin](password, nonce))
--- a/rainspindle/protocol/mysql/messages.py
+++ b/rainspindle/protocol/mysql/messages.py
@@ -1,4 +1,4 @@
-"""What both sides say, decoded once into small typed values, and encoded once."""
+"""Encodes and decodes the messages of the MySQL client/server protocol."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from .wire import Cursor, Malformed, lenenc, lenenc_bytes
 
 
-class Can(IntFlag):
-    """Capabilities."""
+class Capability(IntFlag):
+    """Capability flags (CLIENT_* in MySQL's documentation)."""
 
     LONG_PASSWORD = 1 << 0
     FOUND_ROWS = 1 << 1
@@ -35,6 +35,8 @@
 
 
 class Status(IntFlag):
+    """Server status flags (SERVER_STATUS_* in MySQL's documentation)."""
+
     IN_TRANSACTION = 1
     AUTOCOMMIT = 2
     MORE_RESULTS = 8
@@ -44,6 +46,8 @@
 
 
 class Command(IntEnum):
+    """Command bytes (COM_* in MySQL's documentation)."""
+
     QUIT = 0x01
     INIT_DB = 0x02
     QUERY = 0x03
@@ -64,43 +68,44 @@
     RESET_CONNECTION = 0x1F
 
 
-OURS = (
-    Can.LONG_PASSWORD
-    | Can.FOUND_ROWS
-    | Can.LONG_FLAG
-    | Can.CONNECT_WITH_DB
-    | Can.PROTOCOL_41
-    | Can.TRANSACTIONS
-    | Can.SECURE_CONNECTION
-    | Can.MULTI_STATEMENTS
-    | Can.MULTI_RESULTS
-    | Can.PS_MULTI_RESULTS
-    | Can.PLUGIN_AUTH
-    | Can.CONNECT_ATTRS
-    | Can.PLUGIN_AUTH_LENENC
-    | Can.SESSION_TRACK
-    | Can.DEPRECATE_EOF
+SUPPORTED_CAPABILITIES = (
+    Capability.LONG_PASSWORD
+    | Capability.FOUND_ROWS
+    | Capability.LONG_FLAG
+    | Capability.CONNECT_WITH_DB
+    | Capability.PROTOCOL_41
+    | Capability.TRANSACTIONS
+    | Capability.SECURE_CONNECTION
+    | Capability.MULTI_STATEMENTS
+    | Capability.MULTI_RESULTS
+    | Capability.PS_MULTI_RESULTS
+    | Capability.PLUGIN_AUTH
+    | Capability.CONNECT_ATTRS
+    | Capability.PLUGIN_AUTH_LENENC
+    | Capability.SESSION_TRACK
+    | Capability.DEPRECATE_EOF
 )
-NEEDED = Can.PROTOCOL_41 | Can.SECURE_CONNECTION
+REQUIRED_CAPABILITIES = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
 
 
-# The greeting.
+# Handshake.
 
 
 @dataclass(frozen=True, slots=True)
 class Greeting:
-    """A server's first packet."""
+    """The server's initial handshake packet."""
 
     version: str
     connection: int
     nonce: bytes  # 20 bytes
-    can: Can
+    capabilities: Capability
     plugin: str
     status: Status = Status.AUTOCOMMIT
     charset: int = 45
 
     def encode(self) -> bytes:
-        can = int(self.can)
+        """Return the packet's payload."""
+        capabilities = int(self.capabilities)
         return b"".join(
             (
                 b"\x0a",
@@ -109,7 +114,9 @@
                 struct.pack("<I", self.connection),
                 self.nonce[:8],
                 b"\0",
-                struct.pack("<HBHH", can & 0xFFFF, self.charset, int(self.status), can >> 16),
+                struct.pack(
+                    "<HBHH", capabilities & 0xFFFF, self.charset, int(self.status), capabilities >> 16
+                ),
                 bytes((21,)),
                 bytes(10),
                 self.nonce[8:20],
@@ -121,153 +128,187 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> Greeting:
-        c = Cursor(payload)
-        if c.number(1) != 10:
-            raise Malformed("a greeting of another version than 10")
-        version, connection, nonce = c.until_nul().decode("latin-1"), c.number(4), c.take(8)
-        c.take(1)
-        can, charset, status = c.number(2), c.number(1), c.number(2)
-        can |= c.number(2) << 16
-        size = c.number(1)
-        c.take(10)
-        if not Can(can) & Can.SECURE_CONNECTION:
-            raise Malformed("a server without secure connections")
-        nonce += c.take(max(13, size - 8))[:12]
-        plugin = c.until_nul().decode("latin-1") if Can(can) & Can.PLUGIN_AUTH and c.left() else NATIVE
-        return cls(version, connection, nonce, Can(can), plugin, Status(status), charset)
+        """Decode a payload; raises Malformed unless it is protocol version 10 with secure connections."""
+        cursor = Cursor(payload)
+        if cursor.number(1) != 10:
+            raise Malformed("expected protocol version 10 in the greeting")
+        version, connection, nonce = cursor.until_nul().decode("latin-1"), cursor.number(4), cursor.take(8)
+        cursor.take(1)
+        capabilities, charset, status = cursor.number(2), cursor.number(1), cursor.number(2)
+        capabilities |= cursor.number(2) << 16
+        size = cursor.number(1)
+        cursor.take(10)
+        if not Capability(capabilities) & Capability.SECURE_CONNECTION:
+            raise Malformed("the server does not support CLIENT_SECURE_CONNECTION")
+        nonce += cursor.take(max(13, size - 8))[:12]
+        plugin = (
+            cursor.until_nul().decode("latin-1")
+            if Capability(capabilities) & Capability.PLUGIN_AUTH and cursor.remaining()
+            else NATIVE
+        )
+        return cls(version, connection, nonce, Capability(capabilities), plugin, Status(status), charset)
 
 
 @dataclass(frozen=True, slots=True)
 class Login:
-    """A client's answer to the greeting."""
+    """The client's handshake response."""
 
-    can: Can
+    capabilities: Capability
     user: str
-    proof: bytes
+    auth_response: bytes
     database: str = ""
     plugin: str = CACHING
     charset: int = 45
-    most_packet: int = 1 << 24
+    max_packet: int = 1 << 24
 
     def encode(self) -> bytes:
-        can = self.can | (Can.CONNECT_WITH_DB if self.database else Can(0))
+        """Return the packet's payload, without connection attributes."""
+        capabilities = self.capabilities | (Capability.CONNECT_WITH_DB if self.database else Capability(0))
         if not self.database:
-            can &= ~Can.CONNECT_WITH_DB
-        can &= ~Can.CONNECT_ATTRS
-        head = struct.pack("<IIB", int(can), self.most_packet, self.charset)
+            capabilities &= ~Capability.CONNECT_WITH_DB
+        capabilities &= ~Capability.CONNECT_ATTRS
+        header = struct.pack("<IIB", int(capabilities), self.max_packet, self.charset)
         return b"".join(
             (
-                head,
+                header,
                 bytes(23),
                 self.user.encode(),
                 b"\0",
-                lenenc_bytes(self.proof)
-                if can & Can.PLUGIN_AUTH_LENENC
-                else bytes((len(self.proof),)) + self.proof,
+                lenenc_bytes(self.auth_response)
+                if capabilities & Capability.PLUGIN_AUTH_LENENC
+                else bytes((len(self.auth_response),)) + self.auth_response,
                 self.database.encode() + b"\0" if self.database else b"",
-                self.plugin.encode() + b"\0" if can & Can.PLUGIN_AUTH else b"",
+                self.plugin.encode() + b"\0" if capabilities & Capability.PLUGIN_AUTH else b"",
             )
         )
 
     @classmethod
     def decode(cls, payload: bytes) -> Login:
-        c = Cursor(payload)
-        can = Can(c.number(4))
-        if not can & Can.PROTOCOL_41:
-            raise Malformed("a client of before 4.1")
-        if can & Can.SSL and len(payload) == 32:
-            raise Malformed("a client that wants TLS, which was not offered")
-        most, charset = c.number(4), c.number(1)
-        c.take(23)
-        user = text(c.until_nul())
-        if can & Can.PLUGIN_AUTH_LENENC:
-            proof = c.lenenc_bytes()
-        elif can & Can.SECURE_CONNECTION:
-            proof = c.take(c.number(1))
+        """Decode a payload; raises Malformed for clients before 4.1 and for TLS requests."""
+        cursor = Cursor(payload)
+        capabilities = Capability(cursor.number(4))
+        if not capabilities & Capability.PROTOCOL_41:
+            raise Malformed("the client does not support protocol 4.1")
+        if capabilities & Capability.SSL and len(payload) == 32:
+            raise Malformed("the client requests TLS, which was not offered")
+        max_packet, charset = cursor.number(4), cursor.number(1)
+        cursor.take(23)
+        user = decode_name(cursor.until_nul())
+        if capabilities & Capability.PLUGIN_AUTH_LENENC:
+            auth_response = cursor.lenenc_bytes()
+        elif capabilities & Capability.SECURE_CONNECTION:
+            auth_response = cursor.take(cursor.number(1))
         else:
-            proof = c.until_nul()
-        database = text(c.until_nul()) if can & Can.CONNECT_WITH_DB and c.left() else ""
-        plugin = text(c.until_nul()) if can & Can.PLUGIN_AUTH and c.left() else NATIVE
-        return cls(can, user, proof, database, plugin, charset, most)
+            auth_response = cursor.until_nul()
+        database = (
+            decode_name(cursor.until_nul())
+            if capabilities & Capability.CONNECT_WITH_DB and cursor.remaining()
+            else ""
+        )
+        plugin = (
+            decode_name(cursor.until_nul())
+            if capabilities & Capability.PLUGIN_AUTH and cursor.remaining()
+            else NATIVE
+        )
+        return cls(capabilities, user, auth_response, database, plugin, charset, max_packet)
 
 
-def text(data: bytes) -> str:
+def decode_name(data: bytes) -> str:
+    """Decode a UTF-8 name; raises Malformed."""
     try:
         return data.decode()
     except UnicodeDecodeError:
-        raise Malformed("a name that is not UTF-8") from None
+        raise Malformed("expected a name in UTF-8") from None
 
 
-def switch(plugin: str, nonce: bytes) -> bytes:
-    """The server asks for a proof by another plugin."""
+def encode_auth_switch(plugin: str, nonce: bytes) -> bytes:
+    """Encode the server's request to authenticate by another plugin."""
     return b"\xfe" + plugin.encode() + b"\0" + nonce + b"\0"
 
 
-def decode_switch(payload: bytes) -> tuple[str, bytes]:
-    c = Cursor(payload, 1)
-    return text(c.until_nul()), c.rest()[:20]
+def decode_auth_switch(payload: bytes) -> tuple[str, bytes]:
+    """Return the plugin and the 20-byte nonce of an authentication switch request."""
+    cursor = Cursor(payload, 1)
+    return decode_name(cursor.until_nul()), cursor.rest()[:20]
 
 
-# Answers.
+# Responses.
 
 
 @dataclass(frozen=True, slots=True)
 class Ok:
+    """OK packet, which also ends a result set if CLIENT_DEPRECATE_EOF was negotiated."""
+
     affected: int = 0
     insert_id: int = 0
     status: Status = Status.AUTOCOMMIT
     warnings: int = 0
     info: bytes = b""
 
-    def encode(self, can: Can, head: int = 0) -> bytes:
-        """As the end of a result set where `head` is 0xFE."""
+    def encode(self, capabilities: Capability, head: int = 0) -> bytes:
+        """Return the packet's payload; `head` is 0xFE at the end of a result set."""
         return b"".join(
             (
                 bytes((head,)),
                 lenenc(self.affected),
                 lenenc(self.insert_id),
                 struct.pack("<HH", int(self.status & ~Status.SESSION_STATE_CHANGED), self.warnings),
-                lenenc_bytes(self.info) if can & Can.SESSION_TRACK and self.info else self.info,
+                lenenc_bytes(self.info)
+                if capabilities & Capability.SESSION_TRACK and self.info
+                else self.info,
             )
         )
 
     @classmethod
     def decode(cls, payload: bytes) -> Ok:
-        c = Cursor(payload, 1)
-        affected, insert_id, status, warnings = c.lenenc(), c.lenenc(), Status(c.number(2)), c.number(2)
+        """Decode a payload, ignoring the info text."""
+        cursor = Cursor(payload, 1)
+        affected, insert_id, status, warnings = (
+            cursor.lenenc(),
+            cursor.lenenc(),
+            Status(cursor.number(2)),
+            cursor.number(2),
+        )
         return cls(affected, insert_id, status, warnings)
 
 
 @dataclass(frozen=True, slots=True)
 class Err:
+    """ERR packet."""
+
     code: int
     state: str  # five characters
     message: str
 
     def encode(self) -> bytes:
+        """Return the packet's payload."""
         return b"\xff" + struct.pack("<H", self.code) + b"#" + self.state.encode() + self.message.encode()
 
     @classmethod
     def decode(cls, payload: bytes) -> Err:
-        c = Cursor(payload, 1)
-        code, state = c.number(2), "HY000"
-        if c.left() and payload[c.at : c.at + 1] == b"#":
-            c.take(1)
-            state = c.take(5).decode("latin-1")
-        return cls(code, state, c.rest().decode("utf-8", "replace"))
+        """Decode a payload; the SQL state is HY000 if it has none."""
+        cursor = Cursor(payload, 1)
+        code, state = cursor.number(2), "HY000"
+        if cursor.remaining() and payload[cursor.position : cursor.position + 1] == b"#":
+            cursor.take(1)
+            state = cursor.take(5).decode("latin-1")
+        return cls(code, state, cursor.rest().decode("utf-8", "replace"))
 
 
 def eof(status: Status, warnings: int = 0) -> bytes:
+    """Encode an EOF packet, used without CLIENT_DEPRECATE_EOF."""
     return b"\xfe" + struct.pack("<HH", warnings, int(status))
 
 
 def is_eof(payload: bytes) -> bool:
-    """Of the old kind, which has five bytes."""
+    """Return whether this is an EOF packet, which has five bytes."""
     return payload[:1] == b"\xfe" and len(payload) == 5
 
 
 @dataclass(frozen=True, slots=True)
 class Column:
+    """Column definition of a result set."""
+
     name: str
     kind: int = 0xFD  # VAR_STRING
     charset: int = 45
@@ -278,12 +319,13 @@
     database: str = ""
 
     def encode(self) -> bytes:
+        """Return the packet's payload."""
         return b"".join(
             (
                 lenenc_bytes(b"def"),
                 *(
-                    lenenc_bytes(s.encode())
-                    for s in (self.database, self.table, self.table, self.name, self.name)
+                    lenenc_bytes(name.encode())
+                    for name in (self.database, self.table, self.table, self.name, self.name)
                 ),
                 b"\x0c",
                 struct.pack("<HIBHB", self.charset, self.length, self.kind, self.flags, self.decimals),
@@ -294,7 +336,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepared:
-    """The head of the answer to PREPARE; definitions of parameters and columns follow."""
+    """First packet of the response to COM_STMT_PREPARE; parameter and column definitions follow."""
 
     id: int
     columns: int
@@ -302,31 +344,33 @@
     warnings: int = 0
 
     def encode(self) -> bytes:
+        """Return the packet's payload."""
         return b"\0" + struct.pack("<IHHBH", self.id, self.columns, self.parameters, 0, self.warnings)
 
     @classmethod
     def decode(cls, payload: bytes) -> Prepared:
-        c = Cursor(payload)
-        if c.number(1) != 0:
-            raise Malformed("not the answer to a PREPARE")
-        found = cls(c.number(4), c.number(2), c.number(2))
-        if c.left() >= 3:
-            c.take(1)
-            found = replace(found, warnings=c.number(2))
-        return found
+        """Decode a payload; the warning count may be absent."""
+        cursor = Cursor(payload)
+        if cursor.number(1) != 0:
+            raise Malformed("expected the response to COM_STMT_PREPARE")
+        prepared = cls(cursor.number(4), cursor.number(2), cursor.number(2))
+        if cursor.remaining() >= 3:
+            cursor.take(1)
+            prepared = replace(prepared, warnings=cursor.number(2))
+        return prepared
 
 
-# The end of an answer.
+# Response tracking.
 
 
-class AnswerReader:
-    """Follows the packets of one answer of a server, so that its end and its meaning are known."""
+class ResponseReader:
+    """Tracks the packets of a server's response to find its end and its result."""
 
-    def __init__(self, can: Can, command: Command) -> None:
-        self.can, self.command = can, command
+    def __init__(self, capabilities: Capability, command: Command) -> None:
+        self.capabilities, self.command = capabilities, command
         self.state = "first"
         self.definitions = 0
-        self.groups: list[int] = []  # of definitions still to come, for PREPARE
+        self.groups: list[int] = []
         self.status = Status(0)
         self.error: Err | None = None
         self.ok: Ok | None = None
@@ -335,65 +379,74 @@
         self.column_bytes = bytearray()
 
     def packet(self, payload: bytes, continued: bool = False) -> bool:
-        """Takes the next payload, or the first 64 KiB of a large one; whether the answer is whole."""
+        """Take the next payload and return whether the response is complete.
+
+        `continued` marks a later packet of a payload that is split over several.
+        """
         if continued or (not payload and self.state == "row"):
             return False
         if not payload:
-            raise Malformed("an empty packet in an answer")
+            raise Malformed("empty packet in a response")
         return bool(getattr(self, f"at_{self.state}")(payload))
 
-    def ended(self, status: Status) -> bool:
+    def end_result(self, status: Status) -> bool:
+        """End one result; returns False if the server announces more."""
         self.status = status
         self.state = "first"
         return not status & Status.MORE_RESULTS
 
     def at_first(self, payload: bytes) -> bool:
-        head = payload[0]
-        if head == 0xFF:
+        """Handle the first packet of a result."""
+        first_byte = payload[0]
+        if first_byte == 0xFF:
             self.error = Err.decode(payload)
             return True
         if self.command is Command.PREPARE:
             self.prepared = Prepared.decode(payload)
-            eofs = 0 if self.can & Can.DEPRECATE_EOF else 1
-            left = [n + eofs for n in (self.prepared.parameters, self.prepared.columns) if n]
-            self.definitions, self.state = sum(left), "prepared"
+            eofs = 0 if self.capabilities & Capability.DEPRECATE_EOF else 1
+            counts = [count + eofs for count in (self.prepared.parameters, self.prepared.columns) if count]
+            self.definitions, self.state = sum(counts), "prepared"
             return self.definitions == 0
-        if head == 0 or (head == 0xFE and len(payload) < 9 and self.command is not Command.QUERY):
-            self.ok = Ok.decode(payload) if head == 0 else None
-            return self.ended(self.ok.status if self.ok else Status(0))
-        if head == 0xFB:
-            raise Malformed("a server that asks for a local file")
+        if first_byte == 0 or (first_byte == 0xFE and len(payload) < 9 and self.command is not Command.QUERY):
+            self.ok = Ok.decode(payload) if first_byte == 0 else None
+            return self.end_result(self.ok.status if self.ok else Status(0))
+        if first_byte == 0xFB:
+            raise Malformed("the server requests a local file, which is not supported")
         self.definitions = Cursor(payload).lenenc()
         if not 0 < self.definitions <= 4096:
-            raise Malformed(f"{self.definitions} columns")
+            raise Malformed(f"expected 1 to 4096 columns, got {self.definitions}")
         self.state = "column"
         return False
 
     def at_prepared(self, payload: bytes) -> bool:
+        """Count a definition after the response to COM_STMT_PREPARE."""
         self.definitions -= 1
         return self.definitions == 0
 
     def at_column(self, payload: bytes) -> bool:
+        """Count a column definition."""
         self.definitions -= 1
         if self.definitions == 0:
-            self.state = "row" if self.can & Can.DEPRECATE_EOF else "eof"
+            self.state = "row" if self.capabilities & Capability.DEPRECATE_EOF else "eof"
         return False
 
     def at_eof(self, payload: bytes) -> bool:
+        """Handle the EOF packet after the column definitions; an open cursor means that no rows follow."""
         if not is_eof(payload):
-            raise Malformed("no end of the column definitions")
+            raise Malformed("expected an EOF packet after the column definitions")
         self.state = "row"
         status = Status(struct.unpack_from("<H", payload, 3)[0])
-        return self.ended(status) if status & Status.CURSOR_EXISTS else False
+        return self.end_result(status) if status & Status.CURSOR_EXISTS else False
 
     def at_row(self, payload: bytes) -> bool:
+        """Handle a row or the end of the rows."""
         if payload[0] == 0xFF:
             self.error = Err.decode(payload)
             return True
-        if payload[0] == 0xFE and self.can & Can.DEPRECATE_EOF and len(payload) < 0xFFFFFF:
+        if payload[0] == 0xFE and self.capabilities & Capability.DEPRECATE_EOF and len(payload) < 0xFFFFFF:
             self.ok = Ok.decode(payload)
-            return self.ended(self.ok.status)
+            return self.end_result(self.ok.status)
         if is_eof(payload):
-            return self.ended(Status(struct.unpack_from("<H", payload, 3)[0]))
+            return self.end_result(Status(struct.unpack_from("<H", payload, 3)[0]))
         self.rows += 1
         return False
--- a/rainspindle/protocol/mysql/wire.py
+++ b/rainspindle/protocol/mysql/wire.py
@@ -1,7 +1,7 @@
-"""Packets and the values in them, from the protocol as published.
+"""MySQL packet framing and the integer and string encodings, as MySQL documents them.
 
-A payload goes in packets of at most 16 MiB less one byte, numbered one by one within a command; a packet of
-just that size is followed by another, if need be an empty one.
+A payload is split into packets of at most 16 MiB less one byte, numbered consecutively within a command. A
+packet of exactly that size is followed by another one, which may be empty.
 """
 
 from __future__ import annotations
@@ -9,140 +9,154 @@
 import struct
 from dataclasses import dataclass
 
-MOST_PACKET = 0xFFFFFF
-HEAD = 4
+MAX_PACKET_PAYLOAD = 0xFFFFFF
+HEADER_SIZE = 4
 
 
 class Malformed(Exception):
-    """What came is not the protocol's; the text says where."""
+    """Data that violates the protocol; the message gives the offset or the values."""
 
 
 def packets(payload: bytes, sequence: int) -> bytes:
-    """A payload as packets, the first numbered `sequence`."""
-    out, at = bytearray(), 0
+    """Frame a payload as packets, numbered from `sequence` on."""
+    framed, offset = bytearray(), 0
     while True:
-        part = payload[at : at + MOST_PACKET]
-        out += struct.pack("<I", len(part) | (sequence & 0xFF) << 24)
-        out += part
-        at, sequence = at + len(part), sequence + 1
-        if len(part) < MOST_PACKET:
-            return bytes(out)
+        chunk = payload[offset : offset + MAX_PACKET_PAYLOAD]
+        framed += struct.pack("<I", len(chunk) | (sequence & 0xFF) << 24)
+        framed += chunk
+        offset, sequence = offset + len(chunk), sequence + 1
+        if len(chunk) < MAX_PACKET_PAYLOAD:
+            return bytes(framed)
 
 
 def count_packets(size: int) -> int:
-    """How many packets a payload of this size takes."""
-    return size // MOST_PACKET + 1
+    """Return the number of packets that a payload of `size` bytes takes."""
+    return size // MAX_PACKET_PAYLOAD + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
+    """One packet without its header."""
+
     sequence: int
     payload: bytes
-    more: bool  # the payload goes on in the next packet
+    more: bool  # the payload continues in the next packet
 
 
 class PacketReader:
-    """Bytes in, in whatever cuts, whole packets out."""
+    """Reassembles packets from bytes that arrive in arbitrary chunks."""
 
-    def __init__(self, most: int) -> None:
-        """Payloads of over `most` bytes are malformed."""
-        self.most = most
+    def __init__(self, max_payload: int) -> None:
+        """Reject payloads of more than `max_payload` bytes as malformed."""
+        self.max_payload = max_payload
         self.buffer = bytearray()
-        self.at = 0
-        self.sequence = 0  # of the next packet
+        self.position = 0
+        self.sequence = 0  # expected in the next packet
         self.parts: list[bytes] = []
-        self.held = 0
+        self.collected = 0
 
     def receive(self, data: bytes) -> None:
-        if self.at:
-            del self.buffer[: self.at]
-            self.at = 0
+        """Append bytes from the connection and discard those already consumed."""
+        if self.position:
+            del self.buffer[: self.position]
+            self.position = 0
         self.buffer += data
 
     def packet(self) -> Packet | None:
-        """The next packet, each checked for its number."""
-        if len(self.buffer) - self.at < HEAD:
+        """Return the next packet, or None if it is incomplete; raise Malformed if out of sequence."""
+        if len(self.buffer) - self.position < HEADER_SIZE:
             return None
-        (head,) = struct.unpack_from("<I", self.buffer, self.at)
-        size, sequence = head & MOST_PACKET, head >> 24
+        (header,) = struct.unpack_from("<I", self.buffer, self.position)
+        size, sequence = header & MAX_PACKET_PAYLOAD, header >> 24
         if sequence != self.sequence & 0xFF:
-            raise Malformed(f"packet {sequence} where {self.sequence & 0xFF} was due")
-        if size > self.most:
-            raise Malformed(f"a packet of {size} bytes; {self.most} are taken at most")
-        if len(self.buffer) - self.at - HEAD < size:
+            raise Malformed(f"expected packet {self.sequence & 0xFF}, got {sequence}")
+        if size > self.max_payload:
+            raise Malformed(f"packet of {size} bytes; the limit is {self.max_payload}")
+        if len(self.buffer) - self.position - HEADER_SIZE < size:
             return None
-        payload = bytes(memoryview(self.buffer)[self.at + HEAD : self.at + HEAD + size])
-        self.at += HEAD + size
+        payload = bytes(
+            memoryview(self.buffer)[self.position + HEADER_SIZE : self.position + HEADER_SIZE + size]
+        )
+        self.position += HEADER_SIZE + size
         self.sequence += 1
-        return Packet(sequence, payload, size == MOST_PACKET)
+        return Packet(sequence, payload, size == MAX_PACKET_PAYLOAD)
 
     def payload(self) -> bytes | None:
-        """The next whole payload."""
+        """Return the next payload, joined from its packets, or None if it is incomplete."""
         while (packet := self.packet()) is not None:
-            self.held += len(packet.payload)
-            if self.held > self.most:
-                raise Malformed(f"a payload of over {self.most} bytes")
+            self.collected += len(packet.payload)
+            if self.collected > self.max_payload:
+                raise Malformed(f"payload exceeds the limit of {self.max_payload} bytes")
             if not packet.more and not self.parts:
-                self.held = 0
+                self.collected = 0
                 return packet.payload
             self.parts.append(packet.payload)
             if not packet.more:
-                whole = b"".join(self.parts)
-                self.parts, self.held = [], 0
-                return whole
+                joined = b"".join(self.parts)
+                self.parts, self.collected = [], 0
+                return joined
         return None
 
     def restart(self, sequence: int = 0) -> None:
-        """A new command begins: numbers start again."""
+        """Expect `sequence` next; every command starts its numbering anew."""
         self.sequence = sequence
 
     @property
-    def begun(self) -> bool:
-        return bool(self.parts) or self.at < len(self.buffer)
+    def has_partial_payload(self) -> bool:
+        """Whether part of a payload has arrived."""
+        return bool(self.parts) or self.position < len(self.buffer)
 
 
 class Cursor:
-    """Values read one after another from a payload. Raises Malformed past its end."""
+    """Reads consecutive values from a payload. Its methods raise Malformed beyond the end."""
 
-    def __init__(self, payload: bytes, at: int = 0) -> None:
-        self.payload, self.at = payload, at
+    def __init__(self, payload: bytes, position: int = 0) -> None:
+        self.payload, self.position = payload, position
 
-    def left(self) -> int:
-        return len(self.payload) - self.at
+    def remaining(self) -> int:
+        """Return the number of unread bytes."""
+        return len(self.payload) - self.position
 
     def take(self, size: int) -> bytes:
-        if size < 0 or size > self.left():
-            raise Malformed(f"{size} bytes wanted at {self.at}, {self.left()} are left")
-        self.at += size
-        return self.payload[self.at - size : self.at]
+        """Return the next `size` bytes."""
+        if size < 0 or size > self.remaining():
+            raise Malformed(f"expected {size} bytes at offset {self.position}, got {self.remaining()}")
+        self.position += size
+        return self.payload[self.position - size : self.position]
 
     def number(self, size: int) -> int:
+        """Return a little-endian unsigned integer of `size` bytes."""
         return int.from_bytes(self.take(size), "little")
 
     def lenenc(self) -> int:
+        """Return a length-encoded integer."""
         first = self.number(1)
         if first < 0xFB:
             return first
         if first in (0xFC, 0xFD, 0xFE):
             return self.number({0xFC: 2, 0xFD: 3, 0xFE: 8}[first])
-        raise Malformed(f"no length at {self.at - 1}: {first:#x}")
+        raise Malformed(f"expected a length-encoded integer at offset {self.position - 1}, got {first:#x}")
 
     def lenenc_bytes(self) -> bytes:
+        """Return a length-encoded string."""
         return self.take(self.lenenc())
 
     def until_nul(self) -> bytes:
-        end = self.payload.find(b"\0", self.at)
+        """Return a NUL-terminated string without its NUL."""
+        end = self.payload.find(b"\0", self.position)
         if end < 0:
-            raise Malformed(f"no end of a string from {self.at} on")
-        found = self.payload[self.at : end]
-        self.at = end + 1
-        return found
+            raise Malformed(f"expected a NUL-terminated string at offset {self.position}, found no NUL")
+        value = self.payload[self.position : end]
+        self.position = end + 1
+        return value
 
     def rest(self) -> bytes:
-        return self.take(self.left())
+        """Return all unread bytes."""
+        return self.take(self.remaining())
 
 
 def lenenc(value: int) -> bytes:
+    """Encode a length-encoded integer."""
     if value < 0xFB:
         return bytes((value,))
     if value < 1 << 16:
@@ -153,4 +167,5 @@
 
 
 def lenenc_bytes(value: bytes) -> bytes:
+    """Encode a length-encoded string."""
     return lenenc(len(value)) + value
--- a/tests/test_mysql.py
+++ b/tests/test_mysql.py
@@ -24,11 +24,11 @@
 from rainspindle.decisions.statements.statements import Rule, Statements
 from rainspindle.fronts.mysql.back import MysqlBack
 from rainspindle.fronts.mysql.front import MysqlFront
-from rainspindle.fronts.mysql.servers import Account, Refused, Server, Servers
+from rainspindle.fronts.mysql.servers import Account, Refused, ServerConnection, ServerPool
 from rainspindle.lab.mysql.database import Database, Store
 from rainspindle.protocol.discovery import ListDecoder
 from rainspindle.protocol.mysql import auth
-from rainspindle.protocol.mysql.messages import OURS, Can, Err
+from rainspindle.protocol.mysql.messages import SUPPORTED_CAPABILITIES, Capability, Err
 from rainspindle.protocol.settings import make_balancer, socket_settings
 from rainspindle.routing.core import Core, Directory
 from rainspindle.routing.facade import Facade
@@ -76,10 +76,10 @@
         now = self.loop.now()
         self.facade = Facade(now, lambda host: make_balancer(host, 7, now, whole))
         directory = Directory()
-        self.servers = Servers(self.loop, most_each)
+        self.servers = ServerPool(self.loop, most_each)
         self.back = MysqlBack(self.loop, self.servers, settings, directory)
         self.core = Core(
-            self.loop, self.facade, settings, directory, self.back, lambda: None, self.servers.sweep
+            self.loop, self.facade, settings, directory, self.back, lambda: None, self.servers.close_expired
         )
         self.front = MysqlFront(
             self.loop, self.core, self.core, self.back, Statements(RULES, 1, [0, 2], parse), USERS, 200
@@ -221,7 +221,7 @@
     several = [rig.connect() for _ in range(20)]
     for connection in several * 3:
         ask(connection, "SELECT 1")
-    assert rig.servers.made <= 6 and rig.servers.reused > 50
+    assert rig.servers.created <= 6 and rig.servers.reused > 50
     rig.end()
 
 
@@ -312,7 +312,7 @@
     one = table(rig)
     for d in rig.databases:
         rig.do(d.die)
-    with pytest.raises(pymysql.err.OperationalError, match=r"1213.*never ran; trying again is harmless"):
+    with pytest.raises(pymysql.err.OperationalError, match=r"1213.*never ran; retrying is safe"):
         ask(one, "INSERT INTO exams (k, answer) VALUES ('k', 'v')")
     assert rig.executed("INSERT") == 0
 
@@ -349,7 +349,10 @@
     ask(one, "INSERT INTO exams (k, answer) VALUES ('d', 'in time')")
     one.commit()
     assert int(ask(one, "SELECT CONNECTION_ID()")[0][0]) not in (port, pinned)
-    with pytest.raises(pymysql.err.OperationalError, match="the server leaves, and with it"):
+    with pytest.raises(
+        pymysql.err.OperationalError,
+        match="the server is draining or was removed; lost session state: unknown",
+    ):
         ask(two, "SELECT @x")
     assert ask(two, "SELECT 1") == (("1",),)
 
@@ -426,17 +429,19 @@
 def test_what_is_refused_and_why(rig: Rig) -> None:
     one = rig.connect()
     for command, text in (
-        (0x1E, "BINLOG_DUMP_GTID is not passed on"),
-        (0x15, "not passed on"),
+        (0x1E, "BINLOG_DUMP_GTID is not supported"),
+        (0x15, "not supported"),
         (0x42, "unknown"),
     ):
         one._execute_command(command, b"x")
         with pytest.raises(pymysql.err.MySQLError, match=text):
             one._read_ok_packet()
-    assert not OURS & (Can.LOCAL_FILES | Can.COMPRESS | Can.ZSTD | Can.SSL)
+    assert not SUPPORTED_CAPABILITIES & (
+        Capability.LOCAL_FILES | Capability.COMPRESS | Capability.ZSTD | Capability.SSL
+    )
     for d in rig.databases:
         d.full_needed = True  # a server that wants the password itself, over a line that all can read
-    with pytest.raises(pymysql.err.OperationalError, match=r"never ran.*TLS alone"):
+    with pytest.raises(pymysql.err.OperationalError, match=r"never ran.*needs TLS"):
         ask(rig.connect(), "SELECT 1 FROM seq_1x1")
     for d in rig.databases:
         d.full_needed, d.refuses = False, Err(1040, "08004", "Too many connections")
@@ -447,11 +452,11 @@
 def test_a_full_pool_queues_in_turn_and_then_turns_away() -> None:
     rig = Rig(servers=1, most_each=1)
     place = ("e0", ("127.0.0.1", rig.databases[0].port))
-    told: queue.Queue[tuple[str, Server | None]] = queue.Queue()
+    told: queue.Queue[tuple[str, ServerConnection | None]] = queue.Queue()
 
     def takes(name: str, account: Account, until: float) -> Any:
         try:
-            told.put((name, (yield from rig.servers.take(place, account, {}, until, None))))
+            told.put((name, (yield from rig.servers.acquire(place, account, {}, until, None))))
         except Refused as fault:
             assert fault.full
             told.put((name, None))
@@ -466,8 +471,8 @@
         assert [(name, server is None) for name, server in got] == [("first", False), ("late", True)]
         held = got[0][1]
         for name in ("second", "third"):
-            assert held is not None and rig.servers.open[place] == 1 and told.empty()
-            rig.do(partial(rig.servers.give, held))
+            assert held is not None and rig.servers.open_counts[place] == 1 and told.empty()
+            rig.do(partial(rig.servers.release, held))
             next_name, held = told.get(timeout=PATIENCE)
             assert next_name == name
     finally:
--- a/tests/test_mysql_codec.py
+++ b/tests/test_mysql_codec.py
@@ -17,9 +17,8 @@
 from rainspindle.program.config import ConfigFault
 from rainspindle.program.mysql_config import load_mysql
 from rainspindle.protocol.mysql.messages import (
-    OURS,
-    AnswerReader,
-    Can,
+    SUPPORTED_CAPABILITIES,
+    Capability,
     Column,
     Command,
     Err,
@@ -27,6 +26,7 @@
     Login,
     Ok,
     Prepared,
+    ResponseReader,
     Status,
     eof,
 )
@@ -50,7 +50,7 @@
         data = data[cut:]
         while (whole := reader.payload()) is not None:
             found.append(whole)
-    assert found == payloads and not reader.begun
+    assert found == payloads and not reader.has_partial_payload
 
 
 @pytest.mark.parametrize("size", [LARGE - 1, LARGE, LARGE + 1, 2 * LARGE])
@@ -62,14 +62,14 @@
     assert reader.payload() == payload and reader.sequence == 3 + size // LARGE + 1
     small = PacketReader(1 << 20)
     small.receive(packets(payload, 0)[:100])
-    with pytest.raises(Malformed, match="at most"):
+    with pytest.raises(Malformed, match=r"packet of 16777\d+ bytes; the limit is 1048576"):
         small.payload()
 
 
 def test_numbers_out_of_order_and_values_past_the_end_are_named() -> None:
     reader = PacketReader(1000)
     reader.receive(packets(b"x", 1))
-    with pytest.raises(Malformed, match="packet 1 where 0 was due"):
+    with pytest.raises(Malformed, match="expected packet 0, got 1"):
         reader.payload()
     for value in (0, 250, 251, 65535, 65536, 1 << 24, 1 << 40):
         assert Cursor(lenenc(value)).lenenc() == value
@@ -79,26 +79,26 @@
 
 
 def test_greetings_and_log_ins_go_both_ways() -> None:
-    greeting = Greeting("8.0.1", 77, bytes(range(1, 21)), OURS, "caching_sha2_password")
+    greeting = Greeting("8.0.1", 77, bytes(range(1, 21)), SUPPORTED_CAPABILITIES, "caching_sha2_password")
     assert Greeting.decode(greeting.encode()) == greeting
     for database in ("", "reg"):
-        login = Login(OURS, "anna", b"p" * 32, database)
+        login = Login(SUPPORTED_CAPABILITIES, "anna", b"p" * 32, database)
         found = Login.decode(login.encode())
-        assert (found.user, found.proof, found.database, found.plugin) == (
+        assert (found.user, found.auth_response, found.database, found.plugin) == (
             "anna",
             b"p" * 32,
             database,
             login.plugin,
         )
-    with pytest.raises(Malformed, match=r"before 4\.1"):
+    with pytest.raises(Malformed, match=r"does not support protocol 4\.1"):
         Login.decode(b"\0" * 40)
     assert Err.decode(Err(1213, "40001", "again").encode()) == Err(1213, "40001", "again")
 
 
 SAMPLES = [
-    Greeting("8.0.1", 77, bytes(range(1, 21)), OURS, "x").encode(),
-    Login(OURS, "a", b"p", "d").encode(),
-    Ok(3, 7).encode(OURS),
+    Greeting("8.0.1", 77, bytes(range(1, 21)), SUPPORTED_CAPABILITIES, "x").encode(),
+    Login(SUPPORTED_CAPABILITIES, "a", b"p", "d").encode(),
+    Ok(3, 7).encode(SUPPORTED_CAPABILITIES),
     Err(1, "HY000", "x").encode(),
     Prepared(1, 2, 3).encode(),
     lenenc(2),
@@ -126,7 +126,10 @@
         for read in (Greeting.decode, Login.decode, Ok.decode, Err.decode, Prepared.decode):
             with contextlib.suppress(Malformed):
                 read(bytes(data))
-        answer = AnswerReader(rng.choice((OURS, OURS & ~Can.DEPRECATE_EOF)), rng.choice(list(Command)))
+        answer = ResponseReader(
+            rng.choice((SUPPORTED_CAPABILITIES, SUPPORTED_CAPABILITIES & ~Capability.DEPRECATE_EOF)),
+            rng.choice(list(Command)),
+        )
         with contextlib.suppress(Malformed):
             for _ in range(6):
                 if answer.packet(rng.choice((bytes(data), rng.choice(SAMPLES)))):
@@ -138,21 +141,36 @@
 
 
 def test_the_end_of_every_kind_of_answer_is_known() -> None:
-    def whole(can: Can, command: Command, *payloads: bytes) -> list[bool]:
-        answer = AnswerReader(can, command)
+    def whole(can: Capability, command: Command, *payloads: bytes) -> list[bool]:
+        answer = ResponseReader(can, command)
         return [answer.packet(p) for p in payloads]
 
-    old, row, column = OURS & ~Can.DEPRECATE_EOF, lenenc_bytes(b"x"), Column("n").encode()
-    end = Ok().encode(OURS, 0xFE)
-    more = Ok(status=Status.MORE_RESULTS).encode(OURS, 0xFE)
-    assert whole(OURS, Command.QUERY, Ok().encode(OURS)) == [True]
-    assert whole(OURS, Command.QUERY, lenenc(1), column, row, end) == [False, False, False, True]
+    old, row, column = (
+        SUPPORTED_CAPABILITIES & ~Capability.DEPRECATE_EOF,
+        lenenc_bytes(b"x"),
+        Column("n").encode(),
+    )
+    end = Ok().encode(SUPPORTED_CAPABILITIES, 0xFE)
+    more = Ok(status=Status.MORE_RESULTS).encode(SUPPORTED_CAPABILITIES, 0xFE)
+    assert whole(SUPPORTED_CAPABILITIES, Command.QUERY, Ok().encode(SUPPORTED_CAPABILITIES)) == [True]
+    assert whole(SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, row, end) == [
+        False,
+        False,
+        False,
+        True,
+    ]
     assert whole(old, Command.QUERY, lenenc(1), column, eof(Status(0)), row, eof(Status(0))) == [
         False
     ] * 4 + [True]
-    assert whole(OURS, Command.QUERY, lenenc(1), column, more, Ok().encode(OURS)) == [False] * 3 + [True]
-    assert whole(OURS, Command.QUERY, lenenc(1), column, row, Err(1, "HY000", "x").encode())[-1]
-    assert whole(OURS, Command.PREPARE, Prepared(1, 1, 2).encode(), column, column, column)[-2:] == [
+    assert whole(
+        SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, more, Ok().encode(SUPPORTED_CAPABILITIES)
+    ) == [False] * 3 + [True]
+    assert whole(
+        SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, row, Err(1, "HY000", "x").encode()
+    )[-1]
+    assert whole(SUPPORTED_CAPABILITIES, Command.PREPARE, Prepared(1, 1, 2).encode(), column, column, column)[
+        -2:
+    ] == [
         False,
         True,
     ]
@@ -162,7 +180,7 @@
         True,
     ]
     with pytest.raises(Malformed, match="local file"):
-        whole(OURS, Command.QUERY, b"\xfbname")
+        whole(SUPPORTED_CAPABILITIES, Command.QUERY, b"\xfbname")
 
 
 # Statements.
@@ -177,7 +195,7 @@
 
 
 def test_rules_say_what_a_statement_is_and_where_its_key_is() -> None:
-    known = Statements(RULES, 2, [0, 1, 2], parse, most=3)
+    known = Statements(RULES, 2, [0, 1, 2], parse, max_parses=3)
 
     def meant(sql: str, *values: str) -> tuple[int, str | None]:
         found = known.meaning(sql, "anna", "session 1", values)
@@ -228,7 +246,7 @@
     ],
 )
 def test_what_a_statement_leaves_behind(sql: str, leaves: set[str]) -> None:
-    assert Statements((), 0, [0], parse).meaning(sql, "u", "s").leaves == leaves
+    assert Statements((), 0, [0], parse).meaning(sql, "u", "s").side_effects == leaves
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
