--- a/rainspindle/fronts/mysql/back.py
+++ b/rainspindle/fronts/mysql/back.py
@@ -209,7 +209,7 @@
         silence_limit = until - self.loop.now()
 
         def cancelled() -> bool:
-            # Without this check, a client that disconnects would keep the server busy, or count as its failure.
+            # Without this check, a client that disconnects would keep the server busy or count as its fault.
             client_left = request.streamed and request.client is not None and request.client.ended
             return client_left or (after is not None and after())
 
--- a/rainspindle/lab/mysql/__init__.py
+++ b/rainspindle/lab/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in database that speaks the MySQL wire protocol, and what is played against it."""
+"""Simulated database that speaks the MySQL wire protocol, and a trial that runs against it."""
--- a/rainspindle/lab/mysql/trial.py
+++ b/rainspindle/lab/mysql/trial.py
@@ -1,12 +1,11 @@
-"""Binding statements through the front while servers are killed, silenced and slowed at random: who ran how
-often.
+"""Counts how often non-idempotent statements run while servers are killed, silenced and slowed at random.
 
     python -m rainspindle.lab.mysql.trial --statements 20000 --seed 1 --json
 
-Real processes: the front as operators start it, stand-in databases, and clients by PyMySQL. Beside it, in
-the same way, the same clients with a driver that picks a server at random. Every statement has an id of its
-own, and the databases write down each that they run. A statement is repeated only after word that it never
-ran.
+It uses real processes: the sidecar as operators start it, simulated databases, and PyMySQL clients. For
+comparison, the same clients also run without a sidecar and pick a server at random. Every statement has an
+id of its own, and the databases record each one that they run. A client repeats a statement only if it was
+told that the statement never ran.
 """
 
 from __future__ import annotations
@@ -36,84 +35,104 @@
 from .database import Database, Store
 
 SERVERS, USER, PASSWORD = 5, "anna", "secret"
-PROMISED, EXPIRY = 0.6, 1.5
-WORK = 0.004
-PATIENCE = 60.0  # seconds, far beyond anything needed: no verdict hangs on speed
-ID = re.compile(r"id(\d+)")
+LATENCY_OBJECTIVE, EXPIRY = 0.6, 1.5  # seconds: latency objective and deadline
+STATEMENT_TIME = 0.004  # seconds that a healthy server takes for a statement
+TIMEOUT = 60.0  # seconds; far longer than needed, so that no result depends on the machine's speed
+STATEMENT_ID = re.compile(r"id(\d+)")
 
 
-def databases(seed: int, seconds: float) -> None:
-    """Stand-ins with a mind of their own: from the first line of standard input on, each fails now and
-    then."""
-    loop = Loop(lambda fault: print(fault, file=sys.stderr))
+def run_databases(seed: int, seconds: float) -> None:
+    """Run the simulated servers, which fail at random from the first line of standard input on."""
+    loop = Loop(lambda error: print(error, file=sys.stderr))
     users = {USER: PASSWORD.encode()}
-    stands = [Database(loop, Store({"exams": (["id", "k"], [])}), users) for _ in range(SERVERS)]
-    print(json.dumps([d.port for d in stands]), flush=True)
+    servers = [Database(loop, Store({"exams": (["id", "k"], [])}), users) for _ in range(SERVERS)]
+    print(json.dumps([database.port for database in servers]), flush=True)
     rng = random.Random(seed)
-    for stand in stands:
-        stand.latency = WORK
+    for server in servers:
+        server.latency = STATEMENT_TIME
 
-    def trouble(stand: Database, rng: random.Random) -> Coroutine[None]:
+    def inject_faults(server: Database, rng: random.Random) -> Coroutine[None]:
         end = loop.now() + seconds
         while loop.now() < end:
-            until = loop.now() + rng.expovariate(1 / 6.0)
-            while loop.now() < until:
-                yield until
-            what, until = rng.choice(("kill", "silent", "slow", "phase")), loop.now() + rng.uniform(1.0, 4.0)
-            if what == "kill":
-                stand.die()
-            elif what == "silent":
-                stand.fault = lambda sql, phase: "silent"
-            elif what == "slow":
-                stand.latency = 0.3
+            wake_at = loop.now() + rng.expovariate(1 / 6.0)
+            while loop.now() < wake_at:
+                yield wake_at
+            fault_kind, wake_at = (
+                rng.choice(("kill", "silent", "slow", "phase")),
+                loop.now() + rng.uniform(1.0, 4.0),
+            )
+            if fault_kind == "kill":
+                server.kill()
+            elif fault_kind == "silent":
+                server.fault_hook = lambda statement, phase: "silent"
+            elif fault_kind == "slow":
+                server.latency = 0.3
             else:
-                phase, how = rng.choice(("before", "after")), rng.choice(("silent", "reset"))
-                stand.fault = lambda sql, at, phase=phase, how=how: (  # type: ignore[misc]
-                    how if at == phase and rng.random() < 0.5 else ""
+                phase, failure = rng.choice(("before", "after")), rng.choice(("silent", "reset"))
+                server.fault_hook = lambda statement, current_phase, phase=phase, failure=failure: (  # type: ignore[misc]
+                    failure if current_phase == phase and rng.random() < 0.5 else ""
                 )
-            while loop.now() < until:
-                yield until
-            stand.fault, stand.latency = lambda sql, phase: "", WORK
-            if stand.listener is None:
-                stand.start(stand.port)
+            while loop.now() < wake_at:
+                yield wake_at
+            server.fault_hook, server.latency = lambda statement, phase: "", STATEMENT_TIME
+            if server.listener is None:
+                server.start(server.port)
 
-    def begin(order: dict[str, Any]) -> None:
-        for stand in stands:
-            loop.spawn(trouble(stand, random.Random(rng.random())))
+    def start_faults(first_order: dict[str, Any]) -> None:
+        for server in servers:
+            loop.spawn(inject_faults(server, random.Random(rng.random())))
 
-    Orders(loop, begin)
+    Orders(loop, start_faults)
     loop.run()
-    print(json.dumps(dict(Counter(m[1] for d in stands for sql in d.executed if (m := ID.search(sql))))))
+    print(
+        json.dumps(
+            dict(
+                Counter(
+                    match[1]
+                    for database in servers
+                    for statement in database.executed
+                    if (match := STATEMENT_ID.search(statement))
+                )
+            )
+        )
+    )
 
 
 class Client(threading.Thread):
-    """Statements one after another; each has one end."""
+    """Sends statements one after another and records the outcome of each."""
 
-    def __init__(self, ports: list[int], ids: list[int], pace: float, seed: int, reads: float) -> None:
-        """`reads` retriable statements come with each binding one."""
+    def __init__(self, ports: list[int], ids: list[int], interval: float, seed: int, reads: float) -> None:
+        """Send `reads` idempotent statements, on average, per non-idempotent one."""
         super().__init__(daemon=True)
-        self.ports, self.ids, self.pace, self.rng = ports, ids, pace, random.Random(seed)
-        self.reads, self.read_ends = reads, Counter[str]()
-        self.ends: dict[int, str] = {}
-        self.times: list[float] = []
+        self.ports, self.ids, self.interval, self.rng = ports, ids, interval, random.Random(seed)
+        self.reads, self.read_outcomes = reads, Counter[str]()
+        self.outcomes: dict[int, str] = {}
+        self.durations: list[float] = []
         self.connection: Any = None
 
     def run(self) -> None:
+        """Send all statements, each when it is due."""
         due = time.monotonic()
-        for id in self.ids:
+        for statement_id in self.ids:
             time.sleep(max(0.0, due - time.monotonic()))
-            due += self.rng.expovariate(1 / self.pace)
+            due += self.rng.expovariate(1 / self.interval)
             if self.rng.random() < self.reads:
-                self.read_ends[self.one(f"SELECT {id}")] += 1
-            begun = time.monotonic()
+                self.read_outcomes[self.run_statement(f"SELECT {statement_id}")] += 1
+            started = time.monotonic()
             for _ in range(2):
-                self.ends[id] = self.one(f"INSERT INTO exams (k) VALUES ('id{id}')")
-                if self.ends[id] != "rejected" or time.monotonic() - begun > PROMISED:
+                self.outcomes[statement_id] = self.run_statement(
+                    f"INSERT INTO exams (k) VALUES ('id{statement_id}')"
+                )
+                if (
+                    self.outcomes[statement_id] != "rejected"
+                    or time.monotonic() - started > LATENCY_OBJECTIVE
+                ):
                     break
                 time.sleep(0.05)
-            self.times.append(time.monotonic() - begun)
+            self.durations.append(time.monotonic() - started)
 
-    def one(self, sql: str) -> str:
+    def run_statement(self, sql: str) -> str:
+        """Run a statement and return its outcome."""
         try:
             if self.connection is None:
                 self.connection = pymysql.connect(
@@ -128,12 +147,13 @@
             with self.connection.cursor() as cursor:
                 cursor.execute(sql)
             return "finished"
-        except pymysql.err.OperationalError as fault:
-            code = fault.args[0]
+        except pymysql.err.OperationalError as error:
+            code = error.args[0]
             if code in (1213, 1317):
                 return "rejected" if code == 1213 else "terminated"
             self.connection = None
-            return "rejected" if code == 2003 else "lost"  # 2003: no connection, so it never ran
+            # 2003: the connection failed, so the statement never ran.
+            return "rejected" if code == 2003 else "lost"
         except (pymysql.err.Error, OSError):
             self.connection = None
             return "lost"
@@ -142,72 +162,82 @@
 def trial(
     statements: int, clients: int, seconds: float, seed: int, reads: float, fronts: Sequence[Path] = (ROOT,)
 ) -> dict[str, Any]:
-    """`fronts`: roots of the builds whose fronts serve one after the other, each a successor beside the one
-    before; with none, clients draw a server themselves."""
-    stands = subprocess.Popen(
+    """Run the clients against one configuration and return the outcomes and run counts.
+
+    `fronts` are the roots of the builds that serve one after another, each starting before its predecessor
+    ends. With none, clients pick a server themselves.
+    """
+    servers = subprocess.Popen(
         [sys.executable, "-m", __spec__.name, "--databases", "--seed", str(seed), "--seconds", str(seconds)],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
     )
-    assert stands.stdin is not None and stands.stdout is not None
-    ports = json.loads(stands.stdout.readline())
+    assert servers.stdin is not None and servers.stdout is not None
+    ports = json.loads(servers.stdout.readline())
     with tempfile.TemporaryDirectory(prefix="rainspindle-mysql-") as folder:
-        serving = Fronts(Path(folder), ports, seed)
+        processes = SidecarProcesses(Path(folder), ports, seed)
         try:
             if fronts:
-                serving.start(fronts[0])
-            stands.stdin.write("{}\n")
-            stands.stdin.flush()
-            parts = [list(range(n, statements, clients)) for n in range(clients)]
+                processes.start(fronts[0])
+            servers.stdin.write("{}\n")
+            servers.stdin.flush()
+            id_groups = [list(range(index, statements, clients)) for index in range(clients)]
             threads = [
                 Client(
-                    [serving.port] if fronts else ports,
-                    part,
-                    seconds / max(len(part), 1),
-                    seed * 1000 + n,
+                    [processes.port] if fronts else ports,
+                    id_group,
+                    seconds / max(len(id_group), 1),
+                    seed * 1000 + index,
                     reads,
                 )
-                for n, part in enumerate(parts)
+                for index, id_group in enumerate(id_groups)
             ]
             for thread in threads:
                 thread.start()
             for root in fronts[1:]:
                 time.sleep(seconds / len(fronts))
-                serving.replace(root)
+                processes.replace(root)
             for thread in threads:
                 thread.join(4 * seconds + 60)
         finally:
-            serving.end()
-            out, _ = stands.communicate(timeout=30)
-    ran = {int(id): count for id, count in json.loads(out.splitlines()[-1]).items()}
-    ends = {id: end for thread in threads for id, end in thread.ends.items()}
-    times = np.array([t for thread in threads for t in thread.times])
-    finished = np.array([end == "finished" for thread in threads for end in thread.ends.values()])
+            processes.end()
+            output, _ = servers.communicate(timeout=30)
+    run_counts = {
+        int(statement_id): count for statement_id, count in json.loads(output.splitlines()[-1]).items()
+    }
+    outcomes = {
+        statement_id: outcome for thread in threads for statement_id, outcome in thread.outcomes.items()
+    }
+    durations = np.array([duration for thread in threads for duration in thread.durations])
+    finished = np.array([outcome == "finished" for thread in threads for outcome in thread.outcomes.values()])
     return {
-        "statements": len(ends),
-        "ends": dict(Counter(ends.values())),
-        "reads": dict(sum((thread.read_ends for thread in threads), Counter[str]())),
-        "in_time": float((finished & (times <= PROMISED)).mean()),
-        "ran_twice": sum(count > 1 for count in ran.values()),
-        "rejected_and_ran": sum(ends[id] == "rejected" for id in ran),
-        "lost_and_ran": sum(ends[id] == "lost" for id in ran),
-        "finished_and_never_ran": sum(end == "finished" and id not in ran for id, end in ends.items()),
-        "p50_ms": round(1000 * float(np.quantile(times, 0.5)), 2),
-        "p99_ms": round(1000 * float(np.quantile(times, 0.99)), 2),
-        "longest_s": round(float(times.max()), 2),
-        "fronts": serving.statuses,
+        "statements": len(outcomes),
+        "ends": dict(Counter(outcomes.values())),
+        "reads": dict(sum((thread.read_outcomes for thread in threads), Counter[str]())),
+        "in_time": float((finished & (durations <= LATENCY_OBJECTIVE)).mean()),
+        "ran_twice": sum(count > 1 for count in run_counts.values()),
+        "rejected_and_ran": sum(outcomes[statement_id] == "rejected" for statement_id in run_counts),
+        "lost_and_ran": sum(outcomes[statement_id] == "lost" for statement_id in run_counts),
+        "finished_and_never_ran": sum(
+            outcome == "finished" and statement_id not in run_counts
+            for statement_id, outcome in outcomes.items()
+        ),
+        "p50_ms": round(1000 * float(np.quantile(durations, 0.5)), 2),
+        "p99_ms": round(1000 * float(np.quantile(durations, 0.99)), 2),
+        "longest_s": round(float(durations.max()), 2),
+        "fronts": processes.statuses,
     }
 
 
-class Fronts:
-    """The front as operators start it: its files, and its processes one after the other at one address."""
+class SidecarProcesses:
+    """Sidecar processes that serve at one address one after another, and their files."""
 
     def __init__(self, folder: Path, ports: list[int], seed: int) -> None:
         self.folder, self.ports, self.seed, self.port = folder, ports, seed, reserve_port()
         self.process: subprocess.Popen[bytes] | None = None
-        self.statuses: list[int] = []  # with which those before have ended
+        self.statuses: list[int] = []  # exit statuses of the processes that have ended
         secret = folder / "anna.password"
         secret.touch(0o600)
         secret.write_text(PASSWORD)
@@ -219,21 +249,27 @@
         )
 
     def platform(self, console: int) -> dict[str, Any]:
-        types = [
-            {"name": name, "effect": effect, "promised-time": PROMISED * 1000, "expiry": EXPIRY * 1000}
+        """Return the platform configuration."""
+        traffic_types = [
+            {
+                "name": name,
+                "effect": effect,
+                "promised-time": LATENCY_OBJECTIVE * 1000,
+                "expiry": EXPIRY * 1000,
+            }
             for name, effect in (("submit", "non_idempotent"), ("read", "read_like"))
         ]
-        known = [
+        instances = [
             {
-                "instanceId": f"e{n}",
-                "hostPort": f"127.0.0.1:{p}",
+                "instanceId": f"e{index}",
+                "hostPort": f"127.0.0.1:{port}",
                 "zone": "a",
                 "cell": 0,
                 "weight": 1.0,
                 "lifecycle": "SERVING",
                 "startedAtMs": 0,
             }
-            for n, p in enumerate(self.ports)
+            for index, port in enumerate(self.ports)
         ]
         return {
             "name": "trial",
@@ -242,7 +278,7 @@
             "discovery": "127.0.0.1:9",
             "seed": self.seed,
             "limits": {"cores": 1.0, "sockets": 1024},
-            "known": {"generation": 1, "reset": True, "instances": known},
+            "known": {"generation": 1, "reset": True, "instances": instances},
             "settings": {
                 "contract": {
                     "ask-within": 10000,
@@ -265,12 +301,12 @@
                     "parallel-tries": False,
                     "retry-after": True,
                 },
-                "traffic-types": types,
+                "traffic-types": traffic_types,
             },
         }
 
     def start(self, root: Path) -> None:
-        """The front of the build at `root`, beside the one before if there is one, until it can serve."""
+        """Start the build at `root` and wait until it is ready; a predecessor keeps running."""
         console = reserve_port()
         (self.folder / "platform.json").write_text(json.dumps(self.platform(console)))
         self.process = process = subprocess.Popen(
@@ -288,8 +324,8 @@
             cwd=root,
             env={**os.environ, "TMPDIR": str(self.folder)},
         )
-        until = time.monotonic() + PATIENCE
-        while time.monotonic() < until and process.poll() is None:
+        deadline = time.monotonic() + TIMEOUT
+        while time.monotonic() < deadline and process.poll() is None:
             connection = HTTPConnection("127.0.0.1", console, timeout=1.0)
             try:
                 connection.request("GET", "/-/ready")
@@ -300,24 +336,29 @@
             finally:
                 connection.close()
             time.sleep(0.05)
-        raise RuntimeError(f"the front {process.pid} did not get ready; its status is {process.poll()}")
+        raise RuntimeError(
+            f"the sidecar {process.pid} was not ready within {TIMEOUT} s; exit status: {process.poll()}"
+        )
 
     def replace(self, root: Path) -> None:
-        before = self.process
+        """Start the build at `root`, then end its predecessor."""
+        predecessor = self.process
         try:
             self.start(root)
         finally:
-            self.process, next_one = before, self.process
+            self.process, successor = predecessor, self.process
             self.end()
-            self.process = next_one
+            self.process = successor
 
     def end(self) -> None:
+        """Terminate the current process and record its exit status."""
         if self.process is not None:
             self.process.terminate()
-            self.statuses.append(self.process.wait(PATIENCE))
+            self.statuses.append(self.process.wait(TIMEOUT))
 
 
 def main() -> int:
+    """Run the trial from the command line; the exit status is 3 if a guarantee was violated."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -325,27 +366,31 @@
     parser.add_argument("--clients", type=int, default=16)
     parser.add_argument("--seconds", type=float, default=80.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--reads", type=float, default=0.5, help="retriable statements for each binding one")
+    parser.add_argument(
+        "--reads", type=float, default=0.5, help="idempotent statements per non-idempotent one"
+    )
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--databases", action="store_true", help=argparse.SUPPRESS)
-    o = parser.parse_args()
-    if o.databases:
-        databases(o.seed, o.seconds)
+    options = parser.parse_args()
+    if options.databases:
+        run_databases(options.seed, options.seconds)
         return 0
-    found = {
-        name: trial(o.statements, o.clients, o.seconds, o.seed, o.reads, fronts)
+    results = {
+        name: trial(options.statements, options.clients, options.seconds, options.seed, options.reads, fronts)
         for name, fronts in (("front", (ROOT,)), ("random server", ()))
     }
-    if o.json:
-        print(json.dumps(found))
-    for name, figures in found.items() if not o.json else ():
+    if options.json:
+        print(json.dumps(results))
+    for name, figures in results.items() if not options.json else ():
         print(name, figures)
-    front = found["front"]
+    sidecar = results["front"]
     print(
-        f"ran_twice={front['ran_twice']} rejected_and_ran={front['rejected_and_ran']} "
-        f"finished_and_never_ran={front['finished_and_never_ran']} in_time={front['in_time']:.4f}"
+        f"ran_twice={sidecar['ran_twice']} rejected_and_ran={sidecar['rejected_and_ran']} "
+        f"finished_and_never_ran={sidecar['finished_and_never_ran']} in_time={sidecar['in_time']:.4f}"
+    )
+    return (
+        3 if sidecar["ran_twice"] or sidecar["rejected_and_ran"] or sidecar["finished_and_never_ran"] else 0
     )
-    return 3 if front["ran_twice"] or front["rejected_and_ran"] or front["finished_and_never_ran"] else 0
 
 
 if __name__ == "__main__":
--- a/rainspindle/program/mysql.py
+++ b/rainspindle/program/mysql.py
@@ -1,4 +1,4 @@
-"""A sidecar whose clients and servers speak the MySQL wire protocol."""
+"""Sidecar whose clients and servers speak the MySQL wire protocol."""
 
 from __future__ import annotations
 
@@ -18,22 +18,27 @@
 from .serve import Front, Sidecar
 
 log = logging.getLogger("rainspindle.mysql")
+# Of several statements in one text, the effect with the highest rank applies.
 RANKS = {"read_like": 0, "idempotency_key": 1, "non_idempotent": 2}
 assert set(RANKS) == set(EFFECTS)
 
 
 class MysqlSidecar(Sidecar):
+    """Sidecar that runs the MySQL front and its server connections."""
+
     def __init__(self, config: MysqlConfig, load: Callable[[], MysqlConfig]) -> None:
-        """`load` reads the front's file again."""
+        """Take `load` as the function that reads the configuration file again."""
         self.mysql, self.load_mysql = config, load
         super().__init__(config.sidecar, lambda: load().sidecar)
 
     def make_back(self, directory: Directory) -> Back:
+        """Create the server connection pool and the back end that uses it."""
         self.servers = ServerPool(self.loop, self.mysql.most_each)
         self.back = MysqlBack(self.loop, self.servers, self.config.settings, directory)
         return self.back
 
     def make_front(self, most_clients: int) -> Front:
+        """Create the MySQL front."""
         self.mysql_front = MysqlFront(
             self.loop,
             self.core,
@@ -46,45 +51,56 @@
         return self.mysql_front
 
     def statements(self) -> Statements:
-        types = self.config.raw_settings["traffic-types"]
-        return Statements(self.mysql.rules, self.mysql.default, [RANKS[t["effect"]] for t in types], parse)
+        """Build the statement classifier; a reload replaces it, with an empty cache."""
+        traffic_types = self.config.raw_settings["traffic-types"]
+        return Statements(
+            self.mysql.rules,
+            self.mysql.default,
+            [RANKS[traffic_type["effect"]] for traffic_type in traffic_types],
+            parse,
+        )
 
     def each_tick(self) -> None:
+        """Close expired server connections."""
         self.servers.close_expired()
 
     def reload(self) -> None:
-        """Users, rules and limits take effect at once; sessions that are logged in stay."""
+        """Apply new users, rules and limits at once; authenticated sessions stay.
+
+        If the traffic classes differ from those of the running process, the rules need a restart.
+        """
         try:
-            new = self.load_mysql()
-        except ConfigFault as fault:
-            log.error("configuration refused, the old one stays", extra={"fields": fault.fields()})
+            new_config = self.load_mysql()
+        except ConfigFault as error:
+            log.error("configuration refused; keeping the current one", extra={"fields": error.fields()})
             return
         super().reload()
-        # Guards against rules that name traffic types by the numbers of other settings than those in force.
-        rules_wait = self.settings_differ(new)
-        if rules_wait:
-            new = replace(new, rules=self.mysql.rules, default=self.mysql.default)
-        self.mysql = new
-        self.mysql_front.users, self.mysql_front.most_clients = new.users, new.most_clients
+        # Rules hold indexes of traffic classes, so they are only valid with the settings they were read with.
+        rules_need_restart = self.settings_differ(new_config)
+        if rules_need_restart:
+            new_config = replace(new_config, rules=self.mysql.rules, default=self.mysql.default)
+        self.mysql = new_config
+        self.mysql_front.users, self.mysql_front.most_clients = new_config.users, new_config.most_clients
         self.mysql_front.statements = self.statements()
-        self.servers.most_each = new.most_each
+        self.servers.most_each = new_config.most_each
         log.info(
-            "front's file read again",
+            "MySQL configuration reloaded",
             extra={
                 "fields": {
-                    "users": len(new.users),
-                    "rules": len(new.rules),
-                    "needs_restart": "rules" if rules_wait else "nothing",
+                    "users": len(new_config.users),
+                    "rules": len(new_config.rules),
+                    "needs_restart": "rules" if rules_need_restart else "nothing",
                 }
             },
         )
 
-    def settings_differ(self, new: MysqlConfig) -> bool:
-        """Whether the traffic types of a new file are others than those that this process runs by."""
-        running, read = self.config.settings, new.sidecar.settings
-        return (running.type_names, running.binding) != (read.type_names, read.binding)
+    def settings_differ(self, new_config: MysqlConfig) -> bool:
+        """Return whether the traffic classes of a new configuration differ from those in use."""
+        running, loaded = self.config.settings, new_config.sidecar.settings
+        return (running.type_names, running.binding) != (loaded.type_names, loaded.binding)
 
     def figures(self) -> Iterator[tuple[str, object]]:
+        """Yield the sidecar's metrics, then those of the MySQL front."""
         yield from super().figures()
         yield "sessions", self.mysql_front.sessions
         yield "pins", self.mysql_front.pins
--- a/rainspindle/program/mysql_config.py
+++ b/rainspindle/program/mysql_config.py
@@ -1,4 +1,4 @@
-"""The MySQL front's own file: TOML, decoded into typed values in one go, with every fault named at once."""
+"""Reads the MySQL front's TOML file into typed values and reports all its errors together."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .config import Config, ConfigFault, load
 from .tables import read_secret, read_toml, shape
 
-KINDS = (
+STATEMENT_KINDS = (
     "select",
     "insert",
     "replace",
@@ -28,38 +28,48 @@
     "commit",
     "rollback",
 )
-KEYS = ("session", "user", "hint", "none")
-KEYS_OF = ("column", "parameter", "literal")
+PLAIN_KEYS = ("session", "user", "hint", "none")
+KEYS_WITH_ARGUMENT = ("column", "parameter", "literal")
 
 
-class MysqlPart(msgspec.Struct, forbid_unknown_fields=True):
+class MysqlSection(msgspec.Struct, forbid_unknown_fields=True):
+    """The `[mysql]` table."""
+
     listen: str
-    platform: str  # the list and the settings of the database servers, in the platform's form
-    default: str  # the traffic type of what fits no rule: a binding one
+    platform: str  # file with the servers' endpoint list and settings, in the platform's format
+    default: str  # traffic class of statements that match no rule; must be non-idempotent
     most_clients: int = 400
-    most_each: int = 32  # connections to one server
+    most_each: int = 32  # connections per server
+
 
+class UserSection(msgspec.Struct, forbid_unknown_fields=True):
+    """One entry of `[[users]]`."""
 
-class UserPart(msgspec.Struct, forbid_unknown_fields=True):
     name: str
-    password: str  # a file
+    password: str  # path of a file that holds it
+
 
+class RuleSection(msgspec.Struct, forbid_unknown_fields=True):
+    """One entry of `[[rules]]`."""
 
-class RulePart(msgspec.Struct, forbid_unknown_fields=True):
     traffic_type: str
     kinds: list[str] = []
     tables: list[str] = []
     key: str = "session"
 
 
-class File(msgspec.Struct, forbid_unknown_fields=True):
-    mysql: MysqlPart
-    users: list[UserPart] = []
-    rules: list[RulePart] = []
+class MysqlFile(msgspec.Struct, forbid_unknown_fields=True):
+    """The whole file."""
+
+    mysql: MysqlSection
+    users: list[UserSection] = []
+    rules: list[RuleSection] = []
 
 
 @dataclass(frozen=True, slots=True)
 class MysqlConfig:
+    """The file's values, with the sidecar configuration that it names."""
+
     listen: Address
     default: int
     most_clients: int
@@ -70,31 +80,36 @@
 
 
 def load_mysql(path: str, environment: Mapping[str, str]) -> MysqlConfig:
-    """Raises ConfigFault, one line a fault."""
-    raw = read_toml(path)
-    faults = list(shape(raw, File, ""))
+    """Read the file; raises ConfigFault with one line per error."""
+    data = read_toml(path)
+    errors = list(shape(data, MysqlFile, ""))
     users: dict[str, bytes] = {}
     sidecar = None
-    if not faults:
-        file, folder = msgspec.convert(raw, File), Path(path).parent
+    if not errors:
+        file, folder = msgspec.convert(data, MysqlFile), Path(path).parent
         try:
             sidecar = load(str(folder / file.mysql.platform), environment)
-        except ConfigFault as fault:
-            faults.append(f"mysql.platform: {fault}")
-        for n, user in enumerate(file.users):
+        except ConfigFault as error:
+            errors.append(f"mysql.platform: {error}")
+        for index, user in enumerate(file.users):
             if user.name in users:
-                faults.append(f"users[{n}].name: {user.name!r} is there twice")
+                errors.append(f"users[{index}].name: duplicate user {user.name!r}")
             try:
                 users[user.name] = read_secret(folder / user.password, 1)
-            except ConfigFault as fault:
-                faults.append(f"users[{n}].password: {fault}")
-        faults += unfit(file, sidecar)
-    if faults or sidecar is None:
-        raise ConfigFault("\n".join(f"{path}: {fault}" for fault in faults))
+            except ConfigFault as error:
+                errors.append(f"users[{index}].password: {error}")
+        errors += validation_errors(file, sidecar)
+    if errors or sidecar is None:
+        raise ConfigFault("\n".join(f"{path}: {error}" for error in errors))
     names = sidecar.settings.type_names
     rules = tuple(
-        Rule(names.index(r.traffic_type), frozenset(r.kinds), frozenset(t.lower() for t in r.tables), r.key)
-        for r in file.rules
+        Rule(
+            names.index(rule.traffic_type),
+            frozenset(rule.kinds),
+            frozenset(table.lower() for table in rule.tables),
+            rule.key,
+        )
+        for rule in file.rules
     )
     listen = parse_address(file.mysql.listen)
     return MysqlConfig(
@@ -108,38 +123,42 @@
     )
 
 
-def unfit(file: File, sidecar: Config | None) -> Iterator[str]:
+def validation_errors(file: MysqlFile, sidecar: Config | None) -> Iterator[str]:
+    """Yield an error for each value that is out of range or doesn't match the settings."""
     try:
         parse_address(file.mysql.listen)
-    except ValueError as fault:
-        yield f"mysql.listen: {fault}"
-    for at, value, most in (
+    except ValueError as error:
+        yield f"mysql.listen: {error}"
+    for setting, value, limit in (
         ("most_clients", file.mysql.most_clients, 20000),
         ("most_each", file.mysql.most_each, 1000),
     ):
-        if not 1 <= value <= most:
-            yield f"mysql.{at}: is {value}; expected 1 to {most}"
+        if not 1 <= value <= limit:
+            yield f"mysql.{setting}: is {value}; expected 1 to {limit}"
     if not file.users:
-        yield "users: nobody could log in"
-    for n, rule in enumerate(file.rules):
+        yield "users: expected at least one user, got none; clients could not log in"
+    for index, rule in enumerate(file.rules):
         for kind in rule.kinds:
-            if kind not in KINDS:
-                yield f"rules[{n}].kinds: {kind!r} is none of {', '.join(KINDS)}"
-        how, _, what = rule.key.partition(":")
-        numbered = bool(what) and (how == "column" or what.isdecimal())
-        if not (how in KEYS and not what) and not (how in KEYS_OF and numbered):
+            if kind not in STATEMENT_KINDS:
+                yield f"rules[{index}].kinds: is {kind!r}; expected one of {', '.join(STATEMENT_KINDS)}"
+        source, _, argument = rule.key.partition(":")
+        numbered = bool(argument) and (source == "column" or argument.isdecimal())
+        if not (source in PLAIN_KEYS and not argument) and not (source in KEYS_WITH_ARGUMENT and numbered):
             yield (
-                f"rules[{n}].key: is {rule.key!r}; expected {', '.join(KEYS)}, column:NAME, "
+                f"rules[{index}].key: is {rule.key!r}; expected {', '.join(PLAIN_KEYS)}, column:NAME, "
                 "parameter:N or literal:N"
             )
     if sidecar is not None:
         names = sidecar.settings.type_names
-        types: list[tuple[str, Any]] = [("mysql.default", file.mysql.default)]
-        types += [(f"rules[{n}].traffic_type", rule.traffic_type) for n, rule in enumerate(file.rules)]
-        for at, name in types:
+        traffic_types: list[tuple[str, Any]] = [("mysql.default", file.mysql.default)]
+        traffic_types += [
+            (f"rules[{index}].traffic_type", rule.traffic_type) for index, rule in enumerate(file.rules)
+        ]
+        for setting, name in traffic_types:
             if name not in names:
-                yield f"{at}: {name!r} is none of {', '.join(names)}"
+                yield f"{setting}: is {name!r}; expected one of {', '.join(names)}"
         if file.mysql.default in names and not sidecar.settings.binding[names.index(file.mysql.default)]:
             yield (
-                f"mysql.default: {file.mysql.default!r} is not binding; what fits no rule must not run twice"
+                f"mysql.default: is {file.mysql.default!r}; expected a non-idempotent traffic class, "
+                "as a statement that matches no rule must not run twice"
             )
--- a/rainspindle/protocol/mysql/messages.py
+++ b/rainspindle/protocol/mysql/messages.py
@@ -381,7 +381,7 @@
     def packet(self, payload: bytes, continued: bool = False) -> bool:
         """Take the next payload and return whether the response is complete.
 
-        `continued` marks a later packet of a payload that is split over several.
+        Of a payload split over several packets, the later ones are passed with `continued` set and ignored.
         """
         if continued or (not payload and self.state == "row"):
             return False
--- a/tests/test_mysql_codec.py
+++ b/tests/test_mysql_codec.py
@@ -1,4 +1,4 @@
-"""The MySQL codec by itself, statements by the rules, and the front's file; a small part of the fuzzing."""
+"""Tests of the MySQL codec, statement classification and configuration file, with a short fuzzing run."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.binary(max_size=300), max_size=8), st.integers(0, 2**32))
-def test_packets_come_whole_however_they_are_cut(payloads: list[bytes], seed: int) -> None:
+def test_payloads_are_reassembled_from_any_chunks(payloads: list[bytes], seed: int) -> None:
     rng, data = random.Random(seed), b""
     for sequence, payload in enumerate(payloads):
         data += packets(payload, sequence)
-    reader, found = PacketReader(1 << 20), []
+    reader, decoded = PacketReader(1 << 20), []
     while data:
-        cut = rng.randrange(1, 20)
-        reader.receive(data[:cut])
-        data = data[cut:]
-        while (whole := reader.payload()) is not None:
-            found.append(whole)
-    assert found == payloads and not reader.has_partial_payload
+        chunk_size = rng.randrange(1, 20)
+        reader.receive(data[:chunk_size])
+        data = data[chunk_size:]
+        while (reassembled := reader.payload()) is not None:
+            decoded.append(reassembled)
+    assert decoded == payloads and not reader.has_partial_payload
 
 
 @pytest.mark.parametrize("size", [LARGE - 1, LARGE, LARGE + 1, 2 * LARGE])
@@ -60,13 +60,13 @@
     reader.receive(packets(payload, 3))
     reader.restart(3)
     assert reader.payload() == payload and reader.sequence == 3 + size // LARGE + 1
-    small = PacketReader(1 << 20)
-    small.receive(packets(payload, 0)[:100])
+    limited_reader = PacketReader(1 << 20)
+    limited_reader.receive(packets(payload, 0)[:100])
     with pytest.raises(Malformed, match=r"packet of 16777\d+ bytes; the limit is 1048576"):
-        small.payload()
+        limited_reader.payload()
 
 
-def test_numbers_out_of_order_and_values_past_the_end_are_named() -> None:
+def test_wrong_sequence_numbers_and_truncated_values_are_malformed() -> None:
     reader = PacketReader(1000)
     reader.receive(packets(b"x", 1))
     with pytest.raises(Malformed, match="expected packet 0, got 1"):
@@ -78,13 +78,13 @@
             Cursor(data).lenenc_bytes()
 
 
-def test_greetings_and_log_ins_go_both_ways() -> None:
+def test_handshake_packets_round_trip() -> None:
     greeting = Greeting("8.0.1", 77, bytes(range(1, 21)), SUPPORTED_CAPABILITIES, "caching_sha2_password")
     assert Greeting.decode(greeting.encode()) == greeting
     for database in ("", "reg"):
         login = Login(SUPPORTED_CAPABILITIES, "anna", b"p" * 32, database)
-        found = Login.decode(login.encode())
-        assert (found.user, found.auth_response, found.database, found.plugin) == (
+        decoded = Login.decode(login.encode())
+        assert (decoded.user, decoded.auth_response, decoded.database, decoded.plugin) == (
             "anna",
             b"p" * 32,
             database,
@@ -110,7 +110,7 @@
 
 
 def fuzz(seed: int, count: int) -> None:
-    """Mutated packets: each is read, or is malformed; nothing else, and nothing grows."""
+    """Decode mutated packets: each decodes or raises Malformed, and nothing else."""
     rng = random.Random(seed)
     for _ in range(count):
         data = bytearray(rng.choice(SAMPLES))
@@ -123,64 +123,66 @@
                 del data[rng.randrange(len(data) + 1) :]
             else:
                 data += rng.randbytes(rng.randrange(9))
-        for read in (Greeting.decode, Login.decode, Ok.decode, Err.decode, Prepared.decode):
+        for decode in (Greeting.decode, Login.decode, Ok.decode, Err.decode, Prepared.decode):
             with contextlib.suppress(Malformed):
-                read(bytes(data))
-        answer = ResponseReader(
+                decode(bytes(data))
+        response = ResponseReader(
             rng.choice((SUPPORTED_CAPABILITIES, SUPPORTED_CAPABILITIES & ~Capability.DEPRECATE_EOF)),
             rng.choice(list(Command)),
         )
         with contextlib.suppress(Malformed):
             for _ in range(6):
-                if answer.packet(rng.choice((bytes(data), rng.choice(SAMPLES)))):
+                if response.packet(rng.choice((bytes(data), rng.choice(SAMPLES)))):
                     break
 
 
-def test_mutated_packets_are_read_or_malformed() -> None:
+def test_mutated_packets_decode_or_are_malformed() -> None:
     fuzz(11, 4000)
 
 
-def test_the_end_of_every_kind_of_answer_is_known() -> None:
-    def whole(can: Capability, command: Command, *payloads: bytes) -> list[bool]:
-        answer = ResponseReader(can, command)
-        return [answer.packet(p) for p in payloads]
+def test_end_of_each_kind_of_response_is_found() -> None:
+    def completions(capabilities: Capability, command: Command, *payloads: bytes) -> list[bool]:
+        response = ResponseReader(capabilities, command)
+        return [response.packet(payload) for payload in payloads]
 
-    old, row, column = (
+    without_deprecate_eof, row, column = (
         SUPPORTED_CAPABILITIES & ~Capability.DEPRECATE_EOF,
         lenenc_bytes(b"x"),
         Column("n").encode(),
     )
     end = Ok().encode(SUPPORTED_CAPABILITIES, 0xFE)
     more = Ok(status=Status.MORE_RESULTS).encode(SUPPORTED_CAPABILITIES, 0xFE)
-    assert whole(SUPPORTED_CAPABILITIES, Command.QUERY, Ok().encode(SUPPORTED_CAPABILITIES)) == [True]
-    assert whole(SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, row, end) == [
+    assert completions(SUPPORTED_CAPABILITIES, Command.QUERY, Ok().encode(SUPPORTED_CAPABILITIES)) == [True]
+    assert completions(SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, row, end) == [
         False,
         False,
         False,
         True,
     ]
-    assert whole(old, Command.QUERY, lenenc(1), column, eof(Status(0)), row, eof(Status(0))) == [
-        False
-    ] * 4 + [True]
-    assert whole(
+    assert completions(
+        without_deprecate_eof, Command.QUERY, lenenc(1), column, eof(Status(0)), row, eof(Status(0))
+    ) == [False] * 4 + [True]
+    assert completions(
         SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, more, Ok().encode(SUPPORTED_CAPABILITIES)
     ) == [False] * 3 + [True]
-    assert whole(
+    assert completions(
         SUPPORTED_CAPABILITIES, Command.QUERY, lenenc(1), column, row, Err(1, "HY000", "x").encode()
     )[-1]
-    assert whole(SUPPORTED_CAPABILITIES, Command.PREPARE, Prepared(1, 1, 2).encode(), column, column, column)[
-        -2:
-    ] == [
+    assert completions(
+        SUPPORTED_CAPABILITIES, Command.PREPARE, Prepared(1, 1, 2).encode(), column, column, column
+    )[-2:] == [
         False,
         True,
     ]
-    assert whole(old, Command.PREPARE, Prepared(1, 0, 1).encode(), column, eof(Status(0))) == [
+    assert completions(
+        without_deprecate_eof, Command.PREPARE, Prepared(1, 0, 1).encode(), column, eof(Status(0))
+    ) == [
         False,
         False,
         True,
     ]
     with pytest.raises(Malformed, match="local file"):
-        whole(SUPPORTED_CAPABILITIES, Command.QUERY, b"\xfbname")
+        completions(SUPPORTED_CAPABILITIES, Command.QUERY, b"\xfbname")
 
 
 # Statements.
@@ -194,21 +196,22 @@
 )
 
 
-def test_rules_say_what_a_statement_is_and_where_its_key_is() -> None:
-    known = Statements(RULES, 2, [0, 1, 2], parse, max_parses=3)
+def test_rules_determine_traffic_class_and_key() -> None:
+    statements = Statements(RULES, 2, [0, 1, 2], parse, max_parses=3)
 
-    def meant(sql: str, *values: str) -> tuple[int, str | None]:
-        found = known.meaning(sql, "anna", "session 1", values)
-        return found.traffic_type, found.key
+    def classify(sql: str, *values: str) -> tuple[int, str | None]:
+        classification = statements.meaning(sql, "anna", "session 1", values)
+        return classification.traffic_type, classification.key
 
-    assert meant("SELECT * FROM candidates WHERE id = 'O''Neil' AND x > 3") == (0, "O'Neil")
-    assert meant("select * from Candidates where 7=`id`") == (0, "7")
-    assert meant("SELECT * FROM candidates WHERE id = 7 OR 1 = 1") == (0, "session 1")
-    assert meant("SELECT * FROM candidates JOIN secrets USING (id) WHERE id = 7 /* key=k9 */") == (0, "k9")
-    assert meant("SHOW TABLES") == (0, None)
-    assert meant("INSERT INTO exams (a) VALUES (?)", "v1") == (1, "v1")
-    assert meant("SELECT 1; DELETE FROM exams WHERE a = 1") == (2, "session 1")  # as its most binding part
-    for odd in (
+    assert classify("SELECT * FROM candidates WHERE id = 'O''Neil' AND x > 3") == (0, "O'Neil")
+    assert classify("select * from Candidates where 7=`id`") == (0, "7")
+    assert classify("SELECT * FROM candidates WHERE id = 7 OR 1 = 1") == (0, "session 1")
+    assert classify("SELECT * FROM candidates JOIN secrets USING (id) WHERE id = 7 /* key=k9 */") == (0, "k9")
+    assert classify("SHOW TABLES") == (0, None)
+    assert classify("INSERT INTO exams (a) VALUES (?)", "v1") == (1, "v1")
+    # The statement with the highest rank decides.
+    assert classify("SELECT 1; DELETE FROM exams WHERE a = 1") == (2, "session 1")
+    for unclassifiable in (
         "DELETE FROM exams",
         "selct 1",
         "SELECT 'open",
@@ -217,14 +220,14 @@
         "",
         "SELECT * FROM candidates WHERE id = 7 FOR UPDATE",
     ):
-        assert meant(odd)[0] == 2 or "FOR UPDATE" in odd
-    assert len(known.cache) <= 3 and known.misses > 8
-    before = known.misses
-    assert meant("SELECT 5") == meant("SELECT   6 ") and known.misses <= before + 1
+        assert classify(unclassifiable)[0] == 2 or "FOR UPDATE" in unclassifiable
+    assert len(statements.cache) <= 3 and statements.misses > 8
+    before = statements.misses
+    assert classify("SELECT 5") == classify("SELECT   6 ") and statements.misses <= before + 1
 
 
 @pytest.mark.parametrize(
-    ("sql", "leaves"),
+    ("sql", "side_effects"),
     [
         ("SET @x = 1", {"unknown"}),
         ("SELECT @x := 1", {"variable"}),
@@ -245,28 +248,28 @@
         ("SELECT 1 INTO OUTFILE 'x'", {"unknown"}),
     ],
 )
-def test_what_a_statement_leaves_behind(sql: str, leaves: set[str]) -> None:
-    assert Statements((), 0, [0], parse).meaning(sql, "u", "s").side_effects == leaves
+def test_side_effects_of_statements(sql: str, side_effects: set[str]) -> None:
+    assert Statements((), 0, [0], parse).meaning(sql, "u", "s").side_effects == side_effects
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(st.text(alphabet="'\"`\\/*-#;? aSELECT1.0x@\n", max_size=60))
-def test_any_text_has_a_meaning_and_takes_bounded_time(text: str) -> None:
-    found = digest(text)
-    if found is not None:
-        assert "`" in found.text or ("'" not in found.text and '"' not in found.text)
+def test_any_text_is_classified_in_bounded_time(text: str) -> None:
+    digested = digest(text)
+    if digested is not None:
+        assert "`" in digested.text or ("'" not in digested.text and '"' not in digested.text)
     assert Statements((), 0, [0], parse).meaning(text, "u", "s").traffic_type == 0
 
 
-# The file.
+# Configuration file.
 
 
-def test_every_fault_of_the_file_is_named_at_once(tmp_path: Path) -> None:
+def test_configuration_errors_are_reported_together(tmp_path: Path) -> None:
     (tmp_path / "platform.json").write_text(json.dumps(config()))
-    secret = tmp_path / "anna.password"
-    secret.write_text("x")
-    secret.chmod(0o600)
-    good = """
+    password_file = tmp_path / "anna.password"
+    password_file.write_text("x")
+    password_file.chmod(0o600)
+    valid = """
         [mysql]
         listen = "127.0.0.1:0"
         platform = "platform.json"
@@ -280,10 +283,10 @@
         key = "column:id"
         """
     path = tmp_path / "mysql.toml"
-    path.write_text(good)
+    path.write_text(valid)
     assert load_mysql(str(path), {}).rules == (Rule(0, frozenset(("select",)), frozenset(), "column:id"),)
     path.write_text(
-        good.replace('"book"', '"look"')
+        valid.replace('"book"', '"look"')
         .replace('"select"', '"selct"')
         .replace("column:id", "column")
         .replace("127.0.0.1:0", "here")
@@ -298,6 +301,6 @@
         "rules[0].traffic_type",
         "mysql.default",
     ]
-    path.write_text(good.replace("most", "x").replace("[[users]]", "[[user]]"))
+    path.write_text(valid.replace("most", "x").replace("[[users]]", "[[user]]"))
     with pytest.raises(ConfigFault, match="user: unknown key; the nearest known is 'users'"):
         load_mysql(str(path), {})
