--- a/rainspindle/decisions/statements/digest.py
+++ b/rainspindle/decisions/statements/digest.py
@@ -36,10 +36,10 @@
 
 
 def digest(sql: str) -> Digest | None:
-    """Return None for text that is too long, untokenizable or contains executable or optimizer-hint comments.
+    """Normalise a text; None if it is too long, cannot be tokenized or has comments that carry code.
 
-    Unterminated strings and comments cannot be tokenized. Comments that start with /*! or /*+ carry code
-    that the parser would not see.
+    Unterminated strings and comments cannot be tokenized. Comments that start with /*! or /*+ carry code or
+    optimizer hints that the parser would not see.
     """
     if len(sql) > MAX_TEXT_LENGTH:
         return None
--- a/rainspindle/decisions/statements/parse.py
+++ b/rainspindle/decisions/statements/parse.py
@@ -10,7 +10,7 @@
 import sqlglot
 from sqlglot import exp
 
-from .statements import UNKNOWN, Parsed, Part
+from .statements import UNKNOWN, ParsedStatement, ParsedText
 
 logging.getLogger("sqlglot").setLevel(logging.ERROR)
 
@@ -39,22 +39,22 @@
 )
 
 
-def parse(text: str) -> Parsed:
+def parse(text: str) -> ParsedText:
     """Parse a digested text. Returns UNKNOWN instead of raising if any statement in it cannot be parsed."""
-    parts = []
+    parsed_statements = []
     for statement in split_statements(text):
-        part = part_from_pattern(statement)
-        if part is None:
+        parsed_statement = parse_by_pattern(statement)
+        if parsed_statement is None:
             rewritten = REPLACE.sub("INSERT INTO ", statement)  # sqlglot does not parse REPLACE
             try:
                 tree = sqlglot.parse_one(rewritten, read="mysql")
             except (sqlglot.errors.SqlglotError, RecursionError, ValueError):
                 return UNKNOWN
-            part = part_from_tree(tree)
-            if rewritten != statement and part.kind == "insert":
-                part = replace(part, kind="replace")
-        parts.append(part)
-    return Parsed(tuple(parts)) if parts else UNKNOWN
+            parsed_statement = classify_tree(tree)
+            if rewritten != statement and parsed_statement.kind == "insert":
+                parsed_statement = replace(parsed_statement, kind="replace")
+        parsed_statements.append(parsed_statement)
+    return ParsedText(tuple(parsed_statements)) if parsed_statements else UNKNOWN
 
 
 def split_statements(text: str) -> Iterator[str]:
@@ -71,38 +71,40 @@
         yield text[start:].strip()
 
 
-def part_from_pattern(text: str) -> Part | None:
+def parse_by_pattern(text: str) -> ParsedStatement | None:
     """Classify a statement that sqlglot would leave unparsed or that needs no parser; None for the rest."""
     if match := SET_NAMES.match(text):
-        return Part(
+        return ParsedStatement(
             "set", side_effects=frozenset(("set",)), variables=(("names", text[len("SET NAMES ") :]),)
         )
     if match := SET_VARIABLE.match(text):
         name = match[1].lower()
         if name in ("global", "persist", "password"):
-            return Part("unknown", side_effects=frozenset(("unknown",)))
-        return Part("set", side_effects=frozenset(("set",)), variables=((name, match[2]),))
+            return ParsedStatement("unknown", side_effects=frozenset(("unknown",)))
+        return ParsedStatement("set", side_effects=frozenset(("set",)), variables=((name, match[2]),))
     if match := USE.match(text):
-        return Part("use", side_effects=frozenset(("use",)), use=(match[1] or match[2]).replace("``", "`"))
+        return ParsedStatement(
+            "use", side_effects=frozenset(("use",)), use=(match[1] or match[2]).replace("``", "`")
+        )
     first_match = FIRST_WORD.match(text)
     word = first_match[0].upper() if first_match else ""
     if TRANSACTION_CONTROL.match(text):
-        return Part("begin")
+        return ParsedStatement("begin")
     if word in ("SHOW", "DESCRIBE", "DESC", "EXPLAIN"):
-        return Part("show")
+        return ParsedStatement("show")
     if word in ("LOCK", "UNLOCK", "FLUSH"):
-        return Part("lock", side_effects=frozenset(("lock",)))
+        return ParsedStatement("lock", side_effects=frozenset(("lock",)))
     if word in ("PREPARE", "EXECUTE", "DEALLOCATE"):
-        return Part("prepare", side_effects=frozenset(("prepare",)))
+        return ParsedStatement("prepare", side_effects=frozenset(("prepare",)))
     if word == "CALL":
-        return Part("call", side_effects=frozenset(("unknown",)))
+        return ParsedStatement("call", side_effects=frozenset(("unknown",)))
     return None
 
 
-def part_from_tree(tree: exp.Expr | None) -> Part:
+def classify_tree(tree: exp.Expr | None) -> ParsedStatement:
     """Classify a parsed statement; `tree` is None for empty text."""
     if tree is None or tree.find(exp.Command):
-        return UNKNOWN.parts[0]
+        return UNKNOWN.statements[0]
     kind = next(
         (name for node_type, name in {**KINDS, **TRANSACTION_KINDS}.items() if isinstance(tree, node_type)),
         "",
@@ -113,7 +115,7 @@
     if isinstance(tree, exp.Create | exp.Drop | exp.Alter):
         kind = "definition"
     if not kind:
-        return UNKNOWN.parts[0]
+        return UNKNOWN.statements[0]
     for node in tree.walk():
         if isinstance(node, exp.Parameter | exp.PropertyEQ):
             side_effects.add("variable")
@@ -132,7 +134,7 @@
         elif isinstance(node, exp.Into):
             side_effects.add("unknown")
     tables = frozenset(str(table.name).lower() for table in tree.find_all(exp.Table) if table.name)
-    return Part(kind, tables, frozenset(side_effects), comparisons=tuple(equalities(tree)))
+    return ParsedStatement(kind, tables, frozenset(side_effects), comparisons=tuple(equalities(tree)))
 
 
 def equalities(tree: exp.Expr) -> Iterator[tuple[str, str]]:
--- a/rainspindle/decisions/statements/statements.py
+++ b/rainspindle/decisions/statements/statements.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class ParsedStatement:
     """One statement of a text that may hold several, separated by semicolons."""
 
     kind: str
@@ -42,14 +42,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parsed:
+class ParsedText:
     """The parsed statements of a text; never empty."""
 
-    parts: tuple[Part, ...]
+    statements: tuple[ParsedStatement, ...]
 
     def side_effects(self) -> frozenset[str]:
         """Return the union of the side effects of all statements."""
-        return frozenset().union(*(part.side_effects for part in self.parts))
+        return frozenset().union(*(statement.side_effects for statement in self.statements))
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,8 +68,8 @@
         return bool(self.side_effects & PINNING_EFFECTS)
 
 
-UNKNOWN = Parsed((Part("unknown", side_effects=frozenset(("unknown",))),))
-Parse = Callable[[str], Parsed]
+UNKNOWN = ParsedText((ParsedStatement("unknown", side_effects=frozenset(("unknown",))),))
+Parse = Callable[[str], ParsedText]
 
 
 class Statements:
@@ -90,10 +90,10 @@
             parse,
             max_parses,
         )
-        self.cache: OrderedDict[str, Parsed] = OrderedDict()
+        self.cache: OrderedDict[str, ParsedText] = OrderedDict()
         self.hits = self.misses = 0
 
-    def parsed(self, digested: Digest | None) -> Parsed:
+    def parsed(self, digested: Digest | None) -> ParsedText:
         """Return the cached parse of a digest, or parse it now; UNKNOWN if there is no digest."""
         if digested is None:
             return UNKNOWN
@@ -114,39 +114,39 @@
         """Classify `sql`; `parameters` are the values of a prepared statement, None if no key."""
         digested = digest(sql)
         parsed = self.parsed(digested)
-        traffic_type, rule, part = self.default, None, parsed.parts[0]
-        for index, statement in enumerate(parsed.parts):
+        traffic_type, rule, deciding_statement = self.default, None, parsed.statements[0]
+        for index, statement in enumerate(parsed.statements):
             rule_match = next(
                 (candidate for candidate in self.rules if self.matches(candidate, statement)), None
             )
             statement_type = rule_match.traffic_type if rule_match is not None else self.default
             if index == 0 or self.ranks[statement_type] > self.ranks[traffic_type]:
-                traffic_type, rule, part = statement_type, rule_match, statement
+                traffic_type, rule, deciding_statement = statement_type, rule_match, statement
         literals = digested.literals if digested is not None else ()
         variables = {
             name: restore_literal(value, literals)
-            for statement in parsed.parts
+            for statement in parsed.statements
             for name, value in statement.variables
         }
         side_effects = parsed.side_effects()
         if variables.pop("autocommit", "1").lower() in ("0", "off", "false"):
             side_effects |= {"autocommit"}
-        use = next((statement.use for statement in reversed(parsed.parts) if statement.use), "")
-        key = self.key(rule, part, digested, user, session, parameters)
+        use = next((statement.use for statement in reversed(parsed.statements) if statement.use), "")
+        key = self.key(rule, deciding_statement, digested, user, session, parameters)
         return Classification(traffic_type, key, side_effects, variables, use)
 
-    def matches(self, rule: Rule, part: Part) -> bool:
+    def matches(self, rule: Rule, statement: ParsedStatement) -> bool:
         """Return whether a rule matches; a statement with unknown side effects matches none."""
         return (
-            (not rule.kinds or part.kind in rule.kinds)
-            and "unknown" not in part.side_effects
-            and (not rule.tables or (bool(part.tables) and part.tables <= rule.tables))
+            (not rule.kinds or statement.kind in rule.kinds)
+            and "unknown" not in statement.side_effects
+            and (not rule.tables or (bool(statement.tables) and statement.tables <= rule.tables))
         )
 
     def key(
         self,
         rule: Rule | None,
-        part: Part,
+        statement: ParsedStatement,
         digested: Digest | None,
         user: str,
         session: str,
@@ -165,15 +165,15 @@
         placeholder = argument if source == "parameter" else ""
         if source == "column":
             placeholder = next(
-                (value for column, value in part.comparisons if column == argument.lower()), ""
+                (value for column, value in statement.comparisons if column == argument.lower()), ""
             )
         elif source in ("parameter", "literal"):
             placeholder = f"{source[0]}{argument}"
-        number = int(placeholder[1:]) if placeholder[1:].isdecimal() else -1
-        if placeholder.startswith("l") and 0 <= number < len(digested.literals):
-            return digested.literals[number]
-        if placeholder.startswith("p") and 0 <= number < len(parameters):
-            return parameters[number] or session
+        index = int(placeholder[1:]) if placeholder[1:].isdecimal() else -1
+        if placeholder.startswith("l") and 0 <= index < len(digested.literals):
+            return digested.literals[index]
+        if placeholder.startswith("p") and 0 <= index < len(parameters):
+            return parameters[index] or session
         return session
 
 
--- a/rainspindle/fronts/mysql/servers.py
+++ b/rainspindle/fronts/mysql/servers.py
@@ -97,11 +97,11 @@
         waiting = self.waiting.setdefault(target, deque())
         try:
             while True:
-                first = not waiting or waiting[0] is task
-                if first and (server := self.take_idle(target, account, variables)) is not None:
+                is_first = not waiting or waiting[0] is task
+                if is_first and (server := self.take_idle(target, account, variables)) is not None:
                     self.reused += 1
                     return server
-                if first and (self.open_counts.get(target, 0) < self.most_each or self.make_room(target)):
+                if is_first and (self.open_counts.get(target, 0) < self.most_each or self.make_room(target)):
                     break
                 if not queued:
                     queued = True
--- a/rainspindle/lab/mysql/database.py
+++ b/rainspindle/lab/mysql/database.py
@@ -432,8 +432,8 @@
     ) -> Result:
         """Run a SELECT from a table; `seq_NxM` is a generated table of N rows with M bytes of padding."""
         if name.startswith("seq_"):
-            count, size = (int(n) for n in name[4:].split("x"))
-            return Result(["n", "pad"], ((str(n), "x" * size) for n in range(count)))
+            count, size = (int(number) for number in name[4:].split("x"))
+            return Result(["n", "pad"], ((str(number), "x" * size) for number in range(count)))
         columns, rows = self.find_table(session, name)
         if column is not None and value is not None:
             column_index, wanted = columns.index(column), parse_literal(value)
--- a/rainspindle/program/mysql_config.py
+++ b/rainspindle/program/mysql_config.py
@@ -93,7 +93,7 @@
             errors.append(f"mysql.platform: {error}")
         for index, user in enumerate(file.users):
             if user.name in users:
-                errors.append(f"users[{index}].name: duplicate user {user.name!r}")
+                errors.append(f"users[{index}].name: {user.name!r} is defined more than once")
             try:
                 users[user.name] = read_secret(folder / user.password, 1)
             except ConfigFault as error:
--- a/rainspindle/protocol/mysql/messages.py
+++ b/rainspindle/protocol/mysql/messages.py
@@ -370,7 +370,7 @@
         self.capabilities, self.command = capabilities, command
         self.state = "first"
         self.definitions = 0
-        self.groups: list[int] = []
+        self.groups: list[int] = []  # numbers of definitions still expected, for PREPARE
         self.status = Status(0)
         self.error: Err | None = None
         self.ok: Ok | None = None
--- a/tests/test_mysql.py
+++ b/tests/test_mysql.py
@@ -286,26 +286,22 @@
 PHASES = ("before", "after", "columns", "rows", "final")
 
 
-@pytest.mark.parametrize("failure", ["silent", "reset"])
+@pytest.mark.parametrize("how", ["silent", "reset"])
 @pytest.mark.parametrize("phase", PHASES)
-def test_server_failure_in_each_phase_gives_one_response(
-    fixture: MysqlFixture, failure: str, phase: str
-) -> None:
+def test_server_failure_in_each_phase_gives_one_response(fixture: MysqlFixture, how: str, phase: str) -> None:
     connect_with_table(fixture)
     faulty_statements: list[str] = []
 
     def fault(sql: str, current_phase: str) -> str:
         if current_phase == phase and "victim" in sql and (len(faulty_statements) < 1 or "binding" in sql):
             faulty_statements.append(sql)
-            return failure
+            return how
         return ""
 
     fixture.set_fault_hook(fault)
     connection = fixture.connect()
     # Idempotent: another server answers at once; after a silence the client may get an error and retry.
-    with (
-        contextlib.suppress(pymysql.err.OperationalError) if failure == "silent" else contextlib.nullcontext()
-    ):
+    with contextlib.suppress(pymysql.err.OperationalError) if how == "silent" else contextlib.nullcontext():
         assert len(query(connection, "SELECT /* victim */ n FROM seq_3x1")) == 3
     assert len(query(connection, "SELECT /* victim */ n FROM seq_3x1")) == 3 and len(faulty_statements) == 1
     # Non-idempotent: one ERR packet that says that it may have run, and at most one run.
