--- a/rainspindle/lab/mysql/database.py
+++ b/rainspindle/lab/mysql/database.py
@@ -152,11 +152,11 @@
         """Serve a new connection."""
         self.connections.add(connection)
 
-        def gone() -> None:
+        def connection_ended() -> None:
             self.connections.discard(connection)
             connection.close()
 
-        self.loop.spawn(self.serve(connection), gone)
+        self.loop.spawn(self.serve(connection), connection_ended)
 
     def serve(self, connection: Connection) -> Coroutine[None]:
         """Run the commands of a connection until it ends."""
@@ -190,7 +190,7 @@
 
     def log_in(self, connection: Connection, reader: PacketReader) -> Coroutine[Session | None]:
         """Authenticate a client; returns None after an ERR packet."""
-        nonce = bytes(1 + b % 255 for b in secrets.token_bytes(20))
+        nonce = bytes(1 + byte % 255 for byte in secrets.token_bytes(20))
         greeting = Greeting("8.0.0-stand-in", 7, nonce, self.capabilities, self.plugin)
         yield from connection.send(packets(greeting.encode(), 0), math.inf)
         reader.restart(1)
@@ -436,8 +436,8 @@
             return Result(["n", "pad"], ((str(number), "x" * size) for number in range(count)))
         columns, rows = self.find_table(session, name)
         if column is not None and value is not None:
-            column_index, wanted = columns.index(column), parse_literal(value)
-            rows = [row for row in rows if row[column_index] == wanted]
+            column_index, expected = columns.index(column), parse_literal(value)
+            rows = [row for row in rows if row[column_index] == expected]
         if items.strip().upper() == "COUNT(*)":
             return Result(["COUNT(*)"], [(str(len(rows)),)])
         names = columns if items.strip() == "*" else [item.strip() for item in items.split(",")]
@@ -463,17 +463,17 @@
         if match := UPDATE.match(sql):
             columns, rows = self.find_table(session, match[1])
             column_index, where_index = columns.index(match[2]), columns.index(match[4])
-            new, wanted, changed = parse_literal(match[3]), parse_literal(match[5]), 0
+            new_value, expected, changed = parse_literal(match[3]), parse_literal(match[5]), 0
             for row_index, row in enumerate(rows):
-                if row[where_index] == wanted:
-                    rows[row_index] = (*row[:column_index], new, *row[column_index + 1 :])
+                if row[where_index] == expected:
+                    rows[row_index] = (*row[:column_index], new_value, *row[column_index + 1 :])
                     changed += 1
             return Ok(changed)
         if match := DELETE.match(sql):
             columns, rows = self.find_table(session, match[1])
-            where_index, before = columns.index(match[2]), len(rows)
+            where_index, old_count = columns.index(match[2]), len(rows)
             rows[:] = [row for row in rows if row[where_index] != parse_literal(match[3])]
-            return Ok(before - len(rows))
+            return Ok(old_count - len(rows))
         if match := CREATE.match(sql):
             columns = [definition.split()[0] for definition in match[3].split(",")]
             (session.temporary if match[1] else self.store.tables)[match[2]] = (columns, [])
--- a/tests/test_mysql.py
+++ b/tests/test_mysql.py
@@ -261,13 +261,13 @@
     else:
         pytest.fail("the second result did not start within 50 attempts")
     # Counted from here on, as a server may rightly fail one of the attempts above on a busy machine.
-    before = sum(endpoint.failure_counts.total_failures for endpoint in endpoints)
+    earlier_failures = sum(endpoint.failure_counts.total_failures for endpoint in endpoints)
     disconnect(second, unread_cursor)
     deadline = time.monotonic() + TIMEOUT
     while fixture.facade.in_flight() and time.monotonic() < deadline:
         time.sleep(0.01)
     assert not fixture.facade.in_flight(), "a server is still busy for a client that has disconnected"
-    assert sum(endpoint.failure_counts.total_failures for endpoint in endpoints) <= before, (
+    assert sum(endpoint.failure_counts.total_failures for endpoint in endpoints) <= earlier_failures, (
         "a disconnected client was counted as a server failure"
     )
     fixture.end()
--- a/tests/test_mysql_codec.py
+++ b/tests/test_mysql_codec.py
@@ -222,8 +222,8 @@
     ):
         assert classify(unclassifiable)[0] == 2 or "FOR UPDATE" in unclassifiable
     assert len(statements.cache) <= 3 and statements.misses > 8
-    before = statements.misses
-    assert classify("SELECT 5") == classify("SELECT   6 ") and statements.misses <= before + 1
+    earlier_misses = statements.misses
+    assert classify("SELECT 5") == classify("SELECT   6 ") and statements.misses <= earlier_misses + 1
 
 
 @pytest.mark.parametrize(
