--- a/rainspindle/protocol/mysql/__init__.py
+++ b/rainspindle/protocol/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""The MySQL wire protocol, without I/O: packets, the greeting, commands, answers."""
+"""MySQL wire protocol without I/O: packet framing, authentication, commands and responses."""
