--- a/rainspindle/decisions/operation/__init__.py
+++ b/rainspindle/decisions/operation/__init__.py
@@ -1,1 +1,1 @@
-"""What staff ask of a sidecar: orders that outlast a process, and the stage that it is in."""
+"""Operator control of a sidecar: persistent orders, lifecycle stages and state passed between processes."""
--- a/rainspindle/decisions/operation/beginning.py
+++ b/rainspindle/decisions/operation/beginning.py
@@ -1,8 +1,8 @@
-"""What the others tell one that starts, and how much of it counts. No I/O, no clock, no chance.
+"""Start-up reports: what running members report to one that starts, and how much of it is applied.
 
-Word never makes the module send what it would not send alone. It can put an endpoint where a trial is due at
-once: one exchange of its own tells whether it is so, in place of the three or more that the module needs
-alone.
+No I/O, no clock, no randomness. A report never makes the balancer send a request that it would not send on
+its own. It can eject an endpoint with its trial due at once: one request of the member's own then confirms or
+refutes the report, in place of the three or more that the balancer needs otherwise.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from ...lazy_dataclasses import dataclass
 from ...protocol.keep import Told
 
-MOST_PART = 1 / 3  # of the ready endpoints that word can touch, and that one teller may speak ill of
-SLOW_FROM, SLOW_PART = 2.0, 0.25  # times the usual; part of the shortest promised time
-ENOUGH_TIMES, PRIOR = 4.0, 2.0  # answers by which a time is told, and as how many it counts for a starter
-# Seconds after which a binding exchange may be the trial of one that is out by word alone.
+MOST_PART = 1 / 3  # of the ready endpoints: limit on what reports may change, and on what one report may list
+SLOW_FROM, SLOW_PART = 2.0, 0.25  # times the median latency; share of the shortest latency objective
+ENOUGH_TIMES, PRIOR = 4.0, 2.0  # responses needed to report a latency; responses that a report counts as
+# Seconds after which a non-idempotent request may be the trial of an endpoint ejected by a report alone.
 BINDING_AFTER = 3.0
-TELLERS = 8  # members that tell
+TELLERS = 8  # members that send reports
 
 
 def tells(own: str, others: Iterable[str]) -> bool:
-    """Whether this member is one of the few that tell: the same few at all that have one view."""
+    """Returns whether this member sends reports; members with the same view select the same few."""
 
     def rank(name: str) -> bytes:
         return hashlib.blake2b(name.encode(), digest_size=8).digest()
@@ -39,69 +39,85 @@
 def told(
     balancers: Iterable[Balancer], mark_of: Callable[[EndpointState], bytes]
 ) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
-    """How many endpoints are ready here, which of them are out, and which are slow, with their times."""
+    """Returns the number of ready endpoints, the ejected ones, and the slow ones with median latency in s."""
     ready, out, slow = 0, list[bytes](), list[tuple[bytes, float]]()
     for balancer in balancers:
         ready += len(balancer.registry.ready)
-        least = SLOW_PART * min(t.latency_objective for t in balancer.traffic_classes)
-        for e in balancer.registry.ready:
-            if e.breaker:
-                out.append(mark_of(e))
-            elif e.latency.total >= ENOUGH_TIMES and balancer.slow_start.age(e, balancer.swept_at) is None:
-                time = e.latency.quantile(0.5)
-                if time > max(SLOW_FROM * balancer.latency.median, least):
-                    slow.append((mark_of(e), time))
+        threshold = SLOW_PART * min(
+            traffic_class.latency_objective for traffic_class in balancer.traffic_classes
+        )
+        for endpoint in balancer.registry.ready:
+            if endpoint.breaker:
+                out.append(mark_of(endpoint))
+            elif (
+                endpoint.latency.total >= ENOUGH_TIMES
+                and balancer.slow_start.age(endpoint, balancer.swept_at) is None
+            ):
+                latency = endpoint.latency.quantile(0.5)
+                if latency > max(SLOW_FROM * balancer.latency.median, threshold):
+                    slow.append((mark_of(endpoint), latency))
     return ready, out, slow
 
 
 @dataclass(frozen=True, slots=True)
 class Judged:
+    """The endpoint ids that the reports mark as ejected, and as slow with their latency in seconds."""
+
     out: tuple[str, ...]
     slow: Mapping[str, float]
 
 
 def judge(words: Sequence[Told], ready: Mapping[bytes, str], done: Sequence[str] = ()) -> Judged:
-    """What of it counts, by endpoint. `ready` has the mark of each one that is ready here; `done`: those that
-    earlier words have touched.
-
-    Guards against a member whose own way is bad, which finds most endpoints dead: it says nothing of any; and
-    against one that errs or lies: of several that are heard half must say so, and a third of all is the most
-    that all together can touch. May hurt where more than a third of the endpoints are bad: these are found
-    out alone."""
-    heard = [w for w in words if len(w.out) + len(w.slow) <= w.ready * MOST_PART]
-    left = {mark for mark, id in ready.items() if id not in done}
-    outs = Counter(mark for w in heard for mark in set(w.out) if mark in left)
-    slows = Counter(mark for w in heard for mark in w.slow if mark in left)
-    enough, room = max(1, (len(heard) + 1) // 2), max(0, int(len(ready) * MOST_PART) - len(done))
-
-    def most(counts: Counter[bytes], room: int) -> list[bytes]:
-        return sorted((m for m, n in counts.items() if n >= enough), key=lambda m: (-counts[m], m))[:room]
+    """Returns what the reports establish about each endpoint.
+
+    `ready` has the ids of the endpoints that are ready here by their mark, `done` the ids that earlier
+    reports have changed.
+
+    A member whose own network path is bad finds most endpoints dead, so a report that lists more than a third
+    of its endpoints is ignored. A member may also be wrong or lie, so half of the accepted reports must
+    agree, and all of them together change at most a third of the endpoints. Too strict where more than a
+    third of the endpoints are bad: the balancer has to find the rest itself.
+    """
+    accepted = [report for report in words if len(report.out) + len(report.slow) <= report.ready * MOST_PART]
+    left = {mark for mark, endpoint_id in ready.items() if endpoint_id not in done}
+    outs = Counter(mark for report in accepted for mark in set(report.out) if mark in left)
+    slows = Counter(mark for report in accepted for mark in report.slow if mark in left)
+    enough, room = max(1, (len(accepted) + 1) // 2), max(0, int(len(ready) * MOST_PART) - len(done))
+
+    def most(counts: Counter[bytes], limit: int) -> list[bytes]:
+        return sorted(
+            (mark for mark, count in counts.items() if count >= enough),
+            key=lambda mark: (-counts[mark], mark),
+        )[:limit]
 
     out = most(outs, room)
-    slow = most(Counter({m: n for m, n in slows.items() if m not in out}), room - len(out))
-    times = {m: sorted(w.slow[m] for w in heard if m in w.slow) for m in slow}
-    return Judged(tuple(ready[m] for m in out), {ready[m]: t[len(t) // 2] for m, t in times.items()})
+    slow = most(Counter({mark: count for mark, count in slows.items() if mark not in out}), room - len(out))
+    times = {mark: sorted(report.slow[mark] for report in accepted if mark in report.slow) for mark in slow}
+    return Judged(
+        tuple(ready[mark] for mark in out),
+        {ready[mark]: reported[len(reported) // 2] for mark, reported in times.items()},
+    )
 
 
 def apply(balancer: Balancer, now: float, judged: Judged) -> list[str]:
-    """To endpoints of which this process knows nothing itself; those that were touched."""
-    done = []
-    for id in (*judged.out, *judged.slow):
-        e = balancer.registry.by_id.get(id)
+    """Applies the result to endpoints of which this process has no data; returns the ids that it changed."""
+    changed = []
+    for endpoint_id in (*judged.out, *judged.slow):
+        endpoint = balancer.registry.by_id.get(endpoint_id)
         if (
-            e is None
-            or e in balancer.registry.active
-            or e.breaker
-            or e.listed.status is not EndpointStatus.READY
+            endpoint is None
+            or endpoint in balancer.registry.active
+            or endpoint.breaker
+            or endpoint.listed.status is not EndpointStatus.READY
         ):
             continue
-        if id in judged.slow:
-            if balancer.slow_start.age(e, now) is not None:
-                continue  # times would prove that it can do more than the least of a cold one
-            e.latency.add(judged.slow[id], PRIOR)
+        if endpoint_id in judged.slow:
+            if balancer.slow_start.age(endpoint, now) is not None:
+                continue  # a latency would prove that it can take more than the minimum of slow start
+            endpoint.latency.add(judged.slow[endpoint_id], PRIOR)
         else:
-            e.breaker = CircuitBreaker(now - EndpointSelector.TRIAL_PATIENCE + BINDING_AFTER)
-            e.breaker.trial_due = True
-        balancer.registry.active[e] = None
-        done.append(id)
-    return done
+            endpoint.breaker = CircuitBreaker(now - EndpointSelector.TRIAL_PATIENCE + BINDING_AFTER)
+            endpoint.breaker.trial_due = True
+        balancer.registry.active[endpoint] = None
+        changed.append(endpoint_id)
+    return changed
--- a/rainspindle/decisions/operation/crowd.py
+++ b/rainspindle/decisions/operation/crowd.py
@@ -1,8 +1,9 @@
-"""Which client connection gives way to another, by age and progress. No I/O.
+"""Selects the client connections to evict when a new one needs a slot, by age and progress. No I/O.
 
-Guards against a crowd that connects and never finishes a request: a slow client whose request goes on keeps
-its place. It also holds against connections kept after one request, which cost their client a new one at the
-most. It may hurt where true clients connect long before they ask: they are the first to go, and come again.
+Protects against many clients that connect and never finish a request; a slow client whose request makes
+progress keeps its connection. Connections kept open after a request are evicted as well, which costs their
+client at most one reconnect. Too strict for clients that connect long before they send a request: they are
+evicted first and have to reconnect.
 """
 
 from __future__ import annotations
@@ -15,58 +16,63 @@
 
 
 class Crowd(Generic[C]):
-    """All connections that have no whole request, each in one of three states, the longest in it first."""
+    """Connections without a complete request, in three states; the one longest in its state comes first."""
 
-    SILENT = 0.5  # seconds after which one that has sent nothing gives way to all others
-    STALLED = 0.5  # and one that has begun and not gone on
-    LOOKS = 4  # at those that might go, of each sort: under overload nearly all have sent more
+    SILENT = 0.5  # seconds after which a connection that has sent nothing is evicted before all others
+    STALLED = 0.5  # seconds without progress after which a connection with a partial request is evicted next
+    LOOKS = 4  # candidates examined per state; under overload most turn out to have sent more data
 
     def __init__(self) -> None:
-        self.silent: dict[C, float] = {}  # since when they owe their first byte
-        self.begun: dict[C, float] = {}  # when their last byte came
-        self.waiting: dict[C, float] = {}  # since when they rest between requests
+        self.silent: dict[C, float] = {}  # when a connection without any received byte was accepted
+        self.begun: dict[C, float] = {}  # when the last byte of a partial request was received
+        self.waiting: dict[C, float] = {}  # when a connection became idle between requests
 
-    def came(self, one: C, now: float) -> None:
-        self.gone(one)
-        self.silent[one] = now
+    def came(self, connection: C, now: float) -> None:
+        """Records a connection that has just been accepted."""
+        self.gone(connection)
+        self.silent[connection] = now
 
-    def went_on(self, one: C, now: float) -> None:
-        """A part of a request has come."""
-        self.gone(one)
-        self.begun[one] = now
+    def went_on(self, connection: C, now: float) -> None:
+        """Records that a part of a request has been received."""
+        self.gone(connection)
+        self.begun[connection] = now
 
-    def rests(self, one: C, now: float) -> None:
-        self.gone(one)
-        self.waiting[one] = now
+    def rests(self, connection: C, now: float) -> None:
+        """Records that the connection is idle between two requests."""
+        self.gone(connection)
+        self.waiting[connection] = now
 
-    def gone(self, one: C) -> None:
-        """It is closed, or its request is whole."""
-        self.silent.pop(one, None)
-        self.begun.pop(one, None)
-        self.waiting.pop(one, None)
+    def gone(self, connection: C) -> None:
+        """Removes a connection that is closed or whose request is complete."""
+        self.silent.pop(connection, None)
+        self.begun.pop(connection, None)
+        self.waiting.pop(connection, None)
 
-    def asked(self, all: int) -> int:
-        """How many of all have sent a whole request."""
-        return all - len(self.silent) - len(self.begun)
+    def asked(self, total: int) -> int:
+        """Returns how many of `total` connections have sent a complete request."""
+        return total - len(self.silent) - len(self.begun)
 
     def give_way(self, now: float) -> Iterator[C]:
-        """Those that may go, in order; who asks for them ends the first that can be ended."""
-        for group, least in (
+        """Yields the candidates for eviction in order; the caller closes the first that can be closed."""
+        for group, min_age in (
             (self.silent, self.SILENT),
             (self.begun, self.STALLED),
             (self.waiting, 0.0),
             (self.silent, 0.0),
             (self.begun, 0.0),
         ):
-            for one, since in list(islice(group.items(), self.LOOKS)):
-                if now - since >= least:
-                    yield one
+            for connection, since in list(islice(group.items(), self.LOOKS)):
+                if now - since >= min_age:
+                    yield connection
 
     def resting(self, now: float, idle: float) -> list[C]:
-        """Those with no part of a request for so long; one that has just connected is given a moment."""
+        """Returns the connections without any part of a request for `idle` seconds.
+
+        A connection that has just been accepted gets at least `SILENT` seconds.
+        """
         return [
-            one
-            for group, least in ((self.waiting, idle), (self.silent, max(idle, self.SILENT)))
-            for one, since in group.items()
-            if now - since >= least
+            connection
+            for group, min_age in ((self.waiting, idle), (self.silent, max(idle, self.SILENT)))
+            for connection, since in group.items()
+            if now - since >= min_age
         ]
--- a/rainspindle/decisions/operation/learnt.py
+++ b/rainspindle/decisions/operation/learnt.py
@@ -1,7 +1,7 @@
-"""What one process of a sidecar learnt, handed on to the next: plain values out, and in again. No I/O.
+"""Exports what a balancer has learnt as plain values, and imports it in the next process. No I/O.
 
-`take` believes all that it is given, but of endpoints that have restarted since: what a process beside this
-one gives is fresh, what was kept over a restart is `aged` first.
+`take` trusts all that it is given, except about endpoints that have restarted since: the state from a process
+that runs beside this one is fresh, and state stored over a restart is passed through `aged` first.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def give(balancer: Balancer, now: float) -> dict[str, Any]:
-    """What was learnt, for `take`; times as ages in seconds. The keys are those of the stored form."""
+    """Returns the learnt state for `take`, with times as ages in seconds and the keys of the stored form."""
     return {
         "warm_rate": balancer.slow_start.warm_rate,
         "usual": balancer.latency.median,
@@ -30,13 +30,17 @@
         "counts": balancer.popularity.counts,
         "counted": balancer.popularity.total,
         "times": balancer.latency.overall.bins,
-        "put_back": {id: now - at for id, at in balancer.slow_start.enabled_at.items()},
-        "endpoints": {e.id: give_endpoint(e, now) for e in balancer.registry.active},
+        "put_back": {
+            endpoint_id: now - enabled_at
+            for endpoint_id, enabled_at in balancer.slow_start.enabled_at.items()
+        },
+        "endpoints": {endpoint.id: give_endpoint(endpoint, now) for endpoint in balancer.registry.active},
         "keys": {key: give_entry(entry, now) for key, entry in balancer.failover.entries.items()},
     }
 
 
 def give_endpoint(endpoint: EndpointState, now: float) -> dict[str, Any]:
+    """Returns the learnt state of one endpoint, with times as ages in seconds."""
     return {
         "credit": endpoint.retry_credit,
         "window": endpoint.window,
@@ -55,10 +59,11 @@
 
 
 def give_entry(entry: FailoverEntry[EndpointState], now: float) -> list[Any]:
+    """Returns the failover state of one key, with endpoints by id and times as ages in seconds."""
     return [
         entry.first.id,
         entry.current.id,
-        [e.id for e in entry.tried],
+        [endpoint.id for endpoint in entry.tried],
         entry.idempotent_failures,
         entry.other_failures,
         now - entry.last_failure_at,
@@ -67,19 +72,21 @@
 
 
 def histogram(bins: list[float]) -> Histogram:
-    made = Histogram()
-    made.bins = [float(b) for _, b in zip(made.bins, bins, strict=True)]
-    made.total = sum(made.bins)
-    return made
+    """Returns a histogram with these bins. Raises ValueError if their number or a value is wrong."""
+    decoded = Histogram()
+    decoded.bins = [float(count) for _, count in zip(decoded.bins, bins, strict=True)]
+    decoded.total = sum(decoded.bins)
+    return decoded
 
 
 def moment(now: float, age: float | None) -> float:
+    """Returns the time that lies `age` seconds back; the infinite past for None."""
     return -math.inf if age is None else now - age
 
 
 @dataclass(frozen=True)
 class TakenEndpoint:
-    """What was given of one endpoint, checked and not yet taken over."""
+    """The imported state of one endpoint, decoded and not applied yet."""
 
     endpoint: EndpointState
     credit: float
@@ -96,6 +103,7 @@
 
     @staticmethod
     def of(endpoint: EndpointState, now: float, kept: dict[str, Any]) -> TakenEndpoint:
+        """Decodes what `give_endpoint` returned."""
         counts = FailureCounts()
         counts.failures, counts.outcomes = kept["failures"], kept["outcomes"]
         return TakenEndpoint(
@@ -114,6 +122,7 @@
         )
 
     def apply(self) -> None:
+        """Overwrites the state of the endpoint."""
         endpoint = self.endpoint
         endpoint.retry_credit = self.credit
         endpoint.window = self.window
@@ -130,7 +139,7 @@
 
 @dataclass(frozen=True)
 class TakenOwn:
-    """What was given of the sidecar as a whole, checked and not yet taken over."""
+    """The imported state that concerns no single endpoint, decoded and not applied yet."""
 
     warm_rate: float
     usual: float
@@ -143,6 +152,7 @@
 
     @staticmethod
     def of(now: float, given: dict[str, Any]) -> TakenOwn:
+        """Decodes what `give` returned, without its endpoints and keys."""
         return TakenOwn(
             given["warm_rate"],
             given["usual"],
@@ -151,10 +161,11 @@
             given["counts"],
             given["counted"],
             histogram(given["times"]),
-            {id: now - age for id, age in given["put_back"].items()},
+            {endpoint_id: now - age for endpoint_id, age in given["put_back"].items()},
         )
 
     def apply(self, balancer: Balancer) -> None:
+        """Overwrites the state of the balancer that concerns no single endpoint."""
         balancer.slow_start.warm_rate = self.warm_rate
         balancer.slow_start.enabled_at = self.put_back
         balancer.latency.median = self.usual
@@ -168,51 +179,58 @@
 def take(
     balancer: Balancer, now: float, given: dict[str, Any], only: Collection[str] | None = None
 ) -> list[str]:
-    """Goes on from what another process learnt just now; of an endpoint that has restarted, nothing. With
-    `only`, of these endpoints alone, and nothing of what is the sidecar's own; the endpoints taken.
+    """Imports the state that another process has just exported, except of endpoints that have restarted.
 
-    Raises KeyError, TypeError, AttributeError or ValueError with nothing taken over."""
+    With `only`, imports these endpoints alone and leaves the sidecar's own state as it is. Returns the ids of
+    the imported endpoints.
+
+    Raises:
+        KeyError, TypeError, AttributeError, ValueError: The state is malformed; nothing has been imported.
+    """
     known: list[TakenEndpoint] = []
-    for id, kept in given["endpoints"].items():
-        e = balancer.registry.by_id.get(id)
+    for endpoint_id, kept in given["endpoints"].items():
+        endpoint = balancer.registry.by_id.get(endpoint_id)
         if (
-            e
-            and e.listed.status is not EndpointStatus.DISABLED
-            and (e.listed.started_at is None or abs(moment(now, kept["age"]) - e.listed.started_at) < 1.0)
+            endpoint
+            and endpoint.listed.status is not EndpointStatus.DISABLED
+            and (
+                endpoint.listed.started_at is None
+                or abs(moment(now, kept["age"]) - endpoint.listed.started_at) < 1.0
+            )
         ):
-            known.append(TakenEndpoint.of(e, now, kept))
-    taken = {one.endpoint.id: one.endpoint for one in known}
+            known.append(TakenEndpoint.of(endpoint, now, kept))
+    taken = {state.endpoint.id: state.endpoint for state in known}
     entries: dict[str, FailoverEntry[EndpointState]] = {}
     for key, (first, current, tried, retriable, other, last, since) in given["keys"].items():
-        named = {first, current, *tried}
-        if named <= taken.keys() and (only is None or not named.isdisjoint(only)):
+        involved = {first, current, *tried}
+        if involved <= taken.keys() and (only is None or not involved.isdisjoint(only)):
             entry = entries[key] = FailoverEntry(taken[first], now - last)
             entry.current, entry.failing_since = taken[current], now - since
-            entry.tried = [taken[id] for id in tried]
+            entry.tried = [taken[endpoint_id] for endpoint_id in tried]
             entry.idempotent_failures, entry.other_failures = int(retriable), int(other)
     own = TakenOwn.of(now, given)
     if only is None:
         own.apply(balancer)
     else:
-        known = [one for one in known if one.endpoint.id in only]
-    for one in known:
-        one.apply()
-        balancer.registry.mark_active(one.endpoint)
+        known = [state for state in known if state.endpoint.id in only]
+    for state in known:
+        state.apply()
+        balancer.registry.mark_active(state.endpoint)
     balancer.failover.entries.update(entries)
     balancer.on_state_restored()
-    return [one.endpoint.id for one in known]
+    return [state.endpoint.id for state in known]
 
 
-# Kept over a restart, and so old when it is read.
+# State that was stored over a restart, and has aged when it is read.
 
-# Seconds after which times and failures, and how hot keys are, are nothing.
+# Seconds after which latencies and failures, and the popularity of keys, count as unknown.
 LOAD_LASTS, KEYS_LAST = 600.0, 3600.0
-# Seconds in which a window, credit come half the way back; in which keys are halved.
+# Half-lives in seconds: of the distance of window and retry credit from their initial value; of key counts.
 HALVES, KEY_HALVES = 10.0, 60.0
 
 
 def nothing() -> dict[str, Any]:
-    """What a module has learnt that has just begun."""
+    """Returns the state of a balancer that has just started."""
     return {
         "warm_rate": 0.0,
         "usual": 0.0,
@@ -228,42 +246,45 @@
 
 
 def aged(given: dict[str, Any], seconds: float, cold: float, window: float) -> dict[str, Any]:
-    """What is left of it after so many seconds without a word, by what the module's own sweeps would have
-    left.
-
-    Of an endpoint that is `cold` (by its age or by order) no times are left, nor any forwards of its budget,
-    and of no endpoint the rate of warm ones: what it gets is then what a module that knows nothing gives it.
-    `window` is the one that an endpoint begins with. A time that is not known is infinite: nothing is left.
-    Raises KeyError, TypeError, AttributeError or ValueError where it is nothing that `give` gave."""
-    seconds, found = max(seconds, 0.0), nothing()
+    """Returns what remains of exported state after so many seconds without traffic.
+
+    The decay follows the balancer's own sweeps. An endpoint younger than `cold` seconds, by its start or
+    since an operator enabled it, keeps no latencies and no slow-start budget, and the rate of warm endpoints
+    is never kept: such an endpoint gets what a balancer that has just started gives it. `window` is the
+    initial window of an endpoint. Pass infinite `seconds` where the age is unknown: nothing remains.
+
+    Raises:
+        KeyError, TypeError, AttributeError, ValueError: The value is nothing that `give` has returned.
+    """
+    seconds, remaining = max(seconds, 0.0), nothing()
     if not seconds < KEYS_LAST:
-        return found
-    halved = 0.5 ** (seconds // KEY_HALVES)
-    found["counts"] = {key: n * halved for key, n in given["counts"].items() if n * halved > 1}
-    found["counted"] = given["counted"] * halved
-    back = found["put_back"] = {
-        id: age + seconds for id, age in given["put_back"].items() if age + seconds < cold
+        return remaining
+    decay = 0.5 ** (seconds // KEY_HALVES)
+    remaining["counts"] = {key: count * decay for key, count in given["counts"].items() if count * decay > 1}
+    remaining["counted"] = given["counted"] * decay
+    enabled = remaining["put_back"] = {
+        endpoint_id: age + seconds for endpoint_id, age in given["put_back"].items() if age + seconds < cold
     }
     if seconds >= LOAD_LASTS:
-        return found
-    found["times"] = faded(given["times"], seconds)
-    if sum(found["times"]):
-        found.update(usual=given["usual"], slow=given["slow"], calm=risen(given["calm"], seconds))
-    for id, kept in given["endpoints"].items():
+        return remaining
+    remaining["times"] = faded(given["times"], seconds)
+    if sum(remaining["times"]):
+        remaining.update(usual=given["usual"], slow=given["slow"], calm=risen(given["calm"], seconds))
+    for endpoint_id, kept in given["endpoints"].items():
         age = math.inf if kept["age"] is None else kept["age"] + seconds
-        part, fresh = 0.5 ** (seconds / HALVES), age < cold or id in back
+        share, fresh = 0.5 ** (seconds / HALVES), age < cold or endpoint_id in enabled
         outcomes = sum(kept["outcomes"])
-        moves = seconds // (SweepPhase.ROTATE_COUNTS_EVERY if outcomes > 8 else SweepPhase.THOROUGH_EVERY)
-        found["endpoints"][id] = {
+        rotations = seconds // (SweepPhase.ROTATE_COUNTS_EVERY if outcomes > 8 else SweepPhase.THOROUGH_EVERY)
+        remaining["endpoints"][endpoint_id] = {
             "age": age,
             "credit": EndpointState.INITIAL_RETRY_CREDIT
-            + (kept["credit"] - EndpointState.INITIAL_RETRY_CREDIT) * part,
-            "window": window if fresh else window + (kept["window"] - window) * part,
+            + (kept["credit"] - EndpointState.INITIAL_RETRY_CREDIT) * share,
+            "window": window if fresh else window + (kept["window"] - window) * share,
             "calm": 0.0 if fresh else risen(kept["calm"], seconds),
             "busy": 0.0 if fresh else kept["busy"] * 0.7**seconds,
-            "row": 0.0 if moves >= 2 else kept["row"],
+            "row": 0.0 if rotations >= 2 else kept["row"],
             **{
-                name: list(kept[name]) if not moves else [0, kept[name][0]] if moves == 1 else [0, 0]
+                name: list(kept[name]) if not rotations else [0, kept[name][0]] if rotations == 1 else [0, 0]
                 for name in ("failures", "outcomes")
             },
             "times": [0.0] * Histogram.BINS if fresh else faded(kept["times"], seconds),
@@ -272,16 +293,16 @@
             "out": None if kept["out"] is None else kept["out"] + seconds,
             "back": None if kept["back"] is None else kept["back"] + seconds,
         }
-    found["keys"] = {
+    remaining["keys"] = {
         key: [first, current, tried, retriable, other, last + seconds, since + seconds]
         for key, (first, current, tried, retriable, other, last, since) in given["keys"].items()
         if last + seconds <= FailoverTable.RESET_WINDOW
     }
-    return found
+    return remaining
 
 
 def faded(bins: list[float], seconds: float) -> list[float]:
-    """Halved as sweeps do: each few seconds while there is much, then less often."""
+    """Returns histogram bins halved as the sweeps do it: every few seconds, less often for few samples."""
     times = histogram(bins)
     while times.total and seconds >= SweepPhase.HALVE_TIMES_EVERY:
         step = SweepPhase.HALVE_TIMES_EVERY if times.total > 8 else SweepPhase.THOROUGH_EVERY
@@ -292,11 +313,15 @@
 
 
 def risen(calm: float, seconds: float) -> float:
+    """Returns the unloaded latency, raised by 1 % per second to at most twice its value."""
     return calm * min(math.exp(0.01 * seconds), 2.0)
 
 
 def trimmed(given: dict[str, Any], endpoints: int, keys: int, key_size: int) -> dict[str, Any]:
-    """So many at most: those that are out and those with most outcomes, and the latest keys to fail."""
+    """Limits exported state to so many endpoints and keys, and drops longer keys.
+
+    Ejected endpoints are preferred, then those with most outcomes, and the keys that failed last.
+    """
     ranked = sorted(
         given["endpoints"].items(), key=lambda item: (item[1]["out"] is None, -sum(item[1]["outcomes"]))
     )
@@ -307,5 +332,5 @@
         **given,
         "endpoints": dict(ranked[:endpoints]),
         "keys": dict(latest[:keys]),
-        "counts": {key: n for key, n in given["counts"].items() if len(key) <= key_size},
+        "counts": {key: count for key, count in given["counts"].items() if len(key) <= key_size},
     }
--- a/rainspindle/decisions/operation/orders.py
+++ b/rainspindle/decisions/operation/orders.py
@@ -1,8 +1,9 @@
-"""Orders of the staff that outlast a process: endpoints out, the sidecar drained. No I/O, no clock.
+"""Operators' orders that outlive a process: endpoints disabled, the sidecar drained. No I/O, no clock.
 
-Two processes may take orders at once, while one hands over to the other. Each order carries a number above
-all that were known when it was given; of two for the same matter the higher number holds, and of equal ones
-the one that takes out, so that both sides come to the same whatever they learn first.
+Two processes may accept orders at the same time while one hands over to the other. Each order carries a
+number above all numbers known when it was given. Of two orders for the same subject the higher number wins,
+and of equal numbers the one that disables, so both processes reach the same state in whatever order they
+merge.
 """
 
 from __future__ import annotations
@@ -12,95 +13,107 @@
 from ...lazy_dataclasses import dataclass
 
 MOST_IDS, LONGEST_ID = 8192, 256
-DRAIN = ""  # the matter of the sidecar itself; no endpoint has this name
+DRAIN = ""  # the subject of an order for the sidecar itself; no endpoint has this id
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Order:
+    """The latest order for one subject; the field order gives the precedence between two orders."""
+
     number: int
     out: bool
 
 
 class Orders:
+    """The orders in force, and the endpoint ids that an order may name."""
+
     def __init__(self) -> None:
         self.last = 0
-        self.given: dict[str, Order] = {}  # by the endpoint's id, DRAIN for the sidecar
-        self.listed: dict[str, None] = {}  # ids that a list has ever named, the oldest first
-
-    def names(self, ids: list[str]) -> bool:
-        """Takes down ids that a list names; whether any is new. The oldest go, but for those out."""
-        new = [id for id in ids if id not in self.listed]
-        for id in new:
-            self.listed[id] = None
+        self.given: dict[str, Order] = {}  # by endpoint id, DRAIN for the sidecar
+        self.listed: dict[str, None] = {}  # ids that have been in any endpoint list, the oldest first
+
+    def record_listed(self, ids: list[str]) -> bool:
+        """Records ids from an endpoint list and returns whether any is new.
+
+        Above MOST_IDS the oldest ids are dropped, except those of disabled endpoints.
+        """
+        new_ids = [endpoint_id for endpoint_id in ids if endpoint_id not in self.listed]
+        for endpoint_id in new_ids:
+            self.listed[endpoint_id] = None
         while len(self.listed) > MOST_IDS:
-            oldest = next((id for id in self.listed if not self.is_out(id)), None)
+            oldest = next((endpoint_id for endpoint_id in self.listed if not self.is_out(endpoint_id)), None)
             if oldest is None:
                 break
             del self.listed[oldest]
             self.given.pop(oldest, None)
-        return bool(new)
+        return bool(new_ids)
 
-    def give(self, matter: str, out: bool) -> bool:
-        """Takes an order; whether it changes anything."""
-        if self.is_out(matter) == out:
+    def give(self, subject: str, out: bool) -> bool:
+        """Records an order and returns whether it changes anything."""
+        if self.is_out(subject) == out:
             return False
         self.last += 1
-        self.given[matter] = Order(self.last, out)
+        self.given[subject] = Order(self.last, out)
         return True
 
-    def is_out(self, matter: str) -> bool:
-        order = self.given.get(matter)
+    def is_out(self, subject: str) -> bool:
+        """Returns whether the endpoint is disabled, or with DRAIN whether the sidecar is drained."""
+        order = self.given.get(subject)
         return order is not None and order.out
 
     def outs(self) -> set[str]:
-        return {matter for matter, order in self.given.items() if order.out}
+        """Returns the disabled endpoint ids, and DRAIN if the sidecar is drained."""
+        return {subject for subject, order in self.given.items() if order.out}
 
     def merge(self, other: Orders) -> set[str]:
-        """Takes over what another process knows; the matters that have changed by it."""
+        """Merges the orders of another process and returns the subjects whose state changed."""
         changed = set()
-        for matter, order in other.given.items():
-            known = self.given.get(matter)
+        for subject, order in other.given.items():
+            known = self.given.get(subject)
             if known is None or order > known:
-                if order.out != self.is_out(matter):
-                    changed.add(matter)
-                self.given[matter] = order
+                if order.out != self.is_out(subject):
+                    changed.add(subject)
+                self.given[subject] = order
         self.last = max(self.last, other.last)
-        self.names(list(other.listed))
+        self.record_listed(list(other.listed))
         return changed
 
     def plain(self) -> dict[str, Any]:
+        """Returns the stored form, which `of` decodes."""
         return {
             "last": self.last,
             "listed": list(self.listed),
-            "given": {matter: [o.number, o.out] for matter, o in self.given.items()},
+            "given": {subject: [order.number, order.out] for subject, order in self.given.items()},
         }
 
     @classmethod
     def of(cls, plain: Any) -> Orders:
-        """Raises ValueError: a file may hold anything."""
-        made = cls()
+        """Decodes the stored form. Raises ValueError if it is malformed, as a file may hold anything."""
+        orders = cls()
         try:
-            made.last = whole(plain["last"])
-            for matter, (number, out) in plain["given"].items():
+            orders.last = order_number(plain["last"])
+            for subject, (number, out) in plain["given"].items():
                 if not isinstance(out, bool):
-                    raise ValueError(f"an order of {matter!r} that is no yes or no")
-                made.given[name(matter)] = Order(whole(number), out)
-                made.last = max(made.last, number)
-            made.listed = {name(id): None for id in plain["listed"]}
-        except (KeyError, TypeError, AttributeError) as fault:
-            raise ValueError(f"no orders: {type(fault).__name__} {fault}") from None
-        if len(made.given) > 2 * MOST_IDS or len(made.listed) > 2 * MOST_IDS:
-            raise ValueError("more orders than there can be")
-        return made
-
-
-def whole(value: Any) -> int:
+                    raise ValueError(f"order for {subject!r}: expected true or false, got {out!r}")
+                orders.given[order_subject(subject)] = Order(order_number(number), out)
+                orders.last = max(orders.last, number)
+            orders.listed = {order_subject(endpoint_id): None for endpoint_id in plain["listed"]}
+        except (KeyError, TypeError, AttributeError) as error:
+            raise ValueError(f"malformed orders: {type(error).__name__} {error}") from None
+        if len(orders.given) > 2 * MOST_IDS or len(orders.listed) > 2 * MOST_IDS:
+            raise ValueError(f"too many orders or endpoint ids: at most {2 * MOST_IDS} of each are allowed")
+        return orders
+
+
+def order_number(value: Any) -> int:
+    """Returns the value if it is a valid order number; raises ValueError otherwise."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < 1 << 62:
-        raise ValueError(f"no number of an order: {value!r}")
+        raise ValueError(f"order number: expected an integer from 0 to 2**62 - 1, got {value!r}")
     return value
 
 
-def name(value: Any) -> str:
+def order_subject(value: Any) -> str:
+    """Returns the value if it is a valid endpoint id; raises ValueError otherwise."""
     if not isinstance(value, str) or len(value) > LONGEST_ID:
-        raise ValueError("no id")
+        raise ValueError(f"endpoint id: expected at most {LONGEST_ID} characters of text, got {value!r:.80}")
     return value
--- a/rainspindle/decisions/operation/stage.py
+++ b/rainspindle/decisions/operation/stage.py
@@ -1,4 +1,4 @@
-"""The stage that a sidecar is in: serving, drained, leaving alone or handing over to a successor. No I/O."""
+"""Lifecycle of a sidecar: serving, drained, shutting down alone or handing over to a successor. No I/O."""
 
 from __future__ import annotations
 
@@ -7,69 +7,85 @@
 
 
 class Stage(Enum):
+    """A lifecycle stage; the value is the event text of the log line that reports it."""
+
     SERVING = "serving"
-    DRAINED = "drained"  # by order: clients are sent away, the process runs on
-    LEAVING = "leaving"  # SIGTERM, and nobody else listens yet
-    HANDING = "handing over"  # SIGTERM, and a successor listens
+    DRAINED = "drained"  # on an operator's order: client connections are closed, the process keeps running
+    LEAVING = "leaving"  # after SIGTERM, no other process listens on the address
+    HANDING = "handing over"  # after SIGTERM, a successor listens on the address
 
 
 class Stages:
-    """One method for each thing that can happen, and what holds in the stage reached by then."""
+    """Tracks the stage: one method for each event, and queries about what the current stage requires."""
 
-    # After a no of /ready new connections come for up to 0.3 s, and one must be free of requests 2 s before
-    # the end of the 4 s that a drain may take.
+    # Seconds. After /-/ready has answered 503, new connections still arrive for up to 0.3 s. The process must
+    # be free of requests 2 s before the end of the 4 s that a drain may take.
     FRONT_STOPS, LAST_IDLE, RESTED = 0.4, 1.4, 0.1
-    SERVE_ON, ALL_ANSWERED, GONE = 0.2, 0.4, 0.1  # after the time that a leaving process is let run
-
-    def __init__(self, let: float) -> None:
-        """`let` is for how many seconds after SIGTERM a process may surely run."""
-        self.let = let
+    SERVE_ON, ALL_ANSWERED, GONE = (
+        0.2,
+        0.4,
+        0.1,
+    )  # after the grace period; GONE after ALL_ANSWERED
+
+    def __init__(self, grace_period: float) -> None:
+        """`grace_period` is the number of seconds after SIGTERM for which the process surely keeps running."""
+        self.grace_period = grace_period
         self.stage, self.since = Stage.SERVING, -math.inf
 
     def enter(self, stage: Stage, now: float) -> bool:
+        """Moves to `stage`; returns whether it differs from the current one."""
         changed = stage is not self.stage
         if changed:
             self.stage, self.since = stage, now
         return changed
 
-    # What can happen. Each tells whether it has changed anything.
+    # Events. Each method returns whether the stage has changed.
 
     def drain(self, now: float) -> bool:
+        """Handles the operator's order to drain; has no effect unless the sidecar is serving."""
         return self.stage is Stage.SERVING and self.enter(Stage.DRAINED, now)
 
     def resume(self, now: float) -> bool:
+        """Handles the operator's order to resume; has no effect unless the sidecar is drained."""
         return self.stage is Stage.DRAINED and self.enter(Stage.SERVING, now)
 
     def leave(self, now: float, successor: bool) -> bool:
-        """SIGTERM: it cannot be taken back, and a second one changes nothing."""
+        """Handles SIGTERM, which cannot be undone; a second one has no effect."""
         if self.ending:
             return False
         return self.enter(Stage.HANDING if successor else Stage.LEAVING, now)
 
-    # What holds.
+    # Queries.
 
     @property
     def ending(self) -> bool:
+        """Whether SIGTERM has been received."""
         return self.stage in (Stage.LEAVING, Stage.HANDING)
 
     @property
     def ready(self) -> bool:
+        """Whether the sidecar accepts requests without limits."""
         return self.stage is Stage.SERVING
 
     def listens(self, now: float) -> bool:
-        """Guards against turning clients away for longer than need be: alone it listens nearly to its end."""
+        """Whether the listener stays open.
+
+        A process without a successor listens almost to its end, so that clients are refused only briefly.
+        """
         if self.stage is Stage.LEAVING:
-            return now < self.since + self.let + self.SERVE_ON
+            return now < self.since + self.grace_period + self.SERVE_ON
         return self.stage is not Stage.HANDING
 
     def closes(self, now: float) -> bool:
-        """Whether connections end with their next answer."""
+        """Whether each client connection is closed after its next response."""
         return self.stage in (Stage.DRAINED, Stage.HANDING) or not self.listens(now)
 
     def idle_limit(self, now: float) -> float:
-        """The age in seconds at which a connection with no request is closed.
+        """Returns the idle time in seconds after which a connection without a request is closed.
 
-        Guards against a close that crosses a request: those that rest go first, the others later."""
+        Connections that have been idle longest are closed first and the others later, because a close may
+        cross with a request that the client has just sent.
+        """
         if not self.closes(now):
             return math.inf
         age = now - self.since
@@ -79,9 +95,9 @@
 
     @property
     def last_answer(self) -> float:
-        """When every exchange must have its answer."""
-        return self.since + self.let + self.ALL_ANSWERED if self.ending else math.inf
+        """The time by which every request must be answered; infinite before SIGTERM."""
+        return self.since + self.grace_period + self.ALL_ANSWERED if self.ending else math.inf
 
     def over(self, now: float, empty: bool) -> bool:
-        """Whether the process ends: it has answered all that it held, or may not stay any longer."""
+        """Whether the process exits: all requests are answered (`empty`), or its time has run out."""
         return self.ending and not self.listens(now) and (empty or now >= self.last_answer + self.GONE)
--- a/rainspindle/errors.py
+++ b/rainspindle/errors.py
@@ -1,12 +1,12 @@
-"""What can go wrong that a person meets: each kind has a type, and says what its reader can do."""
+"""The base class of errors that are shown to an operator, each with a remedy."""
 
 from __future__ import annotations
 
 
 class Trouble(Exception):
-    """`str()` says what is wrong, `remedy` in one sentence what an operator can do about it.
+    """An error for an operator: `str()` says what is wrong, `remedy` in one sentence what to do about it.
 
-    A subclass gives the remedy for all of its kind; one raise may give a closer one.
+    A subclass defines the remedy for all of its errors; a single raise may pass a more specific one.
 
     >>> Trouble("the disk is full", "make room").line()
     'the disk is full; make room'
@@ -20,10 +20,12 @@
             self.remedy = remedy
 
     def line(self) -> str:
-        """Both, as the command line shows it: where several things are wrong, each has a line, and the remedy
-        ends the last."""
+        """Returns message and remedy as the command line prints them.
+
+        A message about several faults has one line for each; the remedy ends the last line.
+        """
         return f"{self}; {self.remedy}"
 
     def fields(self) -> dict[str, object]:
-        """Both, as a log line shows it."""
+        """Returns message and remedy as the fields of a log line."""
         return {"why": self, "remedy": self.remedy}
--- a/rainspindle/program/__init__.py
+++ b/rainspindle/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: command line, configuration, logging, signals."""
+"""The program: command line, configuration, logging and signal handling."""
--- a/rainspindle/program/fleet/config.py
+++ b/rainspindle/program/fleet/config.py
@@ -1,4 +1,4 @@
-"""The operator's fleet file: TOML, decoded into typed values in one go, with every fault named at once."""
+"""The operators' fleet file: TOML, decoded into typed values, with all faults reported at once."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 
 
 class FleetFile(msgspec.Struct, forbid_unknown_fields=True):
+    """The tables of a fleet file."""
+
     members: MembersConfig
     wallet: list[WalletPart] = []
     canary: list[CanaryPart] = []
-    evidence: EvidencePart | None = None  # these three are off where their table is missing
+    evidence: EvidencePart | None = None  # each of these three is off unless its table is there
     listing: ListPart | None = msgspec.field(default=None, name="list")
     keep: KeepPart | None = None
 
@@ -40,17 +42,23 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
+    """A validated fleet file and its path."""
+
     path: str
     file: FleetFile
 
     @property
     def folder(self) -> Path | None:
+        """The folder for data that outlives the process, None without one."""
         return Path(self.file.members.folder) if self.file.members.folder else None
 
 
 def load_fleet(path: str, config: Config | None) -> FleetConfig:
-    """Raises ConfigFault, one line a fault, each with its path in the file. Without the sidecar's own
-    configuration, which may have faults of its own, those of form alone."""
+    """Reads and validates a fleet file.
+
+    Without `config`, because the sidecar's own configuration is at fault, only the form is checked. Raises
+    ConfigFault with one line for each fault, which names its path in the file.
+    """
     raw = read_toml(path)
     faults = list(unfit(raw, config))
     if faults:
@@ -59,42 +67,46 @@
 
 
 def unfit(raw: dict[str, Any], config: Config | None) -> Iterator[str]:
-    """Every fault of form; of the tables without one, with `config`, every fault between their values too."""
-    formed = dict[str, bool]()
+    """Yields all faults of form and, with `config`, the faults between the values of well-formed tables."""
+    well_formed = dict[str, bool]()
     yield from shape({name: value for name, value in raw.items() if name not in SINGLE | MANY}, FleetTop, "")
     if raw.get("members") is None:
-        yield "members: missing; all else in a fleet file stands on the members"
+        yield "members: missing; all other tables of a fleet file depend on it"
     for name, table in (SINGLE | MANY).items():
         value = raw.get(name)
         if value is None:
             continue
         if name in MANY and not isinstance(value, list):
-            yield f"{name}: expected tables, [[{name}]]"
+            yield f"{name}: expected a list of tables, [[{name}]]"
             continue
-        places = [(f"{name}[{n}]", one) for n, one in enumerate(value)] if name in MANY else [(name, value)]
-        faults = [fault for at, one in places for fault in shape(one, table, at)]
-        formed[name] = not faults
+        places = (
+            [(f"{name}[{index}]", element) for index, element in enumerate(value)]
+            if name in MANY
+            else [(name, value)]
+        )
+        faults = [fault for path, element in places for fault in shape(element, table, path)]
+        well_formed[name] = not faults
         yield from faults
     if config is None:
         return
-    if formed.get("members"):
+    if well_formed.get("members"):
         yield from members.unfit(msgspec.convert(raw["members"], MembersConfig), config)
-    text = raw["members"].get("folder") if isinstance(raw.get("members"), dict) else None
-    folder = Path(str(text)) if text else None
-    if formed.get("wallet") and isinstance(raw.get("members"), dict):
+    folder_name = raw["members"].get("folder") if isinstance(raw.get("members"), dict) else None
+    folder = Path(str(folder_name)) if folder_name else None
+    if well_formed.get("wallet") and isinstance(raw.get("members"), dict):
         yield from wallet.unfit(raw["wallet"], config, folder)
-    if formed.get("canary"):
+    if well_formed.get("canary"):
         yield from canary.unfit(msgspec.convert(raw["canary"], list[CanaryPart]), config)
-    if formed.get("evidence"):
+    if well_formed.get("evidence"):
         yield from evidence.unfit(msgspec.convert(raw["evidence"], EvidencePart), config)
-    if formed.get("list"):
+    if well_formed.get("list"):
         yield from listing.unfit(msgspec.convert(raw["list"], ListPart), config)
-    if formed.get("keep"):
+    if well_formed.get("keep"):
         yield from keep.unfit(msgspec.convert(raw["keep"], KeepPart), config, folder)
 
 
 class FleetTop(msgspec.Struct, forbid_unknown_fields=True):
-    """The names at the top, for the nearest to one that is not known."""
+    """The top-level keys of a fleet file, for the suggestion after an unknown one."""
 
     members: Any = None
     wallet: Any = None
--- a/rainspindle/program/fleet/ground.py
+++ b/rainspindle/program/fleet/ground.py
@@ -1,4 +1,4 @@
-"""What every part of the fleet stands on, and what the program asks of each part."""
+"""What each part of a fleet gets from the program, and the interface that each part implements."""
 
 from __future__ import annotations
 
@@ -17,59 +17,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Ground:
-    """Given to each part once, when the process starts."""
+    """What each part gets once, when the process starts."""
 
     loop: Loop
     config: Config  # the sidecar's own
     members: MembershipView
     cells: RegisterStore
-    folder: Path | None  # of this member alone, which outlasts it; None where there is none
+    folder: Path | None  # private to this member; its contents outlive the process; None without one
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Of a console call: the body goes out as JSON."""
+    """The response to a console call; the body is sent as JSON."""
 
     status: int
     body: Mapping[str, Any]
 
 
 class Part(Protocol):
-    """Wallets, canaries: each a file `program/fleet/NAME.py` with its table's struct, and such a class."""
+    """One feature of the fleet, such as wallets: `program/fleet/NAME.py` has it and its table's struct."""
 
     def taker(self, inner: Taker) -> Taker:
-        """What takes exchanges before `inner` does. Called once; `inner` itself if there is nothing to do."""
+        """Returns what receives requests before `inner`, or `inner` itself. Called once."""
 
     def tick(self, now: float) -> float:
-        """Does what is due, and tells when to be called next at the latest."""
+        """Does what is due, and returns the latest time for the next call."""
 
-    def member_changed(self, now: float, before: Member | None, after: Member) -> None: ...
+    def member_changed(self, now: float, before: Member | None, after: Member) -> None:
+        """Reacts to a changed member; `before` is None for a new one."""
 
     def call(self, now: float, method: str, path: tuple[str, ...], query: Mapping[str, str]) -> Answer | None:
-        """A console call by the parts of its path after `/-/`; None where it is not this part's.
+        """Executes a console call, with the segments of its path after `/-/`.
 
-        Raises Trouble, which becomes status 409 with the remedy."""
+        Returns None if the call is for another part. Raises Trouble, which is answered with status 409 and
+        the remedy.
+        """
 
     def reload(self, now: float, tables: Any) -> list[str]:
-        """Takes over new tables of the file; names what needs a restart."""
+        """Applies the new tables of the file; returns the keys that need a restart."""
 
     def leave(self, now: float) -> None:
-        """SIGTERM has come: exchanges under way go on, rights are handed back."""
+        """Reacts to SIGTERM: requests in flight continue, rights are handed back."""
 
     def close(self) -> None:
-        """The last thing before the process ends."""
+        """Releases everything just before the process ends."""
 
     def figures(self) -> Mapping[str, object]:
-        """For the log's last line."""
+        """Returns the counters for the last log line."""
 
 
 class Joined(Part, Protocol):
-    """A part that acts on the decisions or on the list: evidence, the relayed list, what is kept."""
+    """A part that acts on the balancer or the endpoint list: evidence, the relayed list, persistence."""
 
     def attach(self, core: Core, follower: Follower) -> None:
-        """Both are there, and no exchange has come yet. Called once."""
+        """Connects the part to core and discovery. Called once, before the first request."""
 
     def ready_from(self, now: float) -> float:
-        """When the door may open as far as this part knows, on the loop's clock; `now` or earlier: at once.
+        """Returns the time on the loop's clock from which this part allows the listener to be opened.
 
-        Asked until it lies in the past, so it must be bounded."""
+        `now` or earlier means at once. Called until the time has passed, so it must be bounded.
+        """
--- a/rainspindle/program/fleet/run.py
+++ b/rainspindle/program/fleet/run.py
@@ -1,4 +1,4 @@
-"""What the operator's fleet file switches on in one sidecar: members, wallets and canaries put together."""
+"""Assembly of the parts that the operators' fleet file enables: members, wallets, canaries and others."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 log = logging.getLogger("rainspindle.fleet")
 
-HAND_BACK = 0.15  # seconds after SIGTERM for rights to reach the others, before this member says it leaves
+HAND_BACK = 0.15  # seconds after SIGTERM for returned rights to reach other members before this one leaves
 
 
 class Fleet:
-    """One sidecar's part of its fleet, from its start to its end."""
+    """The fleet side of one sidecar, for the lifetime of the process."""
 
     def __init__(
         self,
@@ -40,7 +40,11 @@
         load: Callable[[Config], FleetConfig],
         successor: Callable[[], bool],
     ) -> None:
-        """`load` reads the file again. Raises Trouble where an address or a folder cannot be had."""
+        """Starts the parts.
+
+        `load` reads the file again, `successor` tells whether a successor runs. Raises Trouble if an address
+        or a folder is not available.
+        """
         self.loop, self.config, self.fleet, self.load = loop, config, fleet, load
         self.parts: list[Part] = []
         self.core: Core | None = None
@@ -56,19 +60,21 @@
         self.members = MembershipComponent(loop, table, config, options)
         if kept is not None:
             kept.give_cells(self.members.registers, loop.now())
-        ground = Ground(loop, config, self.members.view(), self.members.registers, fleet.folder)
-        chance = random.Random(secrets.randbits(64))
-        self.canaries = CanaryRun(ground, fleet.file.canary, lambda names: chance.sample(names, len(names)))
-        self.wallets = WalletRun(ground, fleet.file.wallet) if fleet.file.wallet else None
+        context = Ground(loop, config, self.members.view(), self.members.registers, fleet.folder)
+        shuffler = random.Random(secrets.randbits(64))
+        self.canaries = CanaryRun(
+            context, fleet.file.canary, lambda names: shuffler.sample(names, len(names))
+        )
+        self.wallets = WalletRun(context, fleet.file.wallet) if fleet.file.wallet else None
         file = fleet.file
-        self.evidence = EvidenceRun(ground, file.evidence) if file.evidence else None
-        self.listing = ListRun(ground, file.listing, bool(table.seeds)) if file.listing else None
-        self.keep = KeepRun(ground, file.keep, kept, bool(table.seeds)) if file.keep else None
+        self.evidence = EvidenceRun(context, file.evidence) if file.evidence else None
+        self.listing = ListRun(context, file.listing, bool(table.seeds)) if file.listing else None
+        self.keep = KeepRun(context, file.keep, kept, bool(table.seeds)) if file.keep else None
         self.joined: list[Joined] = [part for part in (self.evidence, self.listing, self.keep) if part]
         self.parts = [*self.joined, self.canaries, *([self.wallets] if self.wallets else [])]
         self.ticker = loop.spawn(loop.lasting(self.ticking), urgent=True)
 
-    # The exchanges' way.
+    # Requests.
 
     def make_core(
         self,
@@ -76,7 +82,7 @@
         on_watch: Callable[[], None],
         on_tick: Callable[[], None],
     ) -> Core:
-        """One core, or one for each side where a canary has endpoints."""
+        """Returns one core, or one that is split in two sides if canaries are configured."""
         config = self.config
         if self.fleet.file.canary:
             self.core = make_split_core(
@@ -96,34 +102,37 @@
         return self.core
 
     def taker(self, core: Core) -> Taker:
+        """Returns what the front passes requests to: the parts, with `core` behind them."""
         taker: Taker = core
-        for part in self.parts:  # the last one is the first that an exchange comes to
+        for part in self.parts:  # the last part receives a request first
             taker = part.taker(taker)
         return taker
 
     def attach(self, core: Core, follower: Follower) -> None:
-        """All that exchanges go through is there, and none has come yet."""
+        """Connects the parts to core and discovery, before the first request."""
         for part in self.joined:
             part.attach(core, follower)
 
     def ready_from(self, now: float) -> float:
-        """When the door may open, as far as the fleet knows."""
+        """Returns the time from which all parts allow the listener to be opened."""
         return max((part.ready_from(now) for part in self.joined), default=now)
 
     def carry_words(self, core: Core, heard: Callable[[str, str], None]) -> None:
-        """The pool's word goes over the members."""
+        """Exchanges load reports over the members; `heard` gets sender and text of each received one."""
         core.tell = self.members.publish_load_report
         self.members.members.on_load_report = lambda now, who, text: heard(who, text)
 
-    # What happens.
+    # Events.
 
     def member_changed(self, now: float, before: Member | None, after: Member) -> None:
+        """Passes a changed member on to the parts, and drops the load reports of one that is gone."""
         if self.core is not None and after.status in (MemberStatus.DEAD, MemberStatus.LEFT):
             self.core.peer_gone(after.name)
         for part in self.parts:
             part.member_changed(now, before, after)
 
     def ticking(self) -> Coroutine[None]:
+        """Calls the parts when they are due, and leaves the fleet when its time has come."""
         while True:
             now = self.loop.now()
             until = min(part.tick(now) for part in self.parts)
@@ -133,14 +142,14 @@
             yield min(until, self.leaving_at)
 
     def call(self, call: FleetCall) -> Answer:
-        """A call of the staff."""
+        """Executes an operator's call."""
         if call.path[0] == "members":
             if len(call.path) > 1:
-                return no(404, "no such call", "ask GET /-/members")
+                return error_answer(404, "no such call", "ask GET /-/members")
             return (
                 Answer(200, self.members.to_json())
                 if call.method in ("GET", "HEAD")
-                else no(405, f"/-/members wants GET, not {call.method}", "ask with GET")
+                else error_answer(405, f"/-/members wants GET, not {call.method}", "ask with GET")
             )
         try:
             for part in self.parts:
@@ -148,42 +157,48 @@
                 if answer is not None:
                     self.ticker.wake()
                     return answer
-        except Trouble as fault:
-            return no(409, str(fault), fault.remedy)
-        return no(
+        except Trouble as error:
+            return error_answer(409, str(error), error.remedy)
+        return error_answer(
             404,
-            f"the fleet file of this sidecar has no {call.path[0]}",
-            f"name them in {self.fleet.path} and restart",
+            f"the fleet file of this sidecar configures no {call.path[0]}",
+            f"configure them in {self.fleet.path} and restart",
         )
 
     def reload(self, config: Config) -> None:
-        """SIGHUP: the file is read again."""
+        """Reads the fleet file again, on SIGHUP."""
         try:
             new = self.load(config)
-        except ConfigFault as fault:
-            for line in str(fault).splitlines():
+        except ConfigFault as error:
+            for line in str(error).splitlines():
                 log.error(
                     "fleet file refused, the old one stays",
-                    extra={"fields": {"why": line, "remedy": fault.remedy}},
+                    extra={"fields": {"why": line, "remedy": error.remedy}},
                 )
             return
-        now, later = self.loop.now(), self.members.reload(new.file.members)
-        later += self.canaries.reload(now, new.file.canary)
+        now, needs_restart = self.loop.now(), self.members.reload(new.file.members)
+        needs_restart += self.canaries.reload(now, new.file.canary)
         if self.wallets is not None:
-            later += self.wallets.reload(now, new.file.wallet)
+            needs_restart += self.wallets.reload(now, new.file.wallet)
         elif new.file.wallet:
-            later.append("wallet")
+            needs_restart.append("wallet")
         for name, part in (("evidence", self.evidence), ("listing", self.listing), ("keep", self.keep)):
             table, key = getattr(new.file, name), "list" if name == "listing" else name
             if (part is None) != (table is None):
-                later.append(key)
+                needs_restart.append(key)
             elif part is not None:
-                later += part.reload(now, table)
+                needs_restart += part.reload(now, table)
         self.fleet = new
-        log.info("fleet file read again", extra={"fields": {"needs_restart": ",".join(later) or "nothing"}})
+        log.info(
+            "fleet file read again", extra={"fields": {"needs_restart": ",".join(needs_restart) or "nothing"}}
+        )
 
     def leave(self) -> None:
-        """SIGTERM. Guards against rights that are handed back by one of whom nobody listens any more."""
+        """Reacts to SIGTERM.
+
+        The member leaves only after its rights had time to be handed back: other members ignore one that has
+        left.
+        """
         now = self.loop.now()
         for part in self.parts:
             part.leave(now)
@@ -191,18 +206,20 @@
         self.ticker.wake()
 
     def close(self) -> None:
-        """The process ends."""
+        """Closes the parts and leaves the fleet, just before the process ends."""
         for part in reversed(self.parts):
             part.close()
-        self.members.leave()  # where it ends sooner
+        self.members.leave()  # in case the process ends before `leaving_at`
         self.members.close()
 
     def figures(self) -> Mapping[str, object]:
+        """Returns the counters for the last log line."""
         figures = dict(self.members.metrics())
         for part in self.parts:
             figures.update(part.figures())
         return figures
 
 
-def no(status: int, error: str, remedy: str) -> Answer:
+def error_answer(status: int, error: str, remedy: str) -> Answer:
+    """Returns the response to a call that is refused."""
     return Answer(status, {"error": error, "remedy": remedy})
--- a/rainspindle/program/logs.py
+++ b/rainspindle/program/logs.py
@@ -7,22 +7,23 @@
 
 
 def quoted(value: object) -> str:
-    r"""As a value of a log line: between quotes where a reader could take it for more than one.
+    r"""Returns the text of a value in a log line, quoted and escaped where it is not a single plain word.
 
     >>> print(quoted("e7"), quoted('it said "no"\n'))
     e7 "it said \"no\"\n"
     """
     text = str(value)
-    if text and not any(c in ' "=\n\r' for c in text):
+    if text and not any(character in ' "=\n\r' for character in text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\r", "\\r")
     return f'"{escaped}"'
 
 
 class KeyValueFormatter(logging.Formatter):
-    """time=... level=... part=... event="..." and whatever `extra={"fields": {...}}` adds."""
+    """Formats a record as time=... level=... part=... event="...", followed by `extra={"fields": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """Returns the log line of a record, without a newline."""
         pairs: dict[str, object] = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -34,7 +35,8 @@
 
 
 def set_up(level: str) -> None:
+    """Sends all log records from `level` on to standard error, in place of any earlier handlers."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
-    logging.raiseExceptions = False  # a log that cannot be written must not stop the service
+    logging.raiseExceptions = False  # a failed log write must not disturb the service
--- a/rainspindle/program/main.py
+++ b/rainspindle/program/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line interface."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from .. import __version__
 from ..errors import Trouble
 from . import logs
-from .config import DEAF, Config, ConfigFault, Uninstalled, Unserved, load
+from .config import PEERS_MISSING, Config, ConfigFault, MissingLibrariesError, SystemRefusedError, load
 from .serve import Sidecar
 
 
 def parser(lab: Any = None) -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(
+    """Returns the argument parser, with the commands of `lab` if the module is given."""
+    root = argparse.ArgumentParser(
         prog="rainspindle", description="A load balancer beside each client process."
     )
-    commands = top.add_subparsers(dest="command", required=True)
+    commands = root.add_subparsers(dest="command", required=True)
     serve = commands.add_parser("serve", help="serve as one sidecar until SIGTERM")
     check = commands.add_parser("check", help="read a configuration and say whether it can be served")
     for command in (serve, check):
@@ -73,26 +74,30 @@
         commands.add_parser("lab", help="experiments on a model of the fleet, or on loopback sockets")
     else:
         lab.add_to(commands)
-    return top
+    return root
 
 
-def the_lab(arguments: Sequence[str]) -> Any:
-    """The lab's commands, where they are asked for: `serve` must not pay for its libraries."""
+def import_lab(arguments: Sequence[str]) -> Any:
+    """Imports the lab's commands if the command line uses them; `serve` must not load their libraries.
+
+    Raises MissingLibrariesError if those libraries are missing.
+    """
     if arguments[:1] != ["lab"]:
         return None
     try:
         from ..lab import command
-    except ImportError as fault:
-        raise Uninstalled(f"the lab needs the libraries of requirements-lab.txt: {fault}") from None
+    except ImportError as error:
+        raise MissingLibrariesError(f"the lab needs the libraries in requirements-lab.txt: {error}") from None
     return command
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs a command and returns its exit status: 0, or 2 if it was refused."""
     arguments = list(sys.argv[1:] if arguments is None else arguments)
     try:
-        lab = the_lab(arguments)
-    except ConfigFault as fault:
-        return refused(fault)
+        lab = import_lab(arguments)
+    except ConfigFault as error:
+        return report_error(error)
     options = parser(lab).parse_args(arguments)
     if options.command == "lab":
         return int(lab.main(options))
@@ -115,9 +120,9 @@
 
         try:
             config = read()
-        except ConfigFault as fault:
-            if options.command == "check" and fleet_path:  # all faults of both files at once
-                refused(fault)
+        except ConfigFault as error:
+            if options.command == "check" and fleet_path:  # reports the faults of both files
+                report_error(error)
                 fleet(fleet_path, None)
                 return 2
             raise
@@ -126,33 +131,38 @@
             print(
                 f"{config.name}: {len(config.known.lines)} endpoints known, "
                 f"traffic types {', '.join(config.settings.type_names)}"
-                + (f"\n{config.name}: {DEAF}" if config.deaf else "")
+                + (f"\n{config.name}: {PEERS_MISSING}" if config.peers_missing else "")
             )
             return 0
         logs.set_up(options.log_level)
         sidecar = Sidecar(config, read, make_fleet)
-    except Trouble as fault:
-        return refused(fault)
-    except OSError as fault:
-        return refused(Unserved(str(fault)))
+    except Trouble as error:
+        return report_error(error)
+    except OSError as error:
+        return report_error(SystemRefusedError(str(error)))
     sidecar.run()
     return 0
 
 
-def refused(fault: Trouble) -> int:
-    """What is wrong, a line for each fault, and what to do about it at the end of the last."""
-    for line in fault.line().splitlines():
+def report_error(error: Trouble) -> int:
+    """Prints an error, one line for each fault, and returns the exit status."""
+    for line in error.line().splitlines():
         print(f"rainspindle: {line}", file=sys.stderr)
     return 2
 
 
 def fleet(path: str, config: Config | None) -> Any:
-    """What makes the fleet of a sidecar. Raises ConfigFault, also where its libraries are missing."""
+    """Returns a factory for the fleet of a sidecar.
+
+    Raises ConfigFault if the file cannot be served, and MissingLibrariesError if libraries are missing.
+    """
     try:
         from .fleet.config import load_fleet
         from .fleet.run import Fleet
-    except ImportError as fault:
-        raise Uninstalled(f"a fleet file needs the libraries of requirements-fleet.txt: {fault}") from None
+    except ImportError as error:
+        raise MissingLibrariesError(
+            f"a fleet file needs the libraries in requirements-fleet.txt: {error}"
+        ) from None
     read = load_fleet(path, config)
     return lambda loop, config, successor: Fleet(
         loop, config, read, lambda new: load_fleet(path, new), successor
@@ -160,12 +170,14 @@
 
 
 def gateway(options: argparse.Namespace) -> int:
-    """Raises ConfigFault, also where its libraries are missing."""
+    """Runs the gateway of a site, or validates its file. Raises ConfigFault, also for missing libraries."""
     try:
         from .gateway import Gateway
         from .gateway_config import load_gateway
-    except ImportError as fault:
-        raise Uninstalled(f"a gateway needs the libraries of requirements-gateway.txt: {fault}") from None
+    except ImportError as error:
+        raise MissingLibrariesError(
+            f"a gateway needs the libraries in requirements-gateway.txt: {error}"
+        ) from None
     config = load_gateway(options.config, os.environ)
     if options.check:
         print(
@@ -179,12 +191,14 @@
 
 
 def mysql(options: argparse.Namespace) -> int:
-    """Raises ConfigFault, also where its libraries are missing."""
+    """Runs the MySQL front, or validates its file. Raises ConfigFault, also for missing libraries."""
     try:
         from .mysql import MysqlSidecar
         from .mysql_config import load_mysql
-    except ImportError as fault:
-        raise Uninstalled(f"the MySQL front needs the libraries of requirements-mysql.txt: {fault}") from None
+    except ImportError as error:
+        raise MissingLibrariesError(
+            f"the MySQL front needs the libraries in requirements-mysql.txt: {error}"
+        ) from None
     config = load_mysql(options.config, os.environ)
     if options.check:
         print(
--- a/rainspindle/program/operation.py
+++ b/rainspindle/program/operation.py
@@ -1,4 +1,4 @@
-"""What staff ask of a sidecar: the second address, and orders shared with a process beside this one."""
+"""Operators' calls to a sidecar, and orders and state shared with a second process of it."""
 
 from __future__ import annotations
 
@@ -23,38 +23,42 @@
 
 ORDERS_KIND, ORDERS_VERSION, MOST_ORDERS = 1, 1, 8 * 1024 * 1024
 LEARNT_KIND, LEARNT_VERSION, MOST_LEARNT = 2, 1, 4 * 1024 * 1024
-ABANDONED = 30.0  # seconds after which a process that asked for what was learnt is taken for dead
-EACH, FRESH = 0.5, 3.0  # seconds between writes of what was learnt, and after which it is of no use
+REQUEST_LIFETIME = 30.0  # seconds after which a process that requested the learnt state is presumed dead
+# Seconds between writes of the learnt state, and after which it is too old to use.
+EXPORT_INTERVAL, MAX_STATE_AGE = 0.5, 3.0
 
 
-def told(fault: Exception, kind: type[Trouble] = Unfit) -> dict[str, object]:
-    """For a log line; what is inside a file that could be read is told as the file itself would be."""
-    return (fault if isinstance(fault, Trouble) else kind(str(fault))).fields()
+def log_fields(error: Exception, kind: type[Trouble] = Unfit) -> dict[str, object]:
+    """Returns the log fields of an error; one without a remedy gets the remedy of `kind`."""
+    return (error if isinstance(error, Trouble) else kind(str(error))).fields()
 
 
 class Presence:
-    """Tells which process came last to an address, and whether it is alive: a lock ends with its holder."""
+    """Detects through a locked file which process took over an address last, and whether it is alive.
+
+    The operating system releases the lock when its holder ends.
+    """
 
     def __init__(self, path: str, tag: str) -> None:
         self.path, self.tag = path, tag
-        self.held: int | None = None
+        self.lock_file: int | None = None
 
-    def come(self) -> None:
-        """From now on this process is the last. Raises OSError."""
-        made = f"{self.path}.{self.tag}"
-        fd = os.open(made, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+    def register(self) -> None:
+        """Registers this process as the last one. Raises OSError."""
+        temporary_path = f"{self.path}.{self.tag}"
+        fd = os.open(temporary_path, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
         fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        os.replace(made, self.path)
-        self.held = fd
+        os.replace(temporary_path, self.path)
+        self.lock_file = fd
 
-    def other(self) -> bool:
-        """Whether another process came last, and is alive."""
+    def other_is_alive(self) -> bool:
+        """Returns whether another process registered last and is alive."""
         try:
             fd = os.open(self.path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
         except OSError:
             return False
         try:
-            if self.held is not None and os.path.samestat(os.fstat(fd), os.fstat(self.held)):
+            if self.lock_file is not None and os.path.samestat(os.fstat(fd), os.fstat(self.lock_file)):
                 return False
             fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -65,25 +69,27 @@
             os.close(fd)
         return False
 
-    def last(self) -> bool:
-        """Whether this process is the last that came."""
+    def is_last(self) -> bool:
+        """Returns whether this process registered last."""
         try:
-            return self.held is not None and os.path.samestat(os.stat(self.path), os.fstat(self.held))
+            return self.lock_file is not None and os.path.samestat(
+                os.stat(self.path), os.fstat(self.lock_file)
+            )
         except OSError:
             return False
 
-    def go(self) -> None:
-        """The file goes with the last that came."""
-        if self.held is not None:
-            if self.last():
+    def withdraw(self) -> None:
+        """Releases the lock, and removes the file if this process registered last."""
+        if self.lock_file is not None:
+            if self.is_last():
                 with contextlib.suppress(OSError):
                     os.unlink(self.path)
-            os.close(self.held)
-            self.held = None
+            os.close(self.lock_file)
+            self.lock_file = None
 
 
 class Operation:
-    """Takes the staff's calls; `leave_out` and `drain` put into force what has changed."""
+    """Executes operators' calls, and merges the orders with those of another process of the sidecar."""
 
     def __init__(
         self,
@@ -94,152 +100,174 @@
         serves: Callable[[], bool],
         learnt: Callable[[], dict[str, Any]],
     ) -> None:
-        """`folder` is shared with a successor; without one, orders end with the process. `learnt` gives what
-        a successor may go on from."""
+        """Makes the handler of operators' calls.
+
+        `folder` is shared with a successor; without one, orders end with the process. `leave_out` and `drain`
+        apply changed orders, `serves` tells whether requests are accepted, and `learnt` returns the state
+        that a successor may start from.
+        """
         self.learnt = learnt
         self.leave_out, self.drain, self.serves = leave_out, drain, serves
         self.orders = Orders()
         self.tag = os.urandom(8).hex()
         self.file: StoredFile | None = None
         self.presence: Presence | None = None
-        self.seen: object = None  # the stamp of the file as last read or written
+        self.seen_stamp: object = None  # the stamp of the orders file as last read or written
         self.unsaved = self.write_failed = False
         self.predecessor = False
         if folder:
             base = os.path.join(folder, "rainspindle-" + re.sub(r"[^A-Za-z0-9_.-]", "_", name)[:64])
             self.file = StoredFile(f"{base}.orders", ORDERS_KIND, ORDERS_VERSION, MOST_ORDERS)
             self.presence = Presence(f"{base}.serving", self.tag)
-            self.predecessor = self.presence.other()
-            self.learnt_file = StoredFile(f"{base}.learnt", LEARNT_KIND, LEARNT_VERSION, MOST_LEARNT)
-            self.wanted = f"{base}.wanted"
-            self.written = -math.inf
+            self.predecessor = self.presence.other_is_alive()
+            self.state_file = StoredFile(f"{base}.learnt", LEARNT_KIND, LEARNT_VERSION, MOST_LEARNT)
+            self.request_path = f"{base}.wanted"
+            self.exported_at = -math.inf
             if self.predecessor:
                 with contextlib.suppress(OSError):
-                    os.close(os.open(self.wanted, os.O_CREAT | os.O_WRONLY | os.O_NOFOLLOW, 0o600))
+                    os.close(os.open(self.request_path, os.O_CREAT | os.O_WRONLY | os.O_NOFOLLOW, 0o600))
 
-    def come(self) -> None:
-        """This process serves from now on, and is the last that came."""
+    def register(self) -> None:
+        """Registers this process as the one that serves."""
         if self.presence is not None:
             try:
-                self.presence.come()
-            except OSError as fault:
-                log.warning("no sign for a successor", extra={"fields": told(fault, Unwritten)})
+                self.presence.register()
+            except OSError as error:
+                log.warning("cannot register for a successor", extra={"fields": log_fields(error, Unwritten)})
 
-    # What was learnt: written only while a new process asks for it.
+    # The learnt state, written only while a new process requests it.
 
-    def hand_on(self) -> None:
-        if self.presence is None or self.presence.held is None:
+    def export_state(self) -> None:
+        """Writes the learnt state if a new process requests it and the last write is old enough."""
+        if self.presence is None or self.presence.lock_file is None:
             return
         try:
-            asked_at = os.stat(self.wanted).st_mtime
+            asked_at = os.stat(self.request_path).st_mtime
         except OSError:
             return
         now = time.time()
-        if abs(now - asked_at) > ABANDONED:  # guards against writing for good for one that died
+        # A process that died would otherwise cause writes for ever.
+        if abs(now - asked_at) > REQUEST_LIFETIME:
             with contextlib.suppress(OSError):
-                os.unlink(self.wanted)
+                os.unlink(self.request_path)
             return
-        if abs(now - self.written) < EACH or not self.presence.last():
+        if abs(now - self.exported_at) < EXPORT_INTERVAL or not self.presence.is_last():
             return
-        self.written = now
+        self.exported_at = now
         try:
-            self.learnt_file.write(orjson.dumps({"at": now, "learnt": self.learnt()}), self.tag)
-        except (OSError, TypeError) as fault:
-            log.warning("what was learnt is not handed on", extra={"fields": told(fault, Unwritten)})
-
-    def inherit(self, take: Callable[[dict[str, Any]], None]) -> None:
-        """Goes on from what the process before this one has learnt, where it is fresh and whole."""
+            self.state_file.write(orjson.dumps({"at": now, "learnt": self.learnt()}), self.tag)
+        except (OSError, TypeError) as error:
+            log.warning(
+                "cannot write learnt state for the successor", extra={"fields": log_fields(error, Unwritten)}
+            )
+
+    def import_state(self, take: Callable[[dict[str, Any]], None]) -> None:
+        """Passes the learnt state of the previous process to `take` if it is fresh and intact."""
         if not self.predecessor:
             return
         try:
-            kept = orjson.loads(self.learnt_file.read())
-            age = time.time() - kept["at"]
-            if not -FRESH < age < FRESH:  # also where the clock was set
-                raise ValueError(f"{age:.1f} s old")
-            take(kept["learnt"])
-            log.info("goes on from the process before", extra={"fields": {"age": f"{age:.2f}"}})
-        except (Unfit, ValueError, KeyError, TypeError) as fault:
-            log.warning("begins with nothing learnt", extra={"fields": told(fault)})
-        for path in (self.wanted, self.learnt_file.path):
+            exported = orjson.loads(self.state_file.read())
+            age = time.time() - exported["at"]
+            # The age is negative if the clock was set back.
+            if not -MAX_STATE_AGE < age < MAX_STATE_AGE:
+                raise ValueError(
+                    f"learnt state is {age:.1f} s old, at most {MAX_STATE_AGE:.0f} s are allowed"
+                )
+            take(exported["learnt"])
+            log.info(
+                "continuing with the state of the previous process", extra={"fields": {"age": f"{age:.2f}"}}
+            )
+        except (Unfit, ValueError, KeyError, TypeError) as error:
+            log.warning("starting without learnt state", extra={"fields": log_fields(error)})
+        for path in (self.request_path, self.state_file.path):
             with contextlib.suppress(OSError):
                 os.unlink(path)
 
     def successor(self) -> bool:
-        return self.presence is not None and self.presence.other()
+        """Returns whether a successor of this process is alive."""
+        return self.presence is not None and self.presence.other_is_alive()
 
-    def go(self) -> None:
+    def withdraw(self) -> None:
+        """Withdraws the registration when the process ends."""
         if self.presence is not None:
-            self.presence.go()
+            self.presence.withdraw()
 
-    def listed(self, ids: list[str]) -> None:
-        self.unsaved = self.orders.names(ids) or self.unsaved
+    def record_listed(self, ids: list[str]) -> None:
+        """Records the ids of a new endpoint list."""
+        self.unsaved = self.orders.record_listed(ids) or self.unsaved
 
-    # The file.
+    # The orders file.
 
-    def look(self) -> None:
-        """Takes over orders that the process beside this one was given, and has its own written down."""
+    def synchronize(self) -> None:
+        """Merges orders that another process has written, and saves unsaved ones of this process."""
         if self.file is None:
             return
-        self.hand_on()
+        self.export_state()
         stamp = self.file.stamp()
-        if stamp is not None and stamp != self.seen:
-            self.seen = stamp
+        if stamp is not None and stamp != self.seen_stamp:
+            self.seen_stamp = stamp
             self.read(self.file)
         if self.unsaved:
             self.save()
 
     def read(self, file: StoredFile) -> None:
+        """Merges the orders in the file and applies those that change; logs a file that is unreadable."""
         try:
             other = Orders.of(orjson.loads(file.read()))
         except Missing:
             return
-        except (Unfit, ValueError) as fault:
-            log.error("orders cannot be read", extra={"fields": {"file": file.path, **told(fault)}})
+        except (Unfit, ValueError) as error:
+            log.error("orders cannot be read", extra={"fields": {"file": file.path, **log_fields(error)}})
             self.unsaved = bool(self.orders.given)
             return
         changed = self.orders.merge(other)
-        # Guards against two that write at once: what the file lacks is written again.
+        # Two processes may write at the same time: what the file lacks is written again.
         if self.orders.given != other.given or self.orders.listed.keys() - other.listed.keys():
             self.unsaved = True
-        for matter in changed:
-            self.put_into_force(matter)
+        for subject in changed:
+            self.apply_order(subject)
 
     def save(self) -> None:
+        """Writes the orders to the file; logs the first of several failures."""
         if self.file is None:
             return
         try:
             self.file.write(orjson.dumps(self.orders.plain()), self.tag)
-        except OSError as fault:
-            if not self.write_failed:  # it is tried again ten times a second
+        except OSError as error:
+            if not self.write_failed:  # the write is retried ten times a second
                 log.error(
                     "orders cannot be written",
-                    extra={"fields": {"file": self.file.path, **told(fault, Unwritten)}},
+                    extra={"fields": {"file": self.file.path, **log_fields(error, Unwritten)}},
                 )
             self.unsaved = self.write_failed = True
             return
         self.unsaved = self.write_failed = False
-        self.seen = self.file.stamp()
+        self.seen_stamp = self.file.stamp()
 
-    def put_into_force(self, matter: str) -> None:
-        out = self.orders.is_out(matter)
-        if matter == DRAIN:
+    def apply_order(self, subject: str) -> None:
+        """Applies the current order for one subject."""
+        out = self.orders.is_out(subject)
+        if subject == DRAIN:
             self.drain(out)
         else:
-            self.leave_out(matter, out)
+            self.leave_out(subject, out)
 
-    # The calls.
+    # Calls.
 
     def call(self, order: Order) -> tuple[int, str]:
-        """Status and text of the answer; what it says yes to is in force, and written down if it can be."""
+        """Executes a call and returns status and text of the response.
+
+        An order that is answered with 200 is in force, and stored unless the write fails.
+        """
         if order.act is Act.READY:
             return (200, "serving") if self.serves() else (503, "not serving yet, or no longer")
         out = order.act in (Act.DISABLE, Act.DRAIN)
-        matter = order.endpoint or DRAIN
-        if matter != DRAIN and matter not in self.orders.listed and matter not in self.orders.given:
-            return 404, "no list has named this endpoint; look for a typing error in its id"
-        self.look()  # guards against a number below that of an order given to the process beside this one
-        if self.orders.give(matter, out):
-            self.put_into_force(matter)
+        subject = order.endpoint or DRAIN
+        if subject != DRAIN and subject not in self.orders.listed and subject not in self.orders.given:
+            return 404, "no endpoint list has contained this endpoint; check its id for a typing error"
+        self.synchronize()  # the new number must exceed those of orders given to another process
+        if self.orders.give(subject, out):
+            self.apply_order(subject)
             self.save()
         return 200, {
             Act.DISABLE: "left out",
--- a/rainspindle/program/serve.py
+++ b/rainspindle/program/serve.py
@@ -1,4 +1,4 @@
-"""One sidecar in service: its parts put together, new configurations on SIGHUP, its way out on SIGTERM."""
+"""One running sidecar: assembly of its components, configuration reload on SIGHUP, shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -31,63 +31,65 @@
 from ..transport.datagrams import Datagrams
 from ..transport.loop import Coroutine, Loop
 from ..transport.pool import Pool
-from .config import DEAF, RESERVED_SOCKETS, Config, ConfigFault, usable_sockets
+from .config import PEERS_MISSING, RESERVED_SOCKETS, Config, ConfigFault, usable_sockets
 from .operation import Operation
 
 log = logging.getLogger("rainspindle.program")
 
-CLIENTS_PART = 0.5
-OWN_MEMORY, ROOM_PART = 26e6, 0.6  # bytes of the program itself, and the part of the rest
-HALF_READ = 96 * 1024  # bytes
-FEWEST_CLIENTS = 16  # for whose bodies there is memory in any case
-OVERLAP = 5.0  # seconds for which a successor leaves half of the limits to the process before it
-MOST_OWED = 2.0
-MOST_LEAVING = 3.0  # after SIGTERM a sidecar is let run for the longest expiry, up to this, and 0.7 s more
-LIST_TIME = 0.5  # seconds that a successor waits for the list to be told, before it goes by the known one
-LOOK, ENDING_LOOK = 0.1, 0.02  # seconds between looks at the stage and at orders given elsewhere
+CLIENTS_SHARE = 0.5  # share of the connections that clients may take
+OWN_MEMORY, BODIES_SHARE = 26e6, 0.6  # bytes used by the program itself; usable share of the remaining memory
+BODY_ALLOWANCE = 96 * 1024  # bytes of a partially received body that one client may occupy
+MIN_CLIENTS = 16  # minimum of client connections, however little memory there is
+OVERLAP = 5.0  # seconds for which a successor and its predecessor use half of the limits each
+MOST_OWED = 2.0  # seconds that readiness is delayed at most for the CPU time of the start
+MOST_LEAVING = 3.0  # seconds; after SIGTERM a sidecar runs for the longest expiry, up to this, and 0.7 s more
+LIST_TIME = 0.5  # seconds that a successor waits for a new endpoint list before it uses the known one
+# Seconds between checks of the stage and of other processes' orders: while serving, and in other stages.
+POLL_INTERVAL, ENDING_INTERVAL = 0.1, 0.02
 
 
 def caps(config: Config) -> tuple[int, int]:
-    """How many connections with clients, and how many to endpoints, are held at most."""
-    places = usable_sockets(config.sockets) - RESERVED_SOCKETS
-    clients = int(places * CLIENTS_PART)
-    # Guards against memory filled by bodies that are half read: each client may hold one.
-    return min(clients, max(room(config) // HALF_READ, FEWEST_CLIENTS)), places - clients
+    """Returns the maximum number of client connections, and of endpoint connections."""
+    connections = usable_sockets(config.sockets) - RESERVED_SOCKETS
+    clients = int(connections * CLIENTS_SHARE)
+    # Each client may occupy memory with a partially received body, so memory limits their number too.
+    return min(clients, max(room(config) // BODY_ALLOWANCE, MIN_CLIENTS)), connections - clients
 
 
 def room(config: Config) -> int:
-    """Bytes of memory for bodies and answers that are passed on piece by piece."""
-    return int(max(config.memory_mb * 1e6 - OWN_MEMORY, 0) * ROOM_PART)
+    """Returns the bytes of memory for request and response bodies that are streamed."""
+    return int(max(config.memory_mb * 1e6 - OWN_MEMORY, 0) * BODIES_SHARE)
 
 
 class Signals:
-    """SIGTERM, SIGINT and SIGHUP, told through a socket so that they end the loop's wait."""
+    """Delivers SIGTERM, SIGINT and SIGHUP through a socket, so that they wake the event loop."""
 
     def __init__(self, loop: Loop) -> None:
         self.closed, self.on_fault = False, loop.on_fault
-        self.told, self.teller = socket.socketpair()
-        self.told.setblocking(False)
-        self.teller.setblocking(False)
-        signal.set_wakeup_fd(self.teller.fileno(), warn_on_full_buffer=False)
+        self.receiver, self.sender = socket.socketpair()
+        self.receiver.setblocking(False)
+        self.sender.setblocking(False)
+        signal.set_wakeup_fd(self.sender.fileno(), warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: None)
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
         self.came: Callable[[int], None] = lambda number: None
-        loop.watch(self.told.fileno(), self)
+        loop.watch(self.receiver.fileno(), self)
 
     def on_events(self, events: int) -> None:
-        # Guards against leaving at once: the first event only says that the socket can be written.
+        """Calls the handler for each signal that has arrived."""
+        # The first event only reports that the socket is writable: no signal has arrived then.
         with contextlib.suppress(BlockingIOError):
-            while numbers := self.told.recv(64):
+            while numbers := self.receiver.recv(64):
                 for number in numbers:
                     try:
                         self.came(number)
-                    except Exception as fault:  # of a SIGHUP: a SIGTERM that came with it is still heard
-                        self.on_fault(fault)
+                    except Exception as error:  # a failed reload must not hide a SIGTERM that came with it
+                        self.on_fault(error)
 
 
 class Front(Protocol):
-    """What a sidecar needs of its front."""
+    """The interface of the client side of a sidecar."""
 
     leaving: bool
     closing: bool
@@ -95,60 +97,75 @@
     most_clients: int
 
     @property
-    def clients(self) -> Sized: ...
+    def clients(self) -> Sized:
+        """The client connections that are open."""
 
     def accepted(self, connection: Connection) -> bool | None:
-        """Takes a new connection; False where it has no place for it now."""
+        """Takes a new connection; returns False if there is no capacity for it now."""
 
     def make_room(self) -> bool:
-        """Closes a connection that can be spared; whether there was one."""
+        """Closes an idle or stalled connection; returns whether there was one."""
 
-    def trim_clients(self) -> None: ...
+    def trim_clients(self) -> None:
+        """Closes connections that have been idle for too long."""
 
     def set_stream_memory(self, size: int) -> None:
-        """Bytes of memory for bodies and answers that are passed on piece by piece, from now on."""
+        """Sets the bytes of memory for request and response bodies that are streamed."""
 
     def finish_clients(self, idle: float = 0.0) -> bool:
-        """Ends the connections with no request for so many seconds; whether no client is left."""
+        """Closes connections without a request for `idle` seconds; returns whether no client is left."""
 
 
 class Answered(Protocol):
+    """The response to a fleet call."""
+
     status: int
     body: Mapping[str, Any]
 
 
 class FleetSide(Protocol):
-    """What a sidecar needs of its fleet, where the operator's own file names one."""
+    """The interface of the fleet to a sidecar; present if the operator configured a fleet file."""
 
     def make_core(
         self,
         make_back: Callable[[Directory], Back],
         on_watch: Callable[[], None],
         on_tick: Callable[[], None],
-    ) -> Core: ...
+    ) -> Core:
+        """Returns the core that requests go through."""
 
-    def taker(self, core: Core) -> Taker: ...
+    def taker(self, core: Core) -> Taker:
+        """Returns what the front passes requests to."""
 
-    def attach(self, core: Core, follower: Follower) -> None: ...
+    def attach(self, core: Core, follower: Follower) -> None:
+        """Connects the fleet to core and discovery, before the first request."""
 
     def ready_from(self, now: float) -> float:
-        """When the door may open, as far as the fleet knows."""
+        """Returns the time from which the fleet allows the listener to be opened."""
 
-    def carry_words(self, core: Core, heard: Callable[[str, str], None]) -> None: ...
+    def carry_words(self, core: Core, heard: Callable[[str, str], None]) -> None:
+        """Exchanges load reports over the members; `heard` gets sender and text of each received one."""
 
-    def call(self, call: FleetCall) -> Any: ...
+    def call(self, call: FleetCall) -> Any:
+        """Executes an operator's call and returns its `Answered`."""
 
-    def reload(self, config: Config) -> None: ...
+    def reload(self, config: Config) -> None:
+        """Reads the fleet file again."""
 
-    def leave(self) -> None: ...
+    def leave(self) -> None:
+        """Starts the shutdown after SIGTERM."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Ends the fleet's side just before the process exits."""
 
-    def figures(self) -> Mapping[str, object]: ...
+    def figures(self) -> Mapping[str, object]:
+        """Returns the counters for the last log line."""
 
 
 class Sidecar:
-    streams = True  # whether long bodies go on piece by piece
+    """One sidecar process: event loop, core, front, discovery, operators' calls and optionally a fleet."""
+
+    streams = True  # whether long bodies are streamed
     fleet: FleetSide | None = None
 
     def __init__(
@@ -157,12 +174,16 @@
         load: Callable[[], Config],
         make_fleet: Callable[[Loop, Config, Callable[[], bool]], FleetSide] | None = None,
     ) -> None:
-        """`load` reads the configuration again; `make_fleet` is told how to know whether a successor runs."""
+        """Assembles the sidecar.
+
+        `load` reads the configuration again. The last argument of `make_fleet` tells whether a successor
+        runs.
+        """
         self.config, self.load = config, load
         self.loop = Loop(self.fault)
-        self.began, self.told = self.loop.now(), False
-        self.joined = False  # the fleet has told what it had to before the door opens
-        self.alone_at = math.inf  # when a process beside this one is gone for certain
+        self.began, self.list_received = self.loop.now(), False
+        self.fleet_ready = False  # whether the fleet has allowed the listener to be opened
+        self.alone_at = math.inf  # when the predecessor is certain to have ended
         self.faults = self.unread = 0
         clients, connections = caps(config)
         self.pool = Pool(self.loop, connections, config.settings.idle_time)
@@ -194,11 +215,11 @@
             self.core.list_changed(known.lines, known.addresses, whole=True, stale=True)
         self.follower.core = self.core
         self.peers: Datagrams | None = None
-        if config.deaf:
-            log.warning(DEAF)
+        if config.peers_missing:
+            log.warning(PEERS_MISSING)
         if usable_sockets(config.sockets) < config.sockets:
             log.warning(
-                "fewer descriptors than limits.sockets",
+                "system limit on open files is below limits.sockets",
                 extra={"fields": {"limit": usable_sockets(config.sockets), "configured": config.sockets}},
             )
         if config.peers is not None:
@@ -206,42 +227,44 @@
                 self.loop,
                 config.peers.listen,
                 config.peers.others,
-                self.heard_peer,
+                self.apply_load_report,
                 shared=config.console is not None,
             )
             self.core.tell = self.peers.tell
         elif self.fleet is not None:
-            self.fleet.carry_words(self.core, self.heard_peer)
+            self.fleet.carry_words(self.core, self.apply_load_report)
         self.stages = Stages(min(max(config.settings.expiries), MOST_LEAVING))
         self.listener = Listener(
             self.loop, config.listen, self.front.accepted, self.make_room, shared=config.console is not None
         )
         self.console: ConsoleFront | None = None
-        # Only where staff can call is there anything to share with a process beside this one.
+        # Without operators' calls there is nothing to share with another process.
         self.operation = Operation(
             config.name,
             os.environ.get("TMPDIR") if config.console else None,
             self.core.leave_out,
-            self.drained,
+            self.apply_drain_order,
             self.serves,
             lambda: self.core.facade.give(self.loop.now()),
         )
         if config.console is not None:
             self.console = ConsoleFront(self.loop, config.console, self.operation.call, self.fleet_call)
         self.loop.make_room = self.make_room
-        self.overseer = self.loop.spawn(self.oversee())
-        self.operation.look()
-        self.operation.listed(list(known.addresses))
-        self.follower.heard = self.heard
+        self.supervisor = self.loop.spawn(self.supervise())
+        self.operation.synchronize()
+        self.operation.record_listed(list(known.addresses))
+        self.follower.heard = self.record_list
         if self.fleet is not None:
             self.fleet.attach(self.core, self.follower)
         self.signals = Signals(self.loop)
-        self.signals.came = self.signalled
+        self.signals.came = self.handle_signal
 
     def make_back(self, directory: Directory) -> Back:
+        """Returns the side that sends attempts to endpoints."""
         return HttpBack(self.loop, self.pool, self.config.settings, directory)
 
     def make_front(self, most_clients: int) -> Front:
+        """Returns the side that serves at most `most_clients` client connections."""
         return HttpFront(
             self.loop,
             self.core,
@@ -252,26 +275,29 @@
         )
 
     def make_room(self) -> bool:
-        """Closes the connection that can best be spared, for whoever is left without a descriptor.
+        """Frees a descriptor for a connection that finds none; returns whether one was freed.
 
-        First one that rests to an endpoint, then a client's with no request, then one to the console."""
+        Closes an idle connection to an endpoint, else a client connection without a request, else a console
+        connection.
+        """
         return self.front.make_room() or (self.console is not None and self.console.give_way())
 
     def taker(self) -> Taker:
-        """What the front hands its exchanges to."""
+        """Returns what the front passes requests to."""
         return self.core if self.fleet is None else self.fleet.taker(self.core)
 
     def begin_leaving(self) -> None:
-        """SIGTERM has come."""
+        """Reacts to SIGTERM before the stage changes."""
         if self.fleet is not None:
             self.fleet.leave()
 
     def close_listeners(self) -> None:
+        """Stops accepting client connections."""
         if not self.listener.closed:
             self.listener.close()
 
     def fleet_call(self, call: FleetCall) -> tuple[int, str]:
-        """Status and JSON of what staff ask about the fleet."""
+        """Executes an operator's call about the fleet; returns status and JSON of the response."""
         if self.fleet is None:
             return 404, orjson.dumps(
                 {"error": "this sidecar has no fleet file", "remedy": "start it with serve --fleet FILE"}
@@ -279,18 +305,21 @@
         answer: Answered = self.fleet.call(call)
         return answer.status, orjson.dumps(answer.body).decode()
 
-    def heard_peer(self, who: str, message: str) -> None:
+    def apply_load_report(self, who: str, message: str) -> None:
+        """Applies a load report of another sidecar."""
         try:
-            self.core.apply(self.core.facade.receive_message(self.loop.now(), who, message))
-        except ValueError as fault:  # of another release, or cut: what it tells is old soon anyhow
+            self.core.apply(self.core.facade.heard(self.loop.now(), who, message))
+        except ValueError as error:  # from another release, or truncated: the next report replaces it soon
             self.unread += 1
-            log.debug("unreadable message", extra={"fields": {"from": who, "why": fault}})
+            log.debug("unreadable load report", extra={"fields": {"from": who, "why": error}})
 
-    def heard(self, change: ListChange) -> None:
-        self.told = True
-        self.operation.listed(list(change.addresses))
+    def record_list(self, change: ListChange) -> None:
+        """Records a change of the endpoint list from discovery."""
+        self.list_received = True
+        self.operation.record_listed(list(change.addresses))
 
     def serves(self) -> bool:
+        """Returns whether the process accepts requests, for /-/ready."""
         return (
             self.core.listed
             and self.listener.open
@@ -298,23 +327,24 @@
             and self.loop.now() >= self.front.ready_from
         )
 
-    def drained(self, out: bool) -> None:
-        """An order of the staff."""
+    def apply_drain_order(self, out: bool) -> None:
+        """Applies an operator's order to drain or to resume."""
         now = self.loop.now()
         if self.stages.drain(now) if out else self.stages.resume(now):
-            self.staged(now)
+            self.apply_new_stage(now)
 
-    def staged(self, now: float) -> None:
-        """The stage has changed."""
+    def apply_new_stage(self, now: float) -> None:
+        """Logs and applies a changed stage."""
         log.info(
             self.stages.stage.value,
             extra={"fields": {"held": len(self.core.held), "clients": len(self.front.clients)}},
         )
         self.core.answer_by(self.stages.last_answer)
         self.follow_stage(now)
-        self.overseer.wake()
+        self.supervisor.wake()
 
     def follow_stage(self, now: float) -> None:
+        """Closes listener, idle connections and at last the loop, as the stage requires by now."""
         stages, front = self.stages, self.front
         front.leaving, front.closing = not stages.ready, stages.closes(now)
         if not stages.listens(now):
@@ -327,42 +357,45 @@
                 self.fleet.close()
 
     def each_tick(self) -> None:
+        """Does the periodic cleanup of connections."""
         self.pool.sweep()
         self.front.trim_clients()
 
-    def fault(self, fault: BaseException) -> None:
+    def fault(self, error: BaseException) -> None:
+        """Counts and logs an unexpected exception."""
         self.faults += 1
-        where = traceback.extract_tb(fault.__traceback__)[-1]
+        frame = traceback.extract_tb(error.__traceback__)[-1]
         log.error(
             "fault",
             extra={
-                "fields": {"kind": type(fault).__name__, "text": fault, "at": f"{where.name}:{where.lineno}"}
+                "fields": {"kind": type(error).__name__, "text": error, "at": f"{frame.name}:{frame.lineno}"}
             },
         )
 
-    def signalled(self, number: int) -> None:
+    def handle_signal(self, number: int) -> None:
+        """Handles a signal: reloads on SIGHUP, shuts down on SIGTERM and SIGINT."""
         if number == signal.SIGHUP:
             self.reload()
         else:
             now = self.loop.now()
             if self.stages.leave(now, self.operation.successor()):
                 self.begin_leaving()
-                self.staged(now)
+                self.apply_new_stage(now)
 
     def reload(self) -> None:
-        """Takes over what of a new configuration can change under load; all else needs a restart."""
+        """Applies the keys of a new configuration that can change at run time; all others need a restart."""
         try:
             new = self.load()
-        except ConfigFault as fault:
-            log.error("configuration refused, the old one stays", extra={"fields": fault.fields()})
+        except ConfigFault as error:
+            log.error("configuration refused, the old one stays", extra={"fields": error.fields()})
             return
         running = self.config
-        later = [
+        needs_restart = [
             name
             for name in ("name", "listen", "raw_settings", "console", "peers")
             if getattr(running, name) != getattr(new, name)
         ]
-        # Guards against two configurations mixed: what needs a restart stays as this process was started by.
+        # Keys that need a restart keep the values of the start, so that two configurations never mix.
         self.config = replace(
             running, discovery=new.discovery, cores=new.cores, sockets=new.sockets, memory_mb=new.memory_mb
         )
@@ -374,7 +407,7 @@
                 "fields": {
                     "discovery": address_text(new.discovery),
                     "sockets": new.sockets,
-                    "needs_restart": ",".join(later).replace("raw_", "") or "nothing",
+                    "needs_restart": ",".join(needs_restart).replace("raw_", "") or "nothing",
                 }
             },
         )
@@ -382,57 +415,63 @@
             self.fleet.reload(self.config)
 
     def apply_limits(self) -> None:
-        """Goes by the limits of the configuration, and by half of them beside another process."""
+        """Applies the configured limits, halved while another process of the sidecar runs."""
         clients, connections = caps(self.config)
-        parts = 1 if self.alone_at == math.inf else 2
-        self.front.most_clients, self.pool.most = clients // parts, connections // parts
+        processes = 1 if self.alone_at == math.inf else 2
+        self.front.most_clients, self.pool.most = clients // processes, connections // processes
         self.front.set_stream_memory(room(self.config))
 
-    def oversee(self) -> Coroutine[None]:
-        """Opens the door once this process can serve, follows its stage, looks for orders given elsewhere."""
+    def supervise(self) -> Coroutine[None]:
+        """Opens the listener once the process can serve, applies the stage, and merges others' orders."""
         while True:
             now = self.loop.now()
-            waits = self.fleet_waits(now)
+            waits = self.is_fleet_pending(now)
             if (
                 not self.listener.open
                 and not self.listener.closed
                 and not waits
                 and (not self.operation.predecessor or self.can_serve(now))
             ):
-                self.open_door()
-            self.operation.look()
+                self.open_listener()
+            self.operation.synchronize()
             self.follow_stage(now)
             if now >= self.alone_at:
                 self.alone_at = math.inf
                 self.apply_limits()
             if self.stages.stage is not Stage.SERVING:
-                yield now + ENDING_LOOK
+                yield now + ENDING_INTERVAL
             else:
-                looks = self.operation.file is not None or not self.listener.open
-                yield now + (ENDING_LOOK if waits else LOOK) if looks or waits else math.inf
+                polls = self.operation.file is not None or not self.listener.open
+                yield now + (ENDING_INTERVAL if waits else POLL_INTERVAL) if polls or waits else math.inf
 
-    def fleet_waits(self, now: float) -> bool:
-        """Whether the door is still to be kept shut for what the fleet has to tell first."""
-        if self.fleet is None or self.joined:
+    def is_fleet_pending(self, now: float) -> bool:
+        """Returns whether the listener must stay closed until the fleet is ready."""
+        if self.fleet is None or self.fleet_ready:
             return False
-        from_then = self.fleet.ready_from(now)
-        self.joined = now >= from_then
-        self.front.ready_from = max(self.front.ready_from, from_then)
-        return not self.joined
+        opens_at = self.fleet.ready_from(now)
+        self.fleet_ready = now >= opens_at
+        self.front.ready_from = max(self.front.ready_from, opens_at)
+        return not self.fleet_ready
 
     def can_serve(self, now: float) -> bool:
-        """For a successor: the list is told anew, unless nobody tells it."""
+        """Returns whether a successor can serve: it has a new endpoint list, or waited LIST_TIME for one."""
         return self.core.listed and now >= max(
-            self.front.ready_from, -math.inf if self.told else self.began + LIST_TIME
+            self.front.ready_from, -math.inf if self.list_received else self.began + LIST_TIME
         )
 
-    def open_door(self) -> None:
-        """Guards against clients that come to a process which cannot serve while another one can."""
-        self.operation.inherit(lambda learnt: self.core.apply(self.core.facade.take(self.loop.now(), learnt)))
+    def open_listener(self) -> None:
+        """Takes over the predecessor's state and opens the listener.
+
+        Called only when the process can serve, so that clients do not reach it while another one could serve
+        them.
+        """
+        self.operation.import_state(
+            lambda learnt: self.core.apply(self.core.facade.take(self.loop.now(), learnt))
+        )
         self.listener.listen()
-        led = self.operation.predecessor and self.listener.lead_here()
-        self.operation.come()
-        if self.operation.predecessor:  # both together are within the limits
+        all_here = self.operation.predecessor and self.listener.lead_here()
+        self.operation.register()
+        if self.operation.predecessor:  # both processes together stay within the limits
             self.alone_at = self.loop.now() + OVERLAP
             self.apply_limits()
         log.info(
@@ -441,27 +480,30 @@
                 "fields": {
                     "listen": address_text(self.listener.address),
                     "beside": self.operation.predecessor,
-                    "all_new": led,
+                    "all_new": all_here,
                 }
             },
         )
 
     def run(self) -> None:
-        # Guards against clients that begin while the start's own CPU is charged: with part of a core the
-        # process is then stopped for about as long as that CPU takes at the limit.
-        owed = time.process_time() / self.config.cores if self.config.cores < 1 else 0.0
-        self.front.ready_from = self.loop.now() + min(owed, MOST_OWED)
+        """Serves until the shutdown is complete."""
+        # With a share of a core, the CPU limit stops the process after the start for about as long as the CPU
+        # time used takes at that limit. Clients must not arrive within that time.
+        cpu_debt = time.process_time() / self.config.cores if self.config.cores < 1 else 0.0
+        self.front.ready_from = self.loop.now() + min(cpu_debt, MOST_OWED)
         gc.collect()
         gc.freeze()
-        gc.set_threshold(20_000, 20, 20)  # nearly all is freed by its count; looking for cycles costs CPU
+        # Reference counts free nearly everything; searching for cycles costs CPU time.
+        gc.set_threshold(20_000, 20, 20)
         if self.listener.open:
-            self.operation.come()
+            self.operation.register()
             log.info("serving", extra={"fields": {"listen": address_text(self.listener.address)}})
         self.loop.run()
-        self.operation.go()
+        self.operation.withdraw()
         log.info("left", extra={"fields": {**dict(self.figures())}})
 
     def figures(self) -> Iterator[tuple[str, object]]:
+        """Yields names and values of the counters for the last log line."""
         yield "taken", self.core.taken
         yield "connections_made", self.pool.made
         yield "connections_reused", self.pool.reused
--- a/rainspindle/program/tables.py
+++ b/rainspindle/program/tables.py
@@ -1,4 +1,4 @@
-"""TOML files of the operator's own: read, and held against what they may hold, with every fault named."""
+"""Reading of operators' TOML files, and validation against a model that reports every fault."""
 
 from __future__ import annotations
 
@@ -10,58 +10,66 @@
 
 import msgspec
 
-from .config import ConfigFault, Unopened
+from .config import ConfigFault, InaccessibleFileError
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """Raises ConfigFault."""
+    """Returns the contents of a TOML file. Raises ConfigFault if it is unreadable or no TOML."""
     try:
         return tomllib.loads(Path(path).read_text())
-    except OSError as fault:
-        raise Unopened(f"{path}: {fault.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise ConfigFault(f"{path}: not TOML: {fault}") from None
+    except OSError as error:
+        raise InaccessibleFileError(f"{path}: {error.strerror}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ConfigFault(f"{path}: not TOML: {error}") from None
 
 
 def read_secret(path: Path, least: int) -> bytes:
-    """A key's or password's file: its bytes, less blanks at the ends. Others must not be able to read it."""
+    """Returns the bytes of a key or password file without surrounding whitespace.
+
+    Raises ConfigFault if other users can read the file, or if it has fewer than `least` bytes.
+    """
     try:
         mode, key = path.stat().st_mode, path.read_bytes().strip()
-    except OSError as fault:
-        raise Unopened(f"{path}: {fault.strerror}") from None
+    except OSError as error:
+        raise InaccessibleFileError(f"{path}: {error.strerror}") from None
     if mode & 0o077:
-        raise ConfigFault(f"{path}: others than its owner may read it (mode {mode & 0o777:o}); 600 is needed")
+        raise ConfigFault(f"{path}: other users can access it (mode {mode & 0o777:o}); mode 600 is required")
     if len(key) < least:
-        raise ConfigFault(f"{path}: {len(key)} bytes; {least} are needed at least")
+        raise ConfigFault(f"{path}: {len(key)} bytes; at least {least} are required")
     return key
 
 
 def shape(value: Any, model: Any, at: str) -> Iterator[str]:
-    """Faults of one table: unknown keys, what is missing, and values of the wrong type."""
+    """Yields the faults of one table: unknown keys, missing keys and values of the wrong type.
+
+    `at` is the path of the table in the file, empty for the whole file.
+    """
     if not isinstance(value, dict):
         yield f"{at or 'the file'}: expected a table"
         return
-    fields, before = {f.encode_name: f for f in msgspec.structs.fields(model)}, f"{at}." if at else ""
+    fields, prefix = {f.encode_name: f for f in msgspec.structs.fields(model)}, f"{at}." if at else ""
     for key in value:
         if key not in fields:
-            near = difflib.get_close_matches(key, list(fields), 1)
-            yield f"{before}{key}: unknown key" + (f"; the nearest known is {near[0]!r}" if near else "")
+            close_matches = difflib.get_close_matches(key, list(fields), 1)
+            yield f"{prefix}{key}: unknown key" + (
+                f"; the nearest known is {close_matches[0]!r}" if close_matches else ""
+            )
     for name, field in fields.items():
-        place = f"{before}{name}"
+        key_path = f"{prefix}{name}"
         if name not in value:
             if field.required:
-                yield f"{place}: missing"
+                yield f"{key_path}: missing"
             continue
         inner = getattr(field.type, "__args__", (None,))[0]
         if isinstance(field.type, type) and issubclass(field.type, msgspec.Struct):
-            yield from shape(value[name], field.type, place)
+            yield from shape(value[name], field.type, key_path)
         elif isinstance(inner, type) and issubclass(inner, msgspec.Struct) and isinstance(value[name], list):
-            for n, one in enumerate(value[name]):
-                yield from shape(one, inner, f"{place}[{n}]")
+            for index, element in enumerate(value[name]):
+                yield from shape(element, inner, f"{key_path}[{index}]")
         elif isinstance(inner, type) and issubclass(inner, msgspec.Struct) and isinstance(value[name], dict):
-            yield from shape(value[name], inner, place)
+            yield from shape(value[name], inner, key_path)
         else:
             try:
                 msgspec.convert(value[name], field.type)
-            except msgspec.ValidationError as fault:
-                yield f"{place}: is {value[name]!r:.60}; {fault}"
+            except msgspec.ValidationError as error:
+                yield f"{key_path}: is {value[name]!r:.60}; {error}"
--- a/rainspindle/protocol/settings.py
+++ b/rainspindle/protocol/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, handed to the parts that need them; both hosts decode them here."""
+"""Decodes the settings of a deployment for the balancer and the network code, in both hosts."""
 
 from __future__ import annotations
 
@@ -17,56 +17,62 @@
     "idempotency_key": Idempotency.DEDUPLICATED,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-CONNECT_PART = 0.25  # of the promised time
+CONNECT_SHARE = 0.25  # connect timeout as a share of the latency objective, at most
 WEIGHTS = ("off", "nominal", "rough", "live")
-GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 
 
 def seconds(ms: float | None) -> float:
+    """Converts milliseconds; None becomes 0."""
     return (ms or 0.0) / 1000
 
 
 def traffic_type(t: dict[str, Any]) -> TrafficClass:
-    if t["effect"] not in tuple(EFFECTS):  # a tuple also looks for what has no hash
+    """Decodes one traffic class. Raises KeyError, or ValueError naming the key."""
+    if t["effect"] not in tuple(EFFECTS):  # a tuple, as the value may be unhashable
         raise ValueError(f"unknown effect {t['effect']!r}")
     group = t.get("dedup-scope") or "all"
-    if group not in tuple(GROUPS):
+    if group not in tuple(DEDUPLICATION_SCOPES):
         raise ValueError(f"unknown group {group!r}")
     return TrafficClass(
         EFFECTS[t["effect"]],
-        GROUPS[group],
-        period(t, "promised-time"),
-        period(t, "expiry"),
+        DEDUPLICATION_SCOPES[group],
+        positive_seconds(t, "promised-time"),
+        positive_seconds(t, "expiry"),
         seconds(number(t, "memory-span", 0.0)),
         number(t, "value", 1.0),
     )
 
 
-def period(s: dict[str, Any], key: str) -> float:
-    """Seconds, of which the settings tell milliseconds. Raises KeyError, or ValueError naming the key."""
+def positive_seconds(s: dict[str, Any], key: str) -> float:
+    """Returns a positive period, which the settings have in ms, in s. Raises KeyError, or ValueError."""
     if s[key] is None or not number(s, key, 0.0):
         raise ValueError(f"{key} is no number over 0: {s[key]!r}")
     return seconds(s[key])
 
 
 def traffic_types(s: dict[str, Any]) -> list[TrafficClass]:
-    """At least one. Raises ValueError, which says which one is at fault."""
+    """Decodes the traffic classes, at least one. Raises ValueError, which names the one at fault."""
     listed = s["traffic-types"]
     if not isinstance(listed, list) or not listed or not all(isinstance(t, dict) for t in listed):
         raise ValueError("traffic-types is no list of traffic types, one at least")
     types = list[TrafficClass]()
-    for n, t in enumerate(listed):
+    for index, entry in enumerate(listed):
         try:
-            types.append(traffic_type(t))
-        except KeyError as fault:
-            raise ValueError(f"traffic-types[{n}]: the settings lack {fault}") from None
-        except ValueError as fault:
-            raise ValueError(f"traffic-types[{n}]: {fault}") from None
+            types.append(traffic_type(entry))
+        except KeyError as error:
+            raise ValueError(f"traffic-types[{index}]: the settings lack {error}") from None
+        except ValueError as error:
+            raise ValueError(f"traffic-types[{index}]: {error}") from None
     return types
 
 
 def type_names(s: dict[str, Any]) -> tuple[str, ...]:
-    """The names by which clients ask for the traffic types."""
+    """Returns the names by which clients select a traffic class. Raises ValueError, or KeyError."""
     names = [t["name"] for t in s["traffic-types"]]
     for n, name in enumerate(names):
         if not isinstance(name, str) or not name:
@@ -77,7 +83,7 @@
 
 
 def number(s: dict[str, Any], key: str, absent: float) -> float:
-    """A number that may be absent. Raises ValueError naming the key where it is none, or below 0."""
+    """Returns an optional number, `absent` without one. Raises ValueError if it is no number or below 0."""
     value = s.get(key)
     if value is None:
         return absent
@@ -86,24 +92,31 @@
     return float(value)
 
 
-def needed(s: dict[str, Any], key: str) -> float:
-    """A number that has to be there. Raises KeyError, or ValueError naming the key."""
+def required_number(s: dict[str, Any], key: str) -> float:
+    """Returns a required number. Raises KeyError, or ValueError naming the key."""
     if s[key] is None:
         raise ValueError(f"{key} is no number from 0 on: None")
     return number(s, key, 0.0)
 
 
-def part(s: dict[str, Any], key: str) -> dict[str, Any]:
+def required_object(s: dict[str, Any], key: str) -> dict[str, Any]:
+    """Returns a copy of a required object. Raises KeyError, or ValueError naming the key."""
     if not isinstance(s[key], dict):
         raise ValueError(f"{key} is no object: {s[key]!r}")
     return dict(s[key])
 
 
-def most_forwards(limits: dict[str, Any]) -> int:
-    most = limits["max-forwards"]
-    if isinstance(most, bool) or not isinstance(most, int | float) or most < 1 or most != int(most):
-        raise ValueError(f"max-forwards is no whole number from 1 on: {most!r}")
-    return int(most)
+def max_attempts(limits: dict[str, Any]) -> int:
+    """Returns the maximum of attempts for a request. Raises KeyError, or ValueError."""
+    maximum = limits["max-forwards"]
+    if (
+        isinstance(maximum, bool)
+        or not isinstance(maximum, int | float)
+        or maximum < 1
+        or maximum != int(maximum)
+    ):
+        raise ValueError(f"max-forwards is no whole number from 1 on: {maximum!r}")
+    return int(maximum)
 
 
 def retry_limits(contract: dict[str, Any]) -> RetryLimits | None:
@@ -113,26 +126,28 @@
         return None
     free, share, over = (number(contract, key, 0.0) for key in keys)
     if over <= 0:
-        raise ValueError("counted-over is missing or 0, though a budget of forwards is stated")
+        raise ValueError("counted-over is missing or 0, though a retry budget is configured")
     return RetryLimits(free, share, seconds(over))
 
 
 def flag(s: dict[str, Any], key: str) -> bool:
+    """Returns an optional flag, False without one. Raises ValueError naming the key."""
     value = s.get(key)
     if value is not None and not isinstance(value, bool):
         raise ValueError(f"{key} is neither true nor false: {value!r}")
     return bool(value)
 
 
-def choice(s: dict[str, Any], key: str, of: Sequence[str], absent: str) -> str:
+def choice(s: dict[str, Any], key: str, options: Sequence[str], absent: str) -> str:
+    """Returns one of the options, `absent` without a value. Raises ValueError naming the key."""
     value = s.get(key)
-    if value is not None and value not in of:
-        raise ValueError(f"{key} is none of {', '.join(of)}: {value!r}")
+    if value is not None and value not in options:
+        raise ValueError(f"{key} is none of {', '.join(options)}: {value!r}")
     return absent if value is None else str(value)
 
 
 def allowances(s: dict[str, Any]) -> tuple[float, ...]:
-    """Exchanges a second that each tenant may ask of all sidecars."""
+    """Returns the requests per second that each tenant may send to all sidecars together."""
     tenants = s.get("tenants") or []
     if not isinstance(tenants, list) or not all(isinstance(tenant, dict) for tenant in tenants):
         raise ValueError("tenants is no list of tenants")
@@ -140,6 +155,7 @@
 
 
 def kinds(s: dict[str, Any]) -> tuple[str, ...]:
+    """Returns the names of the machine kinds; there may be none."""
     named = s.get("kinds") or []
     if not isinstance(named, list) or not all(isinstance(name, str) for name in named):
         raise ValueError(f"kinds is no list of names: {named!r}")
@@ -147,7 +163,7 @@
 
 
 def zones(s: dict[str, Any]) -> tuple[str, ...]:
-    """Their names; a deployment may have none."""
+    """Returns the names of the failure domains; a deployment may have none."""
     named = s.get("failure-domains") or []
     if not isinstance(named, list) or not all(isinstance(name, str) for name in named):
         raise ValueError(f"failure-domains is no list of names: {named!r}")
@@ -155,11 +171,12 @@
 
 
 def soft_removal(contract: dict[str, Any]) -> bool:
+    """Returns whether endpoints gone from the list may still get requests."""
     return flag(contract, "soft-removal")
 
 
 def asks_list(s: dict[str, Any]) -> bool:
-    """Whether the list comes only where it is asked for."""
+    """Returns whether the endpoint list is polled instead of pushed."""
     return choice(s, "discovery", ("on_request", "pushed"), "on_request") == "on_request"
 
 
@@ -171,8 +188,8 @@
     """
     try:
         config = balancer_config(s)
-    except KeyError as fault:
-        raise ValueError(f"the settings lack {fault}") from None
+    except KeyError as error:
+        raise ValueError(f"the settings lack {error}") from None
     return Balancer(host, config, seed, now)
 
 
@@ -183,14 +200,14 @@
         KeyError: A key is missing.
         ValueError: A value is wrong; the message names its key.
     """
-    limits, contract = part(s, "policy-limits"), part(s, "contract")
-    # Where gone alone does not bind, the balancer still sends nothing there: that is within the rule.
+    limits, contract = required_object(s, "policy-limits"), required_object(s, "contract")
+    # Even with soft removal the balancer sends nothing to endpoints gone from the list; the rule allows that.
     soft_removal(contract)
     slow_start = SlowStartBudget(
-        needed(contract, "fall-multiple"),
-        seconds(needed(contract, "tip-after")),
-        needed(contract, "cold-from"),
-        seconds(needed(contract, "cold")),
+        required_number(contract, "fall-multiple"),
+        seconds(required_number(contract, "tip-after")),
+        required_number(contract, "cold-from"),
+        seconds(required_number(contract, "cold")),
     )
     prices, weights = s.get("prices") or {}, choice(s, "weight-kind", WEIGHTS, "off")
     return BalancerConfig(
@@ -198,14 +215,14 @@
         slow_start,
         zone=s["zone"],
         sidecar_count=max(s.get("peers-total") or 1, 1),
-        max_attempts=most_forwards(limits),
+        max_attempts=max_attempts(limits),
         parallel_attempts=flag(limits, "parallel-tries"),
         can_cancel=flag(limits, "cancel"),
         max_retry_after=seconds(number(limits, "max-retry-after", 0.0))
         if flag(limits, "retry-after")
         else 0.0,
         watch_list=asks_list(s),
-        list_poll_interval=seconds(needed(contract, "ask-within")),
+        list_poll_interval=seconds(required_number(contract, "ask-within")),
         use_listed_weights=weights in ("nominal", "rough"),
         live_weights=weights == "live",
         cross_zone_price=number(prices, "cross-zone", 0.0),
@@ -219,41 +236,46 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketSettings:
-    """What the network code needs of them."""
+    """The settings that the network code needs."""
 
     type_names: tuple[str, ...]
-    expiries: tuple[float, ...]  # by traffic type
+    expiries: tuple[float, ...]  # by traffic class, in seconds; so are the next three
     binding: tuple[bool, ...]
     connect_times: tuple[float, ...]
-    memory_spans: tuple[float, ...]  # within which an attempt may follow one that may have run
+    memory_spans: tuple[float, ...]  # seconds within which a retry may follow an attempt that may have run
     zones: tuple[str, ...]
-    idle_time: float  # an endpoint closes a connection that stood idle for this long
+    idle_time: float  # seconds after which an endpoint closes an idle connection
     ask_within: float
     drain_grace: float
-    kinds: tuple[str, ...]  # of machine, as the list names them
-    may_call_off: bool  # whether an attempt may be given up
+    kinds: tuple[str, ...]  # machine kinds, as the endpoint list names them
+    may_call_off: bool  # whether an attempt may be cancelled
 
 
 def socket_settings(s: dict[str, Any]) -> SocketSettings:
+    """Decodes the settings for the network code. Raises ValueError naming the key."""
     try:
-        limits, contract, types = part(s, "policy-limits"), part(s, "contract"), traffic_types(s)
+        limits, contract, types = (
+            required_object(s, "policy-limits"),
+            required_object(s, "contract"),
+            traffic_types(s),
+        )
         connect_timeout = seconds(number(limits, "connect-timeout", 0.0)) or 1.0
         return SocketSettings(
             type_names(s),
             tuple(t.timeout for t in types),
             tuple(t.idempotency is Idempotency.NON_IDEMPOTENT for t in types),
-            # Guards against a machine that has vanished: waiting for it must not use up the promised time.
-            tuple(min(connect_timeout, CONNECT_PART * t.latency_objective) for t in types),
+            # Waiting for a machine that has vanished must not use up the time of the latency objective.
+            tuple(min(connect_timeout, CONNECT_SHARE * t.latency_objective) for t in types),
             tuple(
                 t.deduplication_window if t.idempotency is Idempotency.DEDUPLICATED else math.inf
                 for t in types
             ),
             zones(s),
             seconds(number(limits, "conn-idle", 0.0)),
-            seconds(needed(contract, "ask-within")),
-            seconds(needed(contract, "stop-sending-within")),
+            seconds(required_number(contract, "ask-within")),
+            seconds(required_number(contract, "stop-sending-within")),
             kinds(s),
             flag(limits, "cancel"),
         )
-    except KeyError as e:
-        raise ValueError(f"the settings lack {e}") from None
+    except KeyError as error:
+        raise ValueError(f"the settings lack {error}") from None
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every failure that a person can meet says what can be done about it."""
+"""Each error that reaches a user or an operator states a remedy."""
 
 from __future__ import annotations
 
@@ -16,81 +16,103 @@
 from rainspindle.errors import Trouble
 
 ROOT = Path(__file__).parent.parent
-# These stay within: each is caught by the code that waits, and what a person is told has a type of its own.
-WITHIN = {
+# Internal errors: the waiting code catches each of them, and the error shown to a user has its own type.
+INTERNAL = {
     "rainspindle.transport.connection": {"Broken", "Unwanted", "Late", "OutOfSockets"},
-    "rainspindle.protocol.client": {"Unreadable"},  # an answer; told as a forward's outcome or a lost list
-    "rainspindle.protocol.application": {"Cut"},  # told to a client by the status of its protocol
-    "rainspindle.protocol.mysql.wire": {"Malformed"},  # as Refused, or to a client by an ERR
-    "rainspindle.fronts.mysql.front": {"Fault"},  # that ERR
+    "rainspindle.protocol.client": {
+        "Unreadable"
+    },  # of a response; becomes the outcome of an attempt, or a lost endpoint list
+    "rainspindle.protocol.application": {"Cut"},  # becomes a status of the client's protocol
+    "rainspindle.protocol.mysql.wire": {"Malformed"},  # becomes Refused, or an ERR packet to the client
+    "rainspindle.fronts.mysql.front": {"Fault"},  # becomes that ERR packet
     "rainspindle.fronts.http1.stream": {"ClientLost"},
-    "rainspindle.lab.mysql.database": {"Failed", "Silent"},  # a stand-in's own
-    "rainspindle.lab.fleet.processes": {"NotInTime"},  # a test's or an experiment's verdict
+    "rainspindle.lab.mysql.database": {"Failed", "Silent"},  # internal to the test database
+    "rainspindle.lab.fleet.processes": {"NotInTime"},  # the verdict of a test or an experiment
     "rainspindle.lab.command": {"Stopped"},  # Ctrl-C
 }
 
 
-def kinds(of: type[BaseException]) -> Iterator[type[BaseException]]:
-    for kind in of.__subclasses__():
-        yield kind
-        yield from kinds(kind)
+def subclasses(base: type[BaseException]) -> Iterator[type[BaseException]]:
+    for error_class in base.__subclasses__():
+        yield error_class
+        yield from subclasses(error_class)
 
 
-def all_kinds() -> list[type[BaseException]]:
+def all_error_classes() -> list[type[BaseException]]:
     for module in pkgutil.walk_packages(rainspindle.__path__, "rainspindle."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
     return sorted(
-        {k for k in kinds(BaseException) if k.__module__.partition(".")[0] == "rainspindle"},
-        key=lambda k: (k.__module__, k.__qualname__),
+        {
+            error_class
+            for error_class in subclasses(BaseException)
+            if error_class.__module__.partition(".")[0] == "rainspindle"
+        },
+        key=lambda error_class: (error_class.__module__, error_class.__qualname__),
     )
 
 
-def unfit(kind: type[BaseException]) -> str:
-    """What is wrong with a kind, if anything is."""
-    if kind.__name__ in WITHIN.get(kind.__module__, ()):
+def fault_of(error_class: type[BaseException]) -> str:
+    """Returns what is wrong with an error class, empty if nothing is."""
+    if error_class.__name__ in INTERNAL.get(error_class.__module__, ()):
         return ""
-    if not issubclass(kind, Trouble):
-        return "is no Trouble, and is not named as one that stays within"
-    if kind.remedy == Trouble.remedy:
-        return "has the root's remedy"
-    if not re.fullmatch(r"(?!\s)[^\n]{10,130}[^\s.;,:]", kind.remedy) or ". " in kind.remedy:
-        return f"has no remedy of one sentence without its stop: {kind.remedy!r}"
+    if not issubclass(error_class, Trouble):
+        return "is no subclass of Trouble, and is not listed as internal"
+    if error_class.remedy == Trouble.remedy:
+        return "has only the remedy of the base class"
+    if not re.fullmatch(r"(?!\s)[^\n]{10,130}[^\s.;,:]", error_class.remedy) or ". " in error_class.remedy:
+        return f"remedy is not one sentence without a full stop: {error_class.remedy!r}"
     return ""
 
 
-def test_each_kind_says_what_can_be_done() -> None:
-    found = all_kinds()
-    wrong = {f"{k.__module__}.{k.__qualname__}": unfit(k) for k in found if k is not Trouble}
-    assert {name: why for name, why in wrong.items() if why} == {}
-    assert {k.__name__ for k in found} >= {"ConfigFault", "Unfit", "Missing", "LinkFault", "ExperimentFault"}
-    names = {(module, name) for module, of in WITHIN.items() for name in of}
-    assert names <= {(k.__module__, k.__name__) for k in found}, "named, and no longer there"
+def test_each_error_class_has_a_remedy() -> None:
+    found = all_error_classes()
+    faults = {
+        f"{error_class.__module__}.{error_class.__qualname__}": fault_of(error_class)
+        for error_class in found
+        if error_class is not Trouble
+    }
+    assert {name: fault for name, fault in faults.items() if fault} == {}
+    assert {error_class.__name__ for error_class in found} >= {
+        "ConfigFault",
+        "Unfit",
+        "Missing",
+        "LinkFault",
+        "ExperimentFault",
+    }
+    internal = {(module, name) for module, names in INTERNAL.items() for name in names}
+    assert internal <= {(error_class.__module__, error_class.__name__) for error_class in found}, (
+        "INTERNAL lists a class that does not exist"
+    )
 
 
-def test_a_kind_without_a_remedy_of_its_own_is_found() -> None:
-    made = [
+def test_an_error_class_without_its_own_remedy_is_reported() -> None:
+    faulty = [
         type("Bare", (Trouble,), {}),
         type("Two", (Trouble,), {"remedy": "Do this. Then that."}),
         type("Other", (Exception,), {}),
     ]
-    assert all(unfit(kind) for kind in made)
+    assert all(fault_of(error_class) for error_class in faulty)
     assert Trouble("no disk", "make room").line() == "no disk; make room"
 
 
 @pytest.mark.parametrize(
-    ("arguments", "told", "remedy"),
+    ("arguments", "message", "remedy"),
     [
         (["check", "--config", "none.json"], "none.json: No such file or directory", "this user may open"),
-        (["check"], "no configuration: give --config or RELAY_CONFIG", "README.md tells what it holds"),
-        (["check", "--config", "README.md"], "README.md: not JSON", "see with `check` that it can be served"),
+        (["check"], "no configuration: give --config or RELAY_CONFIG", "README.md describes its contents"),
+        (
+            ["check", "--config", "README.md"],
+            "README.md: not JSON",
+            "verify with `check` that it can be served",
+        ),
         (["gateway", "--config", "none.toml"], "none.toml: No such file", "this user may open"),
         (["lab", "report", "tests"], "No such file", "that `rainspindle lab run` has written"),
         (["lab", "run", "README.md"], "README.md: not TOML", "docs/operators/lab.md"),
     ],
 )
-def test_the_one_line_of_the_command_line_ends_with_what_to_do(
-    arguments: list[str], told: str, remedy: str
+def test_a_command_line_error_is_one_line_that_ends_with_the_remedy(
+    arguments: list[str], message: str, remedy: str
 ) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "rainspindle", *arguments],
@@ -101,13 +123,13 @@
         env={"PATH": "/usr/bin"},
     )
     first, _, last = done.stderr.strip().rpartition("; ")
-    assert done.returncode == 2 and told in first and remedy in last and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and message in first and remedy in last and done.stderr.count("\n") == 1
 
 
-def test_a_check_names_the_faults_of_both_files_at_once(tmp_path: Path) -> None:
+def test_check_reports_the_faults_of_both_files_together(tmp_path: Path) -> None:
     (file := tmp_path / "fleet.toml").write_text("[members]\nflet = 'x'\n[kep]\n")
-    words = [sys.executable, "-m", "rainspindle", "check", "--config", "none.json", "--fleet", str(file)]
-    done = subprocess.run(words, cwd=ROOT, text=True, capture_output=True, timeout=300)
+    command = [sys.executable, "-m", "rainspindle", "check", "--config", "none.json", "--fleet", str(file)]
+    done = subprocess.run(command, cwd=ROOT, text=True, capture_output=True, timeout=300)
     assert done.returncode == 2
-    for told in ("none.json", "members.flet", "members.listen", "kep: unknown"):
-        assert told in done.stderr
+    for expected in ("none.json", "members.flet", "members.listen", "kep: unknown"):
+        assert expected in done.stderr
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""Orders of the staff: what is kept of them, the stages of a sidecar, endpoints out and back, the calls."""
+"""Operators' control: stored orders, lifecycle stages, console calls, disabled endpoints, state handover."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 
 from .fleet import Fleet, Rig, SteppedLoop, ask, entry, kind, line
 
-# The file.
+# Stored files.
 
 
-def test_a_file_is_read_as_written_or_refused_whatever_is_wrong_with_it(tmp_path: Path) -> None:
+def test_a_file_is_read_as_written_or_rejected_if_anything_is_wrong_with_it(tmp_path: Path) -> None:
     file = StoredFile(str(tmp_path / "x"), 1, 3, 1000)
     with pytest.raises(Unfit, match="there is none"):
         file.read()
     file.write(b"payload", "a")
     assert file.read() == b"payload" and os.stat(file.path).st_mode & 0o777 == 0o600
-    good = Path(file.path).read_bytes()
-    for n in range(len(good)):
-        for bad in (good[:n], good[:n] + bytes((good[n] ^ 0x40,)) + good[n + 1 :]):
-            Path(file.path).write_bytes(bad)
+    valid = Path(file.path).read_bytes()
+    for n in range(len(valid)):
+        for corrupt in (valid[:n], valid[:n] + bytes((valid[n] ^ 0x40,)) + valid[n + 1 :]):
+            Path(file.path).write_bytes(corrupt)
             with pytest.raises(Unfit):
                 file.read()
-    Path(file.path).write_bytes(good + b"x")
+    Path(file.path).write_bytes(valid + b"x")
     with pytest.raises(Unfit):
         file.read()
     StoredFile(file.path, 1, 4, 1000).write(b"newer", "a")
@@ -63,18 +63,18 @@
         file.read()
 
 
-def test_a_write_that_fails_leaves_the_old_file_and_no_other(
+def test_a_failed_write_leaves_the_old_file_and_no_temporary_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = StoredFile(str(tmp_path / "x"), 1, 1, 1000)
     file.write(b"old", "a")
 
-    def full(*_: object) -> None:
+    def disk_full(*_: object) -> None:
         raise OSError(28, "no space")
 
     for step in ("replace", "fdopen"):
         with monkeypatch.context() as patch:
-            patch.setattr(os, step, full)
+            patch.setattr(os, step, disk_full)
             with pytest.raises(OSError):
                 file.write(b"new", "a")
         assert os.listdir(tmp_path) == ["x"] and file.read() == b"old"
@@ -82,39 +82,41 @@
 
 # Orders.
 
-GIVEN = st.lists(st.tuples(st.sampled_from(["a", "b", DRAIN]), st.booleans(), st.integers(0, 1)), max_size=12)
+ORDERS = st.lists(
+    st.tuples(st.sampled_from(["a", "b", DRAIN]), st.booleans(), st.integers(0, 1)), max_size=12
+)
 
 
 @settings(deadline=None, derandomize=True)
-@given(GIVEN, st.lists(st.integers(0, 11), max_size=4))
-def test_two_processes_come_to_the_same_orders(
-    given_to: list[tuple[str, bool, int]], merges: list[int]
+@given(ORDERS, st.lists(st.integers(0, 11), max_size=4))
+def test_two_processes_converge_to_the_same_orders(
+    orders: list[tuple[str, bool, int]], merges: list[int]
 ) -> None:
-    """Guards against a ban lost, or brought back, by two files that cross."""
+    """Guards against a disabling that is lost or revived when two processes write at the same time."""
     sides = Orders(), Orders()
-    for n, (matter, out, side) in enumerate(given_to):
-        sides[side].give(matter, out)
+    for n, (subject, out, side) in enumerate(orders):
+        sides[side].give(subject, out)
         if n in merges:
             sides[1 - side].merge(Orders.of(sides[side].plain()))
     sides[0].merge(sides[1])
     sides[1].merge(sides[0])
     assert sides[0].given == sides[1].given and not sides[0].merge(sides[1])
-    if given_to and (len({side for _, _, side in given_to}) == 1):  # one side alone: the last word holds
-        last = {matter: out for matter, out, _ in given_to}
-        assert sides[0].outs() == {matter for matter, out in last.items() if out}
+    if orders and (len({side for _, _, side in orders}) == 1):  # on one side only: the last one wins
+        last = {subject: out for subject, out, _ in orders}
+        assert sides[0].outs() == {subject for subject, out in last.items() if out}
 
 
-def test_repeated_orders_change_nothing_and_one_ends_them_all() -> None:
+def test_a_repeated_order_changes_nothing_and_one_order_reverts_it() -> None:
     orders = Orders()
     assert orders.give("a", True) and not orders.give("a", True) and not orders.give("b", False)
     assert orders.give("a", False) and orders.outs() == set()
 
 
-def test_ids_are_bounded_and_a_ban_outlives_the_bound() -> None:
+def test_listed_ids_are_bounded_and_a_disabled_one_is_kept() -> None:
     orders = Orders()
-    orders.names(["banned", "other"])
+    orders.record_listed(["banned", "other"])
     orders.give("banned", True)
-    orders.names([f"e{n}" for n in range(MOST_IDS)])
+    orders.record_listed([f"e{n}" for n in range(MOST_IDS)])
     assert len(orders.listed) == MOST_IDS and "banned" in orders.listed and "other" not in orders.listed
 
 
@@ -133,20 +135,20 @@
         {"last": 1, "given": {}, "listed": 5},
     ],
 )
-def test_orders_that_are_none_are_refused(plain: object) -> None:
+def test_malformed_orders_are_rejected(plain: object) -> None:
     with pytest.raises(ValueError):
         Orders.of(plain)
 
 
-def test_of_equal_numbers_the_one_that_takes_out_holds() -> None:
+def test_of_equal_numbers_the_order_that_disables_wins() -> None:
     assert Order(3, True) > Order(3, False) and Order(4, False) > Order(3, True)
 
 
 # Stages.
 
 
-def test_every_order_of_events_keeps_what_a_stage_promises() -> None:
-    """All histories of five events: what ends is never taken back, and nothing else ends the process."""
+def test_every_sequence_of_events_keeps_the_guarantees_of_the_stages() -> None:
+    """Covers all sequences of five events: SIGTERM cannot be undone, and nothing else ends the process."""
     events = ("drain", "resume", "term", "hand")
     for history in itertools.product(events, repeat=5):
         stages, now, drained = Stages(2.0), 100.0, False
@@ -169,25 +171,27 @@
             assert stages.closes(now) == (stages.stage in (Stage.DRAINED, Stage.HANDING))
             assert not stages.over(now, True) or stages.stage is Stage.HANDING
             assert not stages.over(now, False)
-        last = stages.since + 2.0 + 0.7  # a leaving process is killed then
+        last = stages.since + 2.0 + 0.7  # the time at which a process that shuts down is killed
         assert stages.over(last, False) == stages.ending
         if stages.ending:
             assert not stages.listens(last) and stages.idle_limit(last) == 0.0 and stages.last_answer < last
 
 
-def test_a_drained_sidecar_lets_go_of_idle_connections_in_time_and_not_before_the_front_has_stopped() -> None:
+def test_a_drained_sidecar_closes_idle_connections_in_time_but_not_before_new_ones_have_stopped() -> None:
     stages = Stages(2.0)
     stages.drain(10.0)
     assert stages.idle_limit(10.3) > 100 and 0 < stages.idle_limit(10.6) < 0.5
-    assert stages.idle_limit(11.5) == 0.0  # 2 s before the 4 s are over none may be open without a request
+    assert (
+        stages.idle_limit(11.5) == 0.0
+    )  # 2 s before the end of the 4 s no connection without a request may be open
     stages.resume(11.6)
     assert stages.idle_limit(11.6) > 100 and not stages.closes(11.6) and stages.ready
 
 
-# The calls.
+# Console calls.
 
 
-def said(data: bytes) -> Call | FleetCall | No | None:
+def receive(data: bytes) -> Call | FleetCall | No | None:
     return ConsoleSide().receive(data)
 
 
@@ -196,7 +200,7 @@
     return f"{method} {path} HTTP/1.1\r\nHost: x\r\n{length}{headers}\r\n".encode() + body
 
 
-def test_calls_are_understood_in_pieces_and_whole() -> None:
+def test_calls_are_decoded_in_pieces_and_at_once() -> None:
     for data, order in (
         (call("GET", "/-/ready"), Call(Act.READY)),
         (call("POST", "/-/drain"), Call(Act.DRAIN)),
@@ -204,13 +208,13 @@
         (call("POST", "/-/endpoints/s-1/disable", b"why"), Call(Act.DISABLE, "s-1")),
         (call("POST", "/-/endpoints/a%2Fb/enable"), Call(Act.ENABLE, "a/b")),
     ):
-        assert said(data) == order
+        assert receive(data) == order
         side = ConsoleSide()
         got = [side.receive(data[n : n + 1]) for n in range(len(data))]
         assert got[-1] == order and set(got[:-1]) == {None}
 
 
-def test_what_is_no_call_gets_its_status() -> None:
+def test_an_invalid_call_gets_the_right_status() -> None:
     for data, status in (
         (call("GET", "/nowhere"), 404),
         (call("POST", "/-/ready"), 405),
@@ -224,12 +228,12 @@
         (b"GET /-/ready HTTP/1.1\r\nX: " + b"y" * 20000, 431),
         (b"", 400),
     ):
-        got = said(data)
+        got = receive(data)
         assert isinstance(got, No) and got.status == status, data[:60]
         assert (got.status == 405) == bool(got.allow)
 
 
-def test_whoever_is_refused_is_told_what_to_do_and_in_json_about_what_is_shared() -> None:
+def test_a_refusal_names_a_remedy_and_is_json_for_fleet_calls() -> None:
     for path, remedy in (
         ("/-/nowhere", b"no such call; docs/on-call.md lists the calls\n"),
         ("/-/drain", b"/-/drain wants POST; call with POST\n"),
@@ -245,10 +249,10 @@
         assert body == remedy and (b"application/json" in head) == remedy.startswith(b"{")
 
 
-# Endpoints out and back.
+# Disabled and enabled endpoints.
 
 
-def test_an_endpoint_left_out_gets_nothing_whatever_the_list_tells() -> None:
+def test_a_disabled_endpoint_gets_no_request_whatever_the_list_says() -> None:
     fleet = Fleet([kind()], [line(n) for n in range(3)])
     fleet.leave_out("e1")
     fleet.leave_out("e1")
@@ -265,27 +269,27 @@
     assert {held.sent[0].endpoint for held in fleet.held.values()} == {"e0", "e2"}
 
 
-def state(fleet: Fleet, id: str) -> EndpointStatus:
-    return fleet.balancer.registry.by_id[id].listed.status
+def status_of(fleet: Fleet, endpoint_id: str) -> EndpointStatus:
+    return fleet.balancer.registry.by_id[endpoint_id].listed.status
 
 
-def test_neither_order_nor_list_ends_the_other() -> None:
+def test_orders_and_list_statuses_do_not_cancel_each_other() -> None:
     fleet = Fleet([kind()], [line(0), line(1)])
     fleet.leave_out("e1")
     fleet.tell([line(1, EndpointStatus.DRAINING)])
     fleet.put_back("e1")
-    assert state(fleet, "e1") is EndpointStatus.DRAINING
+    assert status_of(fleet, "e1") is EndpointStatus.DRAINING
     fleet.tell([line(1)])
-    assert state(fleet, "e1") is EndpointStatus.READY
-    fleet.leave_out("e9")  # of which nothing is known yet
+    assert status_of(fleet, "e1") is EndpointStatus.READY
+    fleet.leave_out("e9")  # not in the list yet
     fleet.tell([line(9)])
-    assert state(fleet, "e9") is EndpointStatus.DISABLED
+    assert status_of(fleet, "e9") is EndpointStatus.DISABLED
     fleet.put_back("e9")
-    assert state(fleet, "e9") is EndpointStatus.READY
+    assert status_of(fleet, "e9") is EndpointStatus.READY
 
 
-def test_an_endpoint_put_back_is_cold_and_gets_the_next_exchange() -> None:
-    """Guards against waiting for the keys of an endpoint, and against a burst at a cold one."""
+def test_an_enabled_endpoint_is_warming_up_and_gets_the_next_request() -> None:
+    """Guards against an enabled endpoint that waits for its own keys, and against a burst to a cold one."""
     fleet = Fleet([kind()], [line(n) for n in range(6)], peers=1)
     for n in range(300):
         fleet.arrive(n, key=f"k{n % 20}")
@@ -301,11 +305,11 @@
     sent = [fleet.arrive(1000 + n, key="k1").sent[0].endpoint for n in range(3)]
     assert sent[0] == "e2" and sent.count("e2") == 1
     fleet.wait(1.0)
-    fleet.tell([line(2, started=fleet.now - 500.0)])  # a list that knows nothing of the restart
+    fleet.tell([line(2, started=fleet.now - 500.0)])  # a start time in the list that predates the order
     assert fleet.balancer.slow_start.age(fleet.balancer.registry.by_id["e2"], fleet.now) == 1.0
 
 
-def test_a_binding_exchange_is_not_the_first_at_an_endpoint_just_put_back() -> None:
+def test_a_non_idempotent_request_is_not_the_first_to_a_just_enabled_endpoint() -> None:
     fleet = Fleet([kind(Idempotency.NON_IDEMPOTENT)], [line(n) for n in range(8)], peers=1)
     fleet.wait(3.0)
     for n in range(8):
@@ -314,16 +318,18 @@
     assert fleet.arrive(1, key="k").sent[0].endpoint == "e0"
 
 
-def test_an_endpoint_left_out_while_a_forward_connects_is_sent_nothing() -> None:
+def test_an_endpoint_disabled_while_an_attempt_connects_gets_no_request() -> None:
     rig = Rig(2)
     client = rig.client()
     client.send(ask("x", "book"))
-    while not rig.pool.open:  # one coroutine or one look at a time, to stop before the connection's event
+    while (
+        not rig.pool.open
+    ):  # one coroutine or loop step at a time, to stop before the event of the connection
         if rig.loop.ready:
             rig.loop.resume(rig.loop.ready.popleft())
         else:
             rig.loop.step()
-    first = next(f.endpoint.id for f in rig.balancer.attempts.values())
+    first = next(attempt.endpoint.id for attempt in rig.balancer.attempts.values())
     rig.core.leave_out(first, True)
     got = rig.got()
     assert len(got) == 1 and f"e{rig.stands.index(got[0].stand)}" != first
@@ -339,10 +345,10 @@
         rig.settle()
 
 
-# What was learnt, handed on.
+# Learnt state, handed over.
 
 
-def learnt_fleet() -> Fleet:
+def fleet_with_history() -> Fleet:
     fleet = Fleet([kind()], [line(n) for n in range(6)], peers=1)
     for n in range(300):
         held = fleet.arrive(n, key=f"k{n % 20}")
@@ -352,8 +358,8 @@
     return fleet
 
 
-def test_a_successor_goes_on_from_what_was_learnt() -> None:
-    old = learnt_fleet()
+def test_a_successor_continues_with_the_learnt_state() -> None:
+    old = fleet_with_history()
     new = Fleet([kind()], [line(n) for n in range(6)], peers=1)
     new.now = old.now
     plain = orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now)))
@@ -363,8 +369,8 @@
     assert new.balancer.failover.entries.keys() == old.balancer.failover.entries.keys() != set()
 
 
-def test_of_an_endpoint_that_restarted_or_is_left_out_nothing_is_handed_on() -> None:
-    old = learnt_fleet()
+def test_state_of_a_restarted_or_disabled_endpoint_is_not_taken_over() -> None:
+    old = fleet_with_history()
     new = Fleet([kind()], [line(0, started=old.now - 1.0), *(line(n) for n in range(1, 6))], peers=1)
     new.leave_out("e1")
     learnt.take(new.balancer, old.now, orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))))
@@ -375,8 +381,8 @@
     assert new.balancer.registry.by_id["e2"].latency.total
 
 
-def test_what_cannot_be_taken_over_changes_nothing() -> None:
-    old = learnt_fleet()
+def test_malformed_state_changes_nothing() -> None:
+    old = fleet_with_history()
     cases: tuple[dict[str, Any], ...] = (
         {"endpoints": {"e1": {}}},
         {"endpoints": []},
@@ -386,8 +392,8 @@
         {"times": [["x"] * 24] * 3},
         {"put_back": {"e1": "x"}},
     )
-    for broken in cases:
-        given = {**orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))), **broken}
+    for malformed in cases:
+        given = {**orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))), **malformed}
         rig = Rig(2)
         before = rig.facade.give(0.0)
         with pytest.raises(ValueError):
@@ -395,38 +401,38 @@
         assert rig.facade.give(0.0) == before
 
 
-# The crowd.
+# Eviction of client connections, and capacity limits.
 
 
-def test_slow_clients_keep_their_place_before_silent_and_stalled_ones_and_those_that_have_asked() -> None:
-    crowd: Crowd[str] = Crowd()
-    crowd.rests("asked", 0.0)
+def test_slow_clients_are_evicted_after_silent_stalled_and_idle_ones() -> None:
+    connections: Crowd[str] = Crowd()
+    connections.rests("asked", 0.0)
     for name in ("silent", "stalled", "slow"):
-        crowd.came(name, 1.0)
-    crowd.went_on("stalled", 1.1)
+        connections.came(name, 1.0)
+    connections.went_on("stalled", 1.1)
     for n in range(10):
-        crowd.went_on("slow", 1.2 + 0.1 * n)
-    crowd.came("new", 2.1)
-    order = list(dict.fromkeys(crowd.give_way(2.2)))
-    assert order == ["silent", "stalled", "asked", "new", "slow"] and crowd.asked(5) == 1
+        connections.went_on("slow", 1.2 + 0.1 * n)
+    connections.came("new", 2.1)
+    order = list(dict.fromkeys(connections.give_way(2.2)))
+    assert order == ["silent", "stalled", "asked", "new", "slow"] and connections.asked(5) == 1
     for name in order:
-        crowd.gone(name)
-    assert not list(crowd.give_way(9.0))
+        connections.gone(name)
+    assert not list(connections.give_way(9.0))
 
 
-def test_a_look_at_the_crowd_is_bounded_and_finds_the_longest_first() -> None:
-    crowd: Crowd[int] = Crowd()
+def test_the_search_for_evictable_connections_is_bounded_and_starts_with_the_oldest() -> None:
+    connections: Crowd[int] = Crowd()
     for n in range(10_000):
-        crowd.came(n, n * 0.001)
+        connections.came(n, n * 0.001)
         if n % 3 == 0:
-            crowd.went_on(n, n * 0.001)
+            connections.went_on(n, n * 0.001)
         if n % 3 == 1:
-            crowd.rests(n, n * 0.001)
-    order = list(crowd.give_way(60.0))
+            connections.rests(n, n * 0.001)
+    order = list(connections.give_way(60.0))
     assert len(order) <= 5 * Crowd.LOOKS and order[0] == 2
 
 
-def test_room_is_given_in_the_order_of_coming_and_waiting_ends() -> None:
+def test_memory_slots_are_granted_in_order_of_arrival_and_waits_time_out() -> None:
     loop = SteppedLoop()
     room, got = Room(loop, 0), list[str]()
 
@@ -451,23 +457,23 @@
     loop.epoll.close()
 
 
-def test_a_full_disk_costs_one_log_line_and_no_order(
+def test_a_full_disk_causes_one_log_line_and_loses_no_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     out = dict[str, bool]()
     operation = Operation("n1", str(tmp_path), out.__setitem__, lambda drained: None, lambda: True, dict)
-    operation.listed(["e1"])
+    operation.record_listed(["e1"])
     with monkeypatch.context() as patch:
 
-        def full(*_: object) -> None:
+        def disk_full(*_: object) -> None:
             raise OSError(28, "no space")
 
-        patch.setattr(StoredFile, "write", full)
+        patch.setattr(StoredFile, "write", disk_full)
         assert operation.call(Call(Act.DISABLE, "e1"))[0] == 200 and out == {"e1": True}
         for _ in range(10):
-            operation.look()
+            operation.synchronize()
     assert [record.getMessage() for record in caplog.records] == ["orders cannot be written"]
-    operation.look()  # there is room again
-    beside = Operation("n1", str(tmp_path), out.__setitem__, lambda drained: None, lambda: True, dict)
-    beside.look()
-    assert beside.orders.is_out("e1")
+    operation.synchronize()  # the disk has space again
+    other = Operation("n1", str(tmp_path), out.__setitem__, lambda drained: None, lambda: True, dict)
+    other.synchronize()
+    assert other.orders.is_out("e1")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself: started as operators start it, spoken to over sockets."""
+"""The whole program, started from the command line and tested over sockets."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 T = TypeVar("T")
 ROOT = Path(__file__).parent.parent
-PATIENCE = 120.0  # far beyond anything needed: no verdict hangs on speed
-# Nor on how soon the stand-ins here answer.
+PATIENCE = 120.0  # seconds; generous, so that no result depends on the speed of the machine
+# Long times, so that no result depends on how fast the test endpoints answer.
 CALM = {
     **SETTINGS,
     "traffic-types": [
@@ -40,7 +40,7 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    whole = {
+    defaults = {
         "name": "n1",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:9",
@@ -49,7 +49,7 @@
         "settings": CALM,
         "known": {"generation": 41, "reset": True, "instances": []},
     }
-    return {**whole, **changes}
+    return {**defaults, **changes}
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -63,7 +63,7 @@
 
 
 class Service(Open):
-    """The program under way, an endpoint and discovery beside it."""
+    """A running program, with a test endpoint and a test discovery service."""
 
     def __init__(
         self,
@@ -91,8 +91,11 @@
         )
 
     def start(self, *arguments: str, environment: dict[str, str] | None = None) -> subprocess.Popen[bytes]:
-        """A process of the program. Its log is its own to write: a descriptor shared with a reader has one
-        offset, and lines are then written over earlier ones."""
+        """Starts a process of the program.
+
+        The process gets its own descriptor of the log file: one shared with a reader has a single offset, and
+        lines would then overwrite earlier ones.
+        """
         with self.log.open("ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "rainspindle", *arguments],
@@ -108,16 +111,18 @@
     def until(self, found: Callable[[], T | None]) -> T:
         end = time.monotonic() + PATIENCE
         while not (value := found()):
-            assert time.monotonic() < end, f"nothing came; the log: {self.logged()}"
+            assert time.monotonic() < end, (
+                f"condition not met within {PATIENCE:.0f} s; the log: {self.logged()}"
+            )
             select.select([], [], [], 0.005)
         return value
 
     def next(self, stand: Stand) -> Got:
-        def one() -> Got | None:
+        def next_request() -> Got | None:
             stand.look()
             return stand.unread.pop(0) if stand.unread else None
 
-        return self.until(one)
+        return self.until(next_request)
 
     def got(self) -> Got:
         return self.next(self.endpoint)
@@ -164,22 +169,22 @@
     assert service.answer(client)[:2] == (200, b"out")
     client.send(ask("y"))
     service.got().answer(500)
-    assert service.answer(client)[0] == 503  # retriable, and there is no other endpoint
+    assert service.answer(client)[0] == 503  # idempotent, but there is no other endpoint
 
 
-def test_ready_waits_until_the_cpu_of_the_start_is_paid_for(tmp_path: Path) -> None:
-    """Guards against a stop by the CPU limit just when clients begin."""
-    began, service = time.monotonic(), Service(tmp_path, limits={"cores": 0.01})
+def test_readiness_waits_until_the_cpu_time_of_the_start_is_compensated(tmp_path: Path) -> None:
+    """Guards against CPU throttling just when clients begin to send requests."""
+    started_at, service = time.monotonic(), Service(tmp_path, limits={"cores": 0.01})
     client = service.asked(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
     while service.answer(client)[0] != 200:
         client.send(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert time.monotonic() - began > MOST_OWED
+    assert time.monotonic() - started_at > MOST_OWED
     client.send(ask("x"))
     service.got().answer(200)
     assert service.answer(client)[0] == 200
 
 
-def test_the_list_is_watched_from_the_known_version_on(service: Service) -> None:
+def test_the_list_is_watched_from_the_known_generation_on(service: Service) -> None:
     first = service.watch()
     assert first.target.startswith("/v1/endpoints?index=41&wait=")
     other = Stand()
@@ -195,7 +200,7 @@
     service.until(seen)
     other.unread.pop().answer(200)
     assert service.answer(client)[0] == 200
-    second.tell(43, True, entry("e0", service.endpoint.port))  # whole: e1 is gone
+    second.tell(43, True, entry("e0", service.endpoint.port))  # a complete list: e1 is gone
     third = service.watch()
     assert "index=43" in third.target
     client = service.asked(ask("y"))
@@ -204,7 +209,7 @@
     other.close()
 
 
-def test_failed_watches_are_asked_again_and_the_list_stays(service: Service) -> None:
+def test_failed_watches_are_retried_and_the_list_is_kept(service: Service) -> None:
     service.watch().answer(503)
     service.watch().reset()
     service.watch().answer(200, b"{not json")
@@ -220,9 +225,11 @@
 
 
 @pytest.mark.parametrize("known", [[], [entry("e8", 9)], [entry("e8", 9, "DELETED"), entry("e0", 9)]])
-def test_a_start_with_an_empty_or_old_list_serves_once_it_is_told(tmp_path: Path, known: list[Any]) -> None:
+def test_a_start_with_an_empty_or_old_list_serves_once_a_list_arrives(
+    tmp_path: Path, known: list[Any]
+) -> None:
     service = Service(tmp_path, known={"generation": 40, "reset": True, "instances": known})
-    assert service.answer(service.asked(ask("x", "book")))[0] == 503  # at once: it provably never ran
+    assert service.answer(service.asked(ask("x", "book")))[0] == 503  # without delay: it provably never ran
     service.watch().tell(44, True, entry("e0", service.endpoint.port))
     assert "index=44" in service.watch().target
     client = service.asked(ask("y", "book"))
@@ -230,7 +237,7 @@
     assert service.answer(client)[0] == 200 and "Traceback" not in service.logged()
 
 
-def test_sigterm_serves_who_still_comes_finishes_all_and_leaves_with_0(service: Service) -> None:
+def test_sigterm_serves_late_clients_finishes_all_requests_and_exits_with_0(service: Service) -> None:
     kept = service.asked(ask("warm"))
     service.got().answer(200)
     assert "connection" not in service.answer(kept)[2]
@@ -249,12 +256,12 @@
     assert service.answer(kept)[0] == 200
     kept.send(ask("last", wait=9000))
     unanswered = service.got()
-    assert service.answer(kept)[0] == 503, "every exchange has its answer before the end"
+    assert service.answer(kept)[0] == 503, "every request must be answered before the process ends"
     assert service.process.wait(PATIENCE) == 0 and unanswered.gone()
     assert "faults=0 broken={}" in service.logged()
 
 
-def test_a_client_that_goes_on_after_sigterm_is_answered_until_its_connection_says_so(
+def test_a_client_is_answered_after_sigterm_until_its_connection_is_closed(
     service: Service,
 ) -> None:
     clients = [service.asked(ask(f"first{n}")) for n in range(3)]
@@ -263,26 +270,28 @@
         assert service.answer(client)[0] == 200
     service.process.send_signal(signal.SIGTERM)
     service.until(lambda: "event=leaving" in service.logged())
-    began, sent = time.monotonic(), 0
+    started_at, sent = time.monotonic(), 0
     while clients:
         for client in list(clients):
-            if ended(client):  # between two requests, which is no request unanswered
+            if ended(client):  # between two requests, so none is unanswered
                 clients.remove(client)
                 continue
             client.send(ask(f"more{sent}"))
             sent += 1
             service.got().answer(200)
             status, _, headers = service.answer(client)
-            assert status == 200, "a request on a connection left open"
+            assert status == 200, "a request on an open connection was not served"
             if headers.get("connection") == "close":
                 clients.remove(client)
         select.select([], [], [], 0.05)
-    assert time.monotonic() - began > 1.0 and sent > 10, "it serves on until a successor can be up"
+    assert time.monotonic() - started_at > 1.0 and sent > 10, (
+        "it must keep serving until a successor can be running"
+    )
     assert service.process.wait(PATIENCE) == 0
 
 
-def test_sighup_reads_the_configuration_again_and_discovery_moves(service: Service) -> None:
-    """Guards against an end by SIGHUP, and against following the old list service."""
+def test_sighup_reloads_the_configuration_and_moves_to_the_new_discovery(service: Service) -> None:
+    """Guards against a process that SIGHUP terminates, and against watching the old discovery service."""
 
     def reload(text: str, log: str) -> None:
         before = service.logged().count(log)
@@ -300,16 +309,16 @@
     reload(json.dumps(new), "configuration read again")
     assert "needs_restart=listen\n" in service.logged()
     service.until(lambda: first.gone() or None)
-    whole = service.next(moved)
-    assert whole.target == "/v1/endpoints"  # no version of the old one means anything here
-    whole.tell(5, True, entry("e0", service.endpoint.port))
+    watch = service.next(moved)
+    assert watch.target == "/v1/endpoints"  # a generation of the old service has no meaning for the new one
+    watch.tell(5, True, entry("e0", service.endpoint.port))
     assert "index=5" in service.next(moved).target and "list unavailable" not in service.logged()
     got.answer(200, b"finished")
     assert service.answer(held)[:2] == (200, b"finished")
     moved.close()
 
 
-def test_clients_that_leave_and_bad_input_harm_nobody(service: Service) -> None:
+def test_disconnecting_clients_and_malformed_input_affect_no_other_client(service: Service) -> None:
     for data in (ask("a"), ask("b")[:30], b"", b"\x16\x03\x01\x02\x00\x01\x00"):
         with socket.create_connection(("127.0.0.1", service.port)) as leaving:
             leaving.sendall(data)
@@ -328,7 +337,7 @@
     assert "Traceback" not in service.logged() and "event=fault" not in service.logged()
 
 
-def test_more_clients_than_sockets_are_served_by_turns(tmp_path: Path) -> None:
+def test_more_clients_than_sockets_are_served_in_turn(tmp_path: Path) -> None:
     service = Service(tmp_path, limits={"sockets": 80})
     clients = [Client(service.port) for _ in range(90)]
     for n, client in enumerate(reversed(clients[-10:])):
@@ -339,7 +348,7 @@
     assert fds <= 80
 
 
-BAD = [
+INVALID_CONFIGS = [
     config(listen="nowhere"),
     config(seed="xyz"),
     config(settings={}),
@@ -354,12 +363,12 @@
 ]
 
 
-@pytest.mark.parametrize("number", range(len(BAD) + 2))
-def test_bad_config_is_one_line_and_status_2(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("number", range(len(INVALID_CONFIGS) + 2))
+def test_an_invalid_configuration_is_one_line_and_status_2(tmp_path: Path, number: int) -> None:
     file = tmp_path / "config.json"
-    if number < len(BAD):
-        file.write_text(json.dumps(BAD[number]))
-    elif number == len(BAD):
+    if number < len(INVALID_CONFIGS):
+        file.write_text(json.dumps(INVALID_CONFIGS[number]))
+    elif number == len(INVALID_CONFIGS):
         file.write_text("{")
     for command in ("serve", "check"):
         done = run(command, "--config", str(file))
@@ -380,21 +389,21 @@
     taken.close()
 
 
-# The second address, and a second process beside the first.
+# Operators' calls, and a second process beside the first.
 
 
 class Operated(Service):
-    """A service with a second address; one `beside` another shares its address, folder and stand-ins."""
+    """A service with a console; one started `beside` another shares its address, folder and test endpoints."""
 
     def __init__(self, folder: Path, beside: Operated | None = None, **changes: Any) -> None:
         self.console = reserve_port()
         self.shared: Path = beside.shared if beside else folder / "shared"
         self.shared.mkdir(exist_ok=True)
-        own = folder / f"of-{self.console}"
-        own.mkdir()
+        process_folder = folder / f"of-{self.console}"
+        process_folder.mkdir()
         listen = f"127.0.0.1:{beside.port}" if beside else "127.0.0.1:0"
         super().__init__(
-            own,
+            process_folder,
             beside,
             environment={"TMPDIR": str(self.shared)},
             **{"console": f"127.0.0.1:{self.console}", "listen": listen, **changes},
@@ -403,11 +412,11 @@
     def call(self, path: str, method: str = "POST") -> int:
         with socket.create_connection(("127.0.0.1", self.console), PATIENCE) as sock:
             sock.sendall(f"{method} /-/{path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
-            said = b""
+            response = b""
             while data := sock.recv(4096):
-                said += data
-            assert b"\r\nConnection: close\r\n" in said
-            return int(said.split(b" ", 2)[1])
+                response += data
+            assert b"\r\nConnection: close\r\n" in response
+            return int(response.split(b" ", 2)[1])
 
     def term(self) -> None:
         self.process.send_signal(signal.SIGTERM)
@@ -418,7 +427,7 @@
     return Operated(tmp_path)
 
 
-def test_calls_are_answered_and_callers_that_finish_none_take_nobodys_place(operated: Operated) -> None:
+def test_calls_are_answered_and_idle_console_connections_block_nobody(operated: Operated) -> None:
     idle = [socket.create_connection(("127.0.0.1", operated.console)) for _ in range(40)]
     assert operated.call("ready", "GET") == 200
     idle[-1].sendall(b"POST /-/dra")
@@ -442,7 +451,9 @@
     assert "event=fault" not in operated.logged()
 
 
-def test_a_drained_sidecar_sends_its_clients_away_and_takes_them_again(operated: Operated) -> None:
+def test_a_drained_sidecar_closes_client_connections_and_accepts_them_again_after_resume(
+    operated: Operated,
+) -> None:
     ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
     idle = operated.asked(ready)
     assert operated.answer(idle)[0] == 200
@@ -464,20 +475,20 @@
 
 
 def test_a_new_version_takes_over_and_loses_no_order(operated: Operated, tmp_path: Path) -> None:
-    """Guards against requests that end at the door, and against a ban forgotten by the successor."""
+    """Guards against connections refused during the handover, and against orders that the successor forgets."""
     assert operated.call("endpoints/e0/disable") == 200 and operated.call("drain") == 200
     chain = [operated]
     for n in range(3):
         old = chain[-1]
         held = old.asked(ask(f"held{n}", "book"))
-        assert old.answer(held)[0] == 503  # its only endpoint is left out
+        assert old.answer(held)[0] == 503  # its only endpoint is disabled
         new = Operated(tmp_path, beside=old)
         chain.append(new)
         old.until(lambda new=new: new.call("ready", "GET") == 200 or None)  # type: ignore[misc]
         status = new.answer(new.asked(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0]
-        assert status == 503, "the drain was lost"
-        assert new.answer(new.asked(ask(f"x{n}")))[0] == 503, "the ban was lost"
-        if n == 1:  # an order given to the old one holds at the new one too, and the other way round
+        assert status == 503, "the order to drain was lost"
+        assert new.answer(new.asked(ask(f"x{n}")))[0] == 503, "the order to disable e0 was lost"
+        if n == 1:  # an order to one process also holds in the other one, both ways
             assert old.call("resume") == 200 and new.call("endpoints/e0/enable") == 200
             new.until(lambda new=new: "enabled by order" in new.logged() or None)  # type: ignore[misc]
             old.until(lambda old=old: "enabled by order" in old.logged() or None)  # type: ignore[misc]
@@ -485,15 +496,15 @@
         old.term()
         assert old.process.wait(PATIENCE) == 0
         assert 'event="handing over"' in old.logged() and "faults=0 broken={}" in old.logged()
-    left = ["rainspindle-n1.orders", "rainspindle-n1.serving"]  # but for what is just being written
-    operated.until(lambda: sorted(path.name for path in operated.shared.iterdir()) == left)
+    remaining = ["rainspindle-n1.orders", "rainspindle-n1.serving"]  # apart from files that are being written
+    operated.until(lambda: sorted(path.name for path in operated.shared.iterdir()) == remaining)
 
 
-def test_no_connection_ends_at_the_door_while_processes_change(operated: Operated, tmp_path: Path) -> None:
-    """Connections come without a pause over an upgrade, and each has its request answered."""
+def test_no_connection_is_refused_while_processes_change(operated: Operated, tmp_path: Path) -> None:
+    """Connections arrive without a pause during upgrades, and each request is answered."""
     stop, outcomes = threading.Event(), list[int]()
 
-    def ask_on() -> None:
+    def send_requests() -> None:
         while not stop.is_set():
             try:
                 with socket.create_connection(("127.0.0.1", operated.port), PATIENCE) as sock:
@@ -502,7 +513,7 @@
             except OSError:
                 outcomes.append(0)
 
-    threads = [threading.Thread(target=ask_on) for _ in range(4)]
+    threads = [threading.Thread(target=send_requests) for _ in range(4)]
     for thread in threads:
         thread.start()
     old = operated
@@ -521,30 +532,30 @@
     assert set(outcomes) == {200} and len(outcomes) > 60
 
 
-def test_a_second_process_that_cannot_serve_leaves_the_first_alone(
+def test_a_second_process_that_cannot_serve_does_not_disturb_the_first(
     operated: Operated, tmp_path: Path
 ) -> None:
     unknown = {"generation": 0, "reset": True, "instances": list[Any]()}
     new = Operated(tmp_path, operated, wait=False, known=unknown)
 
-    def opened() -> bool:
+    def refuses() -> bool:
         with contextlib.suppress(ConnectionError):
             return new.call("ready", "GET") == 503
         return False
 
-    operated.until(opened)
-    for n in range(8):  # all of them come to the first
+    operated.until(refuses)
+    for n in range(8):  # the first process receives all of them
         client = operated.asked(ask(f"x{n}"))
         operated.got().answer(200)
         assert operated.answer(client)[0] == 200
     new.process.kill()
     new.process.wait(PATIENCE)
     wanted = operated.shared / "rainspindle-n1.wanted"
-    os.utime(wanted, (1.0, 1.0))  # long ago: what was learnt is not written for a dead one for good
+    os.utime(wanted, (1.0, 1.0))  # an old request: state must not be written for ever for a dead process
     operated.until(lambda: not wanted.exists())
     file = operated.shared / "rainspindle-n1.orders"
-    for bad in (b"", b"x" * 50, b"rainspin" * 20):
+    for corrupt in (b"", b"x" * 50, b"rainspin" * 20):
         before = operated.logged().count("orders cannot be read")
-        file.write_bytes(bad)
+        file.write_bytes(corrupt)
         operated.until(lambda: operated.logged().count("orders cannot be read") > before)  # noqa: B023
     assert operated.call("endpoints/e0/disable") == 200 and len(file.read_bytes()) > 60
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown, with bytes, closes and signals that cross: answers arrive whole, nothing is read too late."""
+"""Shutdown while bytes, closes and signals cross: responses arrive whole, and nothing is read too late."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 from .fleet import SETTINGS, Client, Open, Rig, SteppedLoop, ask, only
 
-BODY = bytes(range(256)) * 240  # 60 KiB: far more than a client with a small buffer has room for
+BODY = bytes(range(256)) * 240  # 60 KiB: far more than a small receive buffer holds
 
 
 class SlowClient(Client):
-    """A client that reads nothing until `rest`, with a receive buffer that holds a part of an answer."""
+    """A client that reads nothing until `rest`, with a receive buffer smaller than a response."""
 
     def __init__(self, rig: Rig) -> None:
         self.sock = socket.socket()
@@ -35,7 +35,7 @@
         self.sock.sendall(data)
 
     def rest(self) -> tuple[bytes, bool]:
-        """All that still comes, and whether it ended in a reset."""
+        """Returns all further bytes, and whether the connection ended in a reset."""
         data = b""
         for _ in range(10_000):
             try:
@@ -48,50 +48,50 @@
             if not piece:
                 return data, False
             data += piece
-        raise AssertionError("the connection was not ended")
+        raise AssertionError("the connection was not closed")
 
 
-def cross(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
-    """Has `act` run right after the front has decided that a connection ends with its answer."""
-    closes, done = HttpFront.closes, list[bool]()
+def run_after_close_decision(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
+    """Runs `act` once, right after the front has decided to close a connection after its response."""
+    original, calls = HttpFront.closes, list[bool]()
 
-    def decided(self: HttpFront, client: Connection, side: ApplicationSide) -> bool:
-        close = closes(self, client, side)
-        if close and not done:
-            done.append(True)
+    def patched(self: HttpFront, client: Connection, side: ApplicationSide) -> bool:
+        close = original(self, client, side)
+        if close and not calls:
+            calls.append(True)
             act()
         return close
 
-    monkeypatch.setattr(HttpFront, "closes", decided)
+    monkeypatch.setattr(HttpFront, "closes", patched)
 
 
 READY = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-def test_an_answer_written_before_a_close_is_not_lost_to_bytes_that_cross_it(
+def test_a_response_written_before_a_close_survives_bytes_that_cross_it(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     client = SlowClient(rig)
     client.send(ask("x", "book"))
     got = only(rig.got())
     rig.front.closing = True
-    cross(monkeypatch, lambda: client.send(ask("crossed")))
+    run_after_close_decision(monkeypatch, lambda: client.send(ask("crossed")))
     got.answer(200, BODY)
     rig.settle()
     data, reset = client.rest()
     assert data.endswith(BODY) and b"\r\nConnection: close\r\n" in data and not reset
-    assert rig.got() == [], "a request that came behind the last answer was sent on"
+    assert rig.got() == [], "a request behind the last response was forwarded"
     client.close()
     rig.settle()
     assert not rig.front.clients
 
 
-def test_a_connection_that_its_client_leaves_open_after_the_last_answer_is_closed_in_bounded_time(
+def test_a_connection_left_open_by_its_client_after_the_last_response_is_closed_in_bounded_time(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     client = SlowClient(rig)
     rig.front.closing = True
-    cross(monkeypatch, lambda: client.send(READY))
+    run_after_close_decision(monkeypatch, lambda: client.send(READY))
     client.send(READY)
     rig.settle()
     data, reset = client.rest()
@@ -100,48 +100,48 @@
     assert not rig.front.clients
 
 
-def test_a_long_answer_passed_on_before_the_body_was_whole_is_not_lost(rig: Rig) -> None:
+def test_a_long_response_streamed_before_the_request_body_is_complete_is_not_lost(rig: Rig) -> None:
     client = SlowClient(rig)
     head, body = ask("x", "book").replace(b"Content-Length: 0", b"Content-Length: 300000"), b"b" * 200_000
     client.send(head + body[:100_000])
     rig.settle()
     sock = next(sock for stand in rig.stands for sock in stand.readers)
     sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(BODY)) + BODY)
-    rig.wait(0.05)  # a part of the answer goes on before the rest has come
+    rig.wait(0.05)  # a part of the response is streamed before the rest has arrived
     sock.sendall(BODY)
-    client.send(body[100_000:])  # it goes on with its body: it has not seen the answer yet
+    client.send(body[100_000:])  # the client goes on with its body, as it has not read the response yet
     rig.settle()
     assert not rig.core.held
     data, reset = client.rest()
     assert data.endswith(BODY + BODY) and not reset
 
 
-def test_a_request_that_crosses_the_end_of_a_resting_connection_sees_an_end_and_no_reset(
+def test_a_request_that_crosses_the_close_of_an_idle_connection_sees_eof_and_no_reset(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its client sends it once more; it is read and sent on by nobody here."""
+    """The client can retry such a request, because the sidecar neither reads nor forwards it."""
     client = rig.asked(ask("warm"))
     rig.serve()
     assert client.status() == 200
-    sound = Connection.sound
+    original = Connection.sound
 
-    def looked(self: Connection) -> bool:
-        found = sound(self)
+    def patched(self: Connection) -> bool:
+        healthy = original(self)
         client.sock.sendall(ask("crossed"))
-        return found
+        return healthy
 
-    monkeypatch.setattr(Connection, "sound", looked)
+    monkeypatch.setattr(Connection, "sound", patched)
     rig.front.closing = True
     rig.front.finish_clients()
     monkeypatch.undo()
-    assert rig.got() == [], "a request read after the shutdown was sent on"
-    assert client.sock.recv(1) == b"", "the end must come, and no answer"
+    assert rig.got() == [], "a request that arrived after the close was forwarded"
+    assert client.sock.recv(1) == b"", "expected end of stream without a response"
     client.close()
     rig.settle()
     assert not rig.front.clients and rig.core.taken == 1
 
 
-def test_a_connection_with_a_request_unread_is_not_ended(rig: Rig) -> None:
+def test_a_connection_with_an_unread_request_is_not_closed(rig: Rig) -> None:
     client = rig.asked(ask("warm"))
     rig.serve()
     assert client.status() == 200
@@ -152,8 +152,8 @@
     assert client.status() == 200
 
 
-def test_a_refusal_half_written_is_not_cut_by_the_end_of_resting_connections(rig: Rig) -> None:
-    """An answer to a body that has not come whole: its client is slow to read it."""
+def test_a_partially_written_response_is_not_cut_when_idle_connections_are_closed(rig: Rig) -> None:
+    """The response answers a request whose body is incomplete, and its client reads slowly."""
     client = SlowClient(rig)
     client.send(ask("x", "book").replace(b"Content-Length: 0", b"Content-Length: 300000") + b"b" * 150_000)
     rig.settle()
@@ -169,16 +169,16 @@
     assert data.endswith(BODY) and not reset
 
 
-# Signals, within one process: a sidecar whose loop the test steps.
+# Signals to a sidecar in this process, whose event loop the test steps.
 
 
-class Stepped(Open):
-    """A whole sidecar in this process, and signals sent to it."""
+class SteppedSidecar(Open):
+    """A complete sidecar in this process, to which signals can be sent."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, load: Callable[[Config], Config]) -> None:
         super().__init__()
         monkeypatch.setattr("rainspindle.program.serve.Loop", lambda fault: SteppedLoop())
-        self.former = {
+        self.former_handlers = {
             number: signal.getsignal(number)
             for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGPIPE)
         }
@@ -198,7 +198,7 @@
         self.loop = self.sidecar.loop
 
     def signal(self, *numbers: int) -> None:
-        """All of them before the loop's next look."""
+        """Sends all signals before the next step of the event loop."""
         for number in numbers:
             os.kill(os.getpid(), number)
         self.loop.step()
@@ -206,7 +206,7 @@
 
     def end(self) -> None:
         signal.set_wakeup_fd(-1)
-        for number, handler in self.former.items():
+        for number, handler in self.former_handlers.items():
             signal.signal(number, handler)
         sidecar = self.sidecar
         sidecar.close_listeners()
@@ -214,8 +214,8 @@
             connection.close()
         for task in list(self.loop.tasks):
             task.coroutine.close()
-        sidecar.signals.told.close()
-        sidecar.signals.teller.close()
+        sidecar.signals.receiver.close()
+        sidecar.signals.sender.close()
         self.loop.epoll.close()
 
 
@@ -223,15 +223,15 @@
     return config
 
 
-def refused(config: Config) -> Config:
-    raise ConfigFault("a fault in the file", "mend it")
+def invalid(config: Config) -> Config:
+    raise ConfigFault("a fault in the file", "fix it")
 
 
 def defect(config: Config) -> Config:
     raise RuntimeError("a defect")
 
 
-@pytest.mark.parametrize("load", [unchanged, refused, defect])
+@pytest.mark.parametrize("load", [unchanged, invalid, defect])
 @pytest.mark.parametrize(
     "numbers",
     [
@@ -240,24 +240,24 @@
         (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP),
     ],
 )
-def test_sigterm_is_heard_whatever_a_sighup_beside_it_brings(
+def test_sigterm_is_handled_whatever_a_simultaneous_sighup_causes(
     monkeypatch: pytest.MonkeyPatch, load: Callable[[Config], Config], numbers: tuple[int, ...]
 ) -> None:
-    stepped = Stepped(monkeypatch, load)
-    sidecar, began = stepped.sidecar, stepped.loop.time
+    stepped = SteppedSidecar(monkeypatch, load)
+    sidecar, started_at = stepped.sidecar, stepped.loop.time
     stepped.signal(*numbers)
     assert sidecar.stages.ending and sidecar.front.leaving
     stepped.loop.time += 0.5
     stepped.signal(signal.SIGTERM, signal.SIGHUP)
-    assert sidecar.stages.since == began, "a second SIGTERM counts from the first"
+    assert sidecar.stages.since == started_at, "a second SIGTERM must not restart the shutdown"
     stepped.loop.faults.clear()
 
 
-def test_sigterm_before_ready_ends_with_the_door_open_to_its_time_and_never_ready(
+def test_sigterm_before_readiness_keeps_the_listener_open_for_its_time_and_never_gets_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The signal is there before the loop has run once."""
-    stepped = Stepped(monkeypatch, unchanged)
+    """The signal arrives before the first step of the event loop."""
+    stepped = SteppedSidecar(monkeypatch, unchanged)
     sidecar = stepped.sidecar
     sidecar.front.ready_from = stepped.loop.time + 1.0
     stepped.signal(signal.SIGTERM)
@@ -268,20 +268,20 @@
     stepped.loop.wait(1.1)
     client.send(READY)
     stepped.loop.settle()
-    assert client.status() == 503, "one that leaves is not ready"
+    assert client.status() == 503, "a process that shuts down must not become ready"
     client.close()
-    stepped.loop.time = sidecar.stages.since + sidecar.stages.let + 0.3
+    stepped.loop.time = sidecar.stages.since + sidecar.stages.grace_period + 0.3
     for _ in range(10):
         stepped.loop.step()
     assert sidecar.listener.closed and stepped.loop.stopped
 
 
-# A process that ends before its requests would.
+# A process whose remaining time is shorter than the deadlines of its requests.
 
 
 @pytest.mark.parametrize(("traffic_class", "status"), [("look", 503), ("book", 502)])
-def test_a_request_under_way_is_answered_before_the_process_ends(traffic_class: str, status: int) -> None:
-    """It was taken before SIGTERM with more time than the process has left, and its endpoint hangs."""
+def test_a_request_in_flight_is_answered_before_the_process_ends(traffic_class: str, status: int) -> None:
+    """Its deadline lies after the end of the process, and its endpoint hangs."""
     classes = [{**kind, "promised-time": 8000.0, "expiry": 8000.0} for kind in SETTINGS["traffic-types"]]
     rig = Rig(settings={**SETTINGS, "traffic-types": classes})
     client = rig.asked(ask("x", traffic_class, wait=8000))
@@ -293,10 +293,10 @@
     rig.wait(0.1)
     assert client.status() == status
     assert rig.facade.in_flight() == 0 and not rig.core.held and attempt.gone()
-    assert rig.got() == [], "a further attempt was made though no time is left"
+    assert rig.got() == [], "a further attempt was made although no time was left"
 
 
-def test_a_request_taken_on_the_way_out_is_answered_before_the_process_ends() -> None:
+def test_a_request_accepted_during_shutdown_is_answered_before_the_process_ends() -> None:
     classes = [{**kind, "promised-time": 8000.0, "expiry": 8000.0} for kind in SETTINGS["traffic-types"]]
     rig = Rig(settings={**SETTINGS, "traffic-types": classes})
     rig.core.answer_by(rig.loop.now() + 0.5)
