--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""New versions under load; ledgers of clients and endpoints are held against each other from outside."""
+"""Upgrades under load, checked by comparing what clients and endpoints recorded outside the program."""
 
 from __future__ import annotations
 
@@ -21,24 +21,28 @@
 
 
 class Ledger:
-    """What endpoints ran and what clients were told, by the exchange's id."""
+    """What endpoints executed and what clients received, by request id."""
 
     def __init__(self) -> None:
-        self.ran: Counter[str] = Counter()
-        self.at: list[tuple[str, str]] = []  # exchange and endpoint, in the order of coming
-        self.asked: dict[str, float] = {}  # when
-        self.told: dict[str, int] = {}  # 0: the connection ended with no answer
+        self.executed: Counter[str] = Counter()
+        self.arrivals: list[tuple[str, str]] = []  # request id and endpoint, in order of arrival
+        self.sent_at: dict[str, float] = {}  # time at which the request was sent
+        self.statuses: dict[str, int] = {}  # by request id; 0 if the connection ended without a response
 
-    def broken(self) -> list[str]:
-        """What breaks the rules on binding exchanges and on lost ones."""
+    def violations(self) -> list[str]:
+        """Returns what is wrong: requests that were lost, executed twice or answered with a false status."""
         found = []
-        for id, status in self.told.items():
-            ran = self.ran[id]
+        for request_id, status in self.statuses.items():
+            runs = self.executed[request_id]
             if status == 0:
-                found.append(f"{id} was lost")
-            elif ran > 1 or (status == 200 and ran != 1) or (status == 503 and ran):
-                found.append(f"{id} ran {ran} times and was told {status}")
-        return found + [f"{id} ran twice" for id, ran in self.ran.items() if ran > 1 and id not in self.told]
+                found.append(f"{request_id} was lost")
+            elif runs > 1 or (status == 200 and runs != 1) or (status == 503 and runs):
+                found.append(f"{request_id} ran {runs} times and got status {status}")
+        return found + [
+            f"{request_id} ran twice"
+            for request_id, runs in self.executed.items()
+            if runs > 1 and request_id not in self.statuses
+        ]
 
 
 class Endpoint(ThreadingHTTPServer):
@@ -50,8 +54,8 @@
 
             def do_POST(self) -> None:
                 self.rfile.read(int(self.headers["Content-Length"]))
-                ledger.ran[self.headers["X-Request-ID"]] += 1
-                ledger.at.append((self.headers["X-Request-ID"], name))
+                ledger.executed[self.headers["X-Request-ID"]] += 1
+                ledger.arrivals.append((self.headers["X-Request-ID"], name))
                 time.sleep(0.002)
                 self.send_response(200)
                 self.send_header("Content-Length", "2")
@@ -59,7 +63,7 @@
                 self.wfile.write(b"ok")
 
             def log_message(self, *_: Any) -> None:
-                """Nobody reads it."""
+                """Discards the message."""
 
         super().__init__(("127.0.0.1", 0), Handler)
         self.thread = threading.Thread(target=self.serve_forever, args=(0.01,), daemon=True)
@@ -71,20 +75,20 @@
 
 
 class Load:
-    """Clients that ask without a pause, each exchange binding and on a new connection."""
+    """Clients that send non-idempotent requests without a pause, each on a new connection."""
 
     def __init__(self, port: int, ledger: Ledger, clients: int = 4) -> None:
         self.port, self.ledger, self.stopped = port, ledger, threading.Event()
-        self.threads = [threading.Thread(target=self.ask_on, args=(n,)) for n in range(clients)]
+        self.threads = [threading.Thread(target=self.send_requests, args=(n,)) for n in range(clients)]
         for thread in self.threads:
             thread.start()
 
-    def ask_on(self, client: int) -> None:
-        n = 0
+    def send_requests(self, client: int) -> None:
+        number = 0
         while not self.stopped.is_set():
-            n += 1
-            id = f"c{client}-{n}"
-            self.ledger.asked[id] = time.monotonic()
+            number += 1
+            request_id = f"c{client}-{number}"
+            self.ledger.sent_at[request_id] = time.monotonic()
             connection = HTTPConnection("127.0.0.1", self.port, timeout=PATIENCE)
             try:
                 connection.request(
@@ -92,17 +96,17 @@
                     "/api",
                     b"body",
                     {
-                        "X-Request-ID": id,
+                        "X-Request-ID": request_id,
                         "X-Priority-Class": "book",
-                        "Cookie": f"user=u{n % 7}",
+                        "Cookie": f"user=u{number % 7}",
                         "X-Timeout-Ms": "14000",
                     },
                 )
-                answer = connection.getresponse()
-                answer.read()
-                self.ledger.told[id] = answer.status
+                response = connection.getresponse()
+                response.read()
+                self.ledger.statuses[request_id] = response.status
             except OSError:
-                self.ledger.told[id] = 0
+                self.ledger.statuses[request_id] = 0
             finally:
                 connection.close()
             time.sleep(0.005)
@@ -132,76 +136,80 @@
     return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "T"
 
 
-def enough(service: Operated, ledger: Ledger, more: int = 40) -> None:
-    count = len(ledger.told)
-    service.until(lambda: len(ledger.told) >= count + more or None)
+def wait_for_requests(service: Operated, ledger: Ledger, more: int = 40) -> None:
+    count = len(ledger.statuses)
+    service.until(lambda: len(ledger.statuses) >= count + more or None)
 
 
-def test_binding_exchanges_run_once_over_upgrades_and_kills(
+def test_non_idempotent_requests_run_once_across_upgrades_and_kills(
     scene: tuple[Operated, Ledger, dict[str, Any]], tmp_path: Path
 ) -> None:
     old, ledger, known = scene
-    chance, load = random.Random(11), Load(old.port, ledger)
+    rng, load = random.Random(11), Load(old.port, ledger)
     try:
         for _ in range(3):
             killed = Operated(tmp_path, old, wait=False, known=known)
-            time.sleep(chance.uniform(0.0, 0.15))
+            time.sleep(rng.uniform(0.0, 0.15))
             killed.process.send_signal(signal.SIGSTOP)
             killed.until(partial(stopped, killed.process.pid))
-            if "event=serving" in killed.logged():  # else it is still starting: nothing has come to it yet
+            if "event=serving" in killed.logged():  # else it is still starting and has received nothing
                 killed.process.send_signal(signal.SIGCONT)
                 killed.term()
                 assert killed.process.wait(PATIENCE) == 0
             killed.close()  # by SIGKILL
             new = Operated(tmp_path, old, known=known)
             old.until(lambda new=new: new.call("ready", "GET") == 200 or None)  # type: ignore[misc]
-            enough(new, ledger)
+            wait_for_requests(new, ledger)
             old.term()
             assert old.process.wait(PATIENCE) == 0
-            enough(new, ledger)
+            wait_for_requests(new, ledger)
             old = new
     finally:
         load.stop()
-    assert not ledger.broken(), ledger.broken()
-    assert sum(status == 200 for status in ledger.told.values()) > 0.9 * len(ledger.told) > 100
+    assert not ledger.violations(), ledger.violations()
+    assert sum(status == 200 for status in ledger.statuses.values()) > 0.9 * len(ledger.statuses) > 100
 
 
-def test_nothing_goes_to_an_endpoint_left_out_on_either_side_of_an_upgrade(
+def test_a_disabled_endpoint_gets_no_request_before_or_after_an_upgrade(
     scene: tuple[Operated, Ledger, dict[str, Any]], tmp_path: Path
 ) -> None:
     old, ledger, known = scene
     load = Load(old.port, ledger)
     try:
-        enough(old, ledger)
-        assert {name for _, name in ledger.at} == {"e0", "e1", "e2"}
+        wait_for_requests(old, ledger)
+        assert {name for _, name in ledger.arrivals} == {"e0", "e1", "e2"}
         new = Operated(tmp_path, old, known=known)
         assert new.call("endpoints/e1/disable") == 200
         old.until(lambda: "disabled by order" in old.logged() or None)
-        begun = time.monotonic()
-        enough(new, ledger)
+        disabled_at = time.monotonic()
+        wait_for_requests(new, ledger)
         old.term()
         assert old.process.wait(PATIENCE) == 0
         last = Operated(tmp_path, new, known=known)
         new.until(lambda: last.call("ready", "GET") == 200 or None)
-        enough(last, ledger)
+        wait_for_requests(last, ledger)
         new.term()
         assert new.process.wait(PATIENCE) == 0
-        enough(last, ledger)
-        count = len(ledger.at)
+        wait_for_requests(last, ledger)
+        count = len(ledger.arrivals)
         assert last.call("endpoints/e1/enable") == 200
-        last.until(lambda: any(name == "e1" for _, name in ledger.at[count:]))
+        last.until(lambda: any(name == "e1" for _, name in ledger.arrivals[count:]))
     finally:
         load.stop()
-    # What was asked before `begun` may be under way then.
-    assert not [id for id, name in ledger.at[:count] if name == "e1" and ledger.asked[id] > begun]
-    assert not ledger.broken(), ledger.broken()
+    # Requests sent before `disabled_at` may still be in flight.
+    assert not [
+        request_id
+        for request_id, name in ledger.arrivals[:count]
+        if name == "e1" and ledger.sent_at[request_id] > disabled_at
+    ]
+    assert not ledger.violations(), ledger.violations()
 
 
 @pytest.mark.parametrize("planted", ["lost", "ran twice", "rejected though it ran"])
-def test_the_ledger_catches_a_planted_fault(planted: str) -> None:
+def test_the_ledger_reports_a_planted_fault(planted: str) -> None:
     ledger = Ledger()
-    ledger.ran.update(["a"] if planted != "ran twice" else ["a", "a"])
-    ledger.told["a"] = {"lost": 0, "ran twice": 200}.get(planted, 503)
-    assert len(ledger.broken()) == 1
-    ledger.told["b"] = 503
-    assert len(ledger.broken()) == 1  # what never ran and was rejected is no fault
+    ledger.executed.update(["a"] if planted != "ran twice" else ["a", "a"])
+    ledger.statuses["a"] = {"lost": 0, "ran twice": 200}.get(planted, 503)
+    assert len(ledger.violations()) == 1
+    ledger.statuses["b"] = 503
+    assert len(ledger.violations()) == 1  # a rejected request that never ran is no violation
