--- a/rainspindle/decisions/operation/beginning.py
+++ b/rainspindle/decisions/operation/beginning.py
@@ -67,22 +67,27 @@
     slow: Mapping[str, float]
 
 
-def judge(words: Sequence[Told], ready: Mapping[bytes, str], done: Sequence[str] = ()) -> Judged:
+def judge(reports: Sequence[Told], ready: Mapping[bytes, str], already_changed: Sequence[str] = ()) -> Judged:
     """Returns what the reports establish about each endpoint.
 
-    `ready` has the ids of the endpoints that are ready here by their mark, `done` the ids that earlier
-    reports have changed.
+    `ready` has the ids of the endpoints that are ready here by their mark, `already_changed` the ids that
+    earlier reports have changed.
 
     A member whose own network path is bad finds most endpoints dead, so a report that lists more than a third
     of its endpoints is ignored. A member may also be wrong or lie, so half of the accepted reports must
     agree, and all of them together change at most a third of the endpoints. Too strict where more than a
     third of the endpoints are bad: the balancer has to find the rest itself.
     """
-    accepted = [report for report in words if len(report.out) + len(report.slow) <= report.ready * MOST_PART]
-    left = {mark for mark, endpoint_id in ready.items() if endpoint_id not in done}
-    outs = Counter(mark for report in accepted for mark in set(report.out) if mark in left)
-    slows = Counter(mark for report in accepted for mark in report.slow if mark in left)
-    enough, room = max(1, (len(accepted) + 1) // 2), max(0, int(len(ready) * MOST_PART) - len(done))
+    accepted = [
+        report for report in reports if len(report.out) + len(report.slow) <= report.ready * MOST_PART
+    ]
+    available = {mark for mark, endpoint_id in ready.items() if endpoint_id not in already_changed}
+    outs = Counter(mark for report in accepted for mark in set(report.out) if mark in available)
+    slows = Counter(mark for report in accepted for mark in report.slow if mark in available)
+    enough, room = (
+        max(1, (len(accepted) + 1) // 2),
+        max(0, int(len(ready) * MOST_PART) - len(already_changed)),
+    )
 
     def most(counts: Counter[bytes], limit: int) -> list[bytes]:
         return sorted(
@@ -91,11 +96,17 @@
         )[:limit]
 
     out = most(outs, room)
-    slow = most(Counter({mark: count for mark, count in slows.items() if mark not in out}), room - len(out))
-    times = {mark: sorted(report.slow[mark] for report in accepted if mark in report.slow) for mark in slow}
+    slow = most(
+        Counter({candidate: count for candidate, count in slows.items() if candidate not in out}),
+        room - len(out),
+    )
+    times = {
+        candidate: sorted(report.slow[candidate] for report in accepted if candidate in report.slow)
+        for candidate in slow
+    }
     return Judged(
-        tuple(ready[mark] for mark in out),
-        {ready[mark]: reported[len(reported) // 2] for mark, reported in times.items()},
+        tuple(ready[candidate] for candidate in out),
+        {ready[candidate]: reported[len(reported) // 2] for candidate, reported in times.items()},
     )
 
 
--- a/rainspindle/decisions/operation/learnt.py
+++ b/rainspindle/decisions/operation/learnt.py
@@ -1,6 +1,6 @@
 """Exports what a balancer has learnt as plain values, and imports it in the next process. No I/O.
 
-`take` trusts all that it is given, except about endpoints that have restarted since: the state from a process
+`take` trusts its input, except about endpoints that have restarted since: the state from a process
 that runs beside this one is fresh, and state stored over a restart is passed through `aged` first.
 """
 
@@ -102,23 +102,23 @@
     breaker: CircuitBreaker | None
 
     @staticmethod
-    def of(endpoint: EndpointState, now: float, kept: dict[str, Any]) -> TakenEndpoint:
+    def of(endpoint: EndpointState, now: float, stored: dict[str, Any]) -> TakenEndpoint:
         """Decodes what `give_endpoint` returned."""
         counts = FailureCounts()
-        counts.failures, counts.outcomes = kept["failures"], kept["outcomes"]
+        counts.failures, counts.outcomes = stored["failures"], stored["outcomes"]
         return TakenEndpoint(
             endpoint,
-            kept["credit"],
-            kept["window"],
-            kept["calm"],
-            kept["busy"],
-            kept["row"],
+            stored["credit"],
+            stored["window"],
+            stored["calm"],
+            stored["busy"],
+            stored["row"],
             counts,
-            kept["cold_left"],
-            histogram(kept["times"]),
-            moment(now, kept["cold_since"]),
-            moment(now, kept["back"]),
-            None if kept["out"] is None else CircuitBreaker(now - kept["out"]),
+            stored["cold_left"],
+            histogram(stored["times"]),
+            moment(now, stored["cold_since"]),
+            moment(now, stored["back"]),
+            None if stored["out"] is None else CircuitBreaker(now - stored["out"]),
         )
 
     def apply(self) -> None:
@@ -151,17 +151,17 @@
     put_back: dict[str, float]
 
     @staticmethod
-    def of(now: float, given: dict[str, Any]) -> TakenOwn:
+    def of(now: float, exported: dict[str, Any]) -> TakenOwn:
         """Decodes what `give` returned, without its endpoints and keys."""
         return TakenOwn(
-            given["warm_rate"],
-            given["usual"],
-            given["slow"],
-            given["calm"],
-            given["counts"],
-            given["counted"],
-            histogram(given["times"]),
-            {endpoint_id: now - age for endpoint_id, age in given["put_back"].items()},
+            exported["warm_rate"],
+            exported["usual"],
+            exported["slow"],
+            exported["calm"],
+            exported["counts"],
+            exported["counted"],
+            histogram(exported["times"]),
+            {endpoint_id: now - age for endpoint_id, age in exported["put_back"].items()},
         )
 
     def apply(self, balancer: Balancer) -> None:
@@ -177,7 +177,7 @@
 
 
 def take(
-    balancer: Balancer, now: float, given: dict[str, Any], only: Collection[str] | None = None
+    balancer: Balancer, now: float, exported: dict[str, Any], only: Collection[str] | None = None
 ) -> list[str]:
     """Imports the state that another process has just exported, except of endpoints that have restarted.
 
@@ -188,27 +188,27 @@
         KeyError, TypeError, AttributeError, ValueError: The state is malformed; nothing has been imported.
     """
     known: list[TakenEndpoint] = []
-    for endpoint_id, kept in given["endpoints"].items():
+    for endpoint_id, stored in exported["endpoints"].items():
         endpoint = balancer.registry.by_id.get(endpoint_id)
         if (
             endpoint
             and endpoint.listed.status is not EndpointStatus.DISABLED
             and (
                 endpoint.listed.started_at is None
-                or abs(moment(now, kept["age"]) - endpoint.listed.started_at) < 1.0
+                or abs(moment(now, stored["age"]) - endpoint.listed.started_at) < 1.0
             )
         ):
-            known.append(TakenEndpoint.of(endpoint, now, kept))
+            known.append(TakenEndpoint.of(endpoint, now, stored))
     taken = {state.endpoint.id: state.endpoint for state in known}
     entries: dict[str, FailoverEntry[EndpointState]] = {}
-    for key, (first, current, tried, retriable, other, last, since) in given["keys"].items():
+    for key, (first, current, tried, retriable, other, last, since) in exported["keys"].items():
         involved = {first, current, *tried}
         if involved <= taken.keys() and (only is None or not involved.isdisjoint(only)):
             entry = entries[key] = FailoverEntry(taken[first], now - last)
             entry.current, entry.failing_since = taken[current], now - since
             entry.tried = [taken[endpoint_id] for endpoint_id in tried]
             entry.idempotent_failures, entry.other_failures = int(retriable), int(other)
-    own = TakenOwn.of(now, given)
+    own = TakenOwn.of(now, exported)
     if only is None:
         own.apply(balancer)
     else:
@@ -245,7 +245,7 @@
     }
 
 
-def aged(given: dict[str, Any], seconds: float, cold: float, window: float) -> dict[str, Any]:
+def aged(exported: dict[str, Any], seconds: float, cold: float, window: float) -> dict[str, Any]:
     """Returns what remains of exported state after so many seconds without traffic.
 
     The decay follows the balancer's own sweeps. An endpoint younger than `cold` seconds, by its start or
@@ -260,42 +260,52 @@
     if not seconds < KEYS_LAST:
         return remaining
     decay = 0.5 ** (seconds // KEY_HALVES)
-    remaining["counts"] = {key: count * decay for key, count in given["counts"].items() if count * decay > 1}
-    remaining["counted"] = given["counted"] * decay
+    remaining["counts"] = {
+        key: count * decay for key, count in exported["counts"].items() if count * decay > 1
+    }
+    remaining["counted"] = exported["counted"] * decay
     enabled = remaining["put_back"] = {
-        endpoint_id: age + seconds for endpoint_id, age in given["put_back"].items() if age + seconds < cold
+        endpoint_id: age + seconds
+        for endpoint_id, age in exported["put_back"].items()
+        if age + seconds < cold
     }
     if seconds >= LOAD_LASTS:
         return remaining
-    remaining["times"] = faded(given["times"], seconds)
+    remaining["times"] = faded(exported["times"], seconds)
     if sum(remaining["times"]):
-        remaining.update(usual=given["usual"], slow=given["slow"], calm=risen(given["calm"], seconds))
-    for endpoint_id, kept in given["endpoints"].items():
-        age = math.inf if kept["age"] is None else kept["age"] + seconds
+        remaining.update(
+            usual=exported["usual"], slow=exported["slow"], calm=risen(exported["calm"], seconds)
+        )
+    for endpoint_id, stored in exported["endpoints"].items():
+        age = math.inf if stored["age"] is None else stored["age"] + seconds
         share, fresh = 0.5 ** (seconds / HALVES), age < cold or endpoint_id in enabled
-        outcomes = sum(kept["outcomes"])
+        outcomes = sum(stored["outcomes"])
         rotations = seconds // (SweepPhase.ROTATE_COUNTS_EVERY if outcomes > 8 else SweepPhase.THOROUGH_EVERY)
         remaining["endpoints"][endpoint_id] = {
             "age": age,
             "credit": EndpointState.INITIAL_RETRY_CREDIT
-            + (kept["credit"] - EndpointState.INITIAL_RETRY_CREDIT) * share,
-            "window": window if fresh else window + (kept["window"] - window) * share,
-            "calm": 0.0 if fresh else risen(kept["calm"], seconds),
-            "busy": 0.0 if fresh else kept["busy"] * 0.7**seconds,
-            "row": 0.0 if rotations >= 2 else kept["row"],
+            + (stored["credit"] - EndpointState.INITIAL_RETRY_CREDIT) * share,
+            "window": window if fresh else window + (stored["window"] - window) * share,
+            "calm": 0.0 if fresh else risen(stored["calm"], seconds),
+            "busy": 0.0 if fresh else stored["busy"] * 0.7**seconds,
+            "row": 0.0 if rotations >= 2 else stored["row"],
             **{
-                name: list(kept[name]) if not rotations else [0, kept[name][0]] if rotations == 1 else [0, 0]
+                name: list(stored[name])
+                if not rotations
+                else [0, stored[name][0]]
+                if rotations == 1
+                else [0, 0]
                 for name in ("failures", "outcomes")
             },
-            "times": [0.0] * Histogram.BINS if fresh else faded(kept["times"], seconds),
+            "times": [0.0] * Histogram.BINS if fresh else faded(stored["times"], seconds),
             "cold_left": 0,
             "cold_since": None,
-            "out": None if kept["out"] is None else kept["out"] + seconds,
-            "back": None if kept["back"] is None else kept["back"] + seconds,
+            "out": None if stored["out"] is None else stored["out"] + seconds,
+            "back": None if stored["back"] is None else stored["back"] + seconds,
         }
     remaining["keys"] = {
         key: [first, current, tried, retriable, other, last + seconds, since + seconds]
-        for key, (first, current, tried, retriable, other, last, since) in given["keys"].items()
+        for key, (first, current, tried, retriable, other, last, since) in exported["keys"].items()
         if last + seconds <= FailoverTable.RESET_WINDOW
     }
     return remaining
@@ -317,20 +327,20 @@
     return calm * min(math.exp(0.01 * seconds), 2.0)
 
 
-def trimmed(given: dict[str, Any], endpoints: int, keys: int, key_size: int) -> dict[str, Any]:
+def trimmed(exported: dict[str, Any], endpoints: int, keys: int, key_size: int) -> dict[str, Any]:
     """Limits exported state to so many endpoints and keys, and drops longer keys.
 
     Ejected endpoints are preferred, then those with most outcomes, and the keys that failed last.
     """
     ranked = sorted(
-        given["endpoints"].items(), key=lambda item: (item[1]["out"] is None, -sum(item[1]["outcomes"]))
+        exported["endpoints"].items(), key=lambda item: (item[1]["out"] is None, -sum(item[1]["outcomes"]))
     )
     latest = sorted(
-        (item for item in given["keys"].items() if len(item[0]) <= key_size), key=lambda item: item[1][5]
+        (item for item in exported["keys"].items() if len(item[0]) <= key_size), key=lambda item: item[1][5]
     )
     return {
-        **given,
+        **exported,
         "endpoints": dict(ranked[:endpoints]),
         "keys": dict(latest[:keys]),
-        "counts": {key: count for key, count in given["counts"].items() if len(key) <= key_size},
+        "counts": {key: count for key, count in exported["counts"].items() if len(key) <= key_size},
     }
--- a/rainspindle/decisions/operation/stage.py
+++ b/rainspindle/decisions/operation/stage.py
@@ -21,14 +21,11 @@
     # Seconds. After /-/ready has answered 503, new connections still arrive for up to 0.3 s. The process must
     # be free of requests 2 s before the end of the 4 s that a drain may take.
     FRONT_STOPS, LAST_IDLE, RESTED = 0.4, 1.4, 0.1
-    SERVE_ON, ALL_ANSWERED, GONE = (
-        0.2,
-        0.4,
-        0.1,
-    )  # after the grace period; GONE after ALL_ANSWERED
+    # Seconds after the grace period; GONE counts from ALL_ANSWERED on.
+    SERVE_ON, ALL_ANSWERED, GONE = 0.2, 0.4, 0.1
 
     def __init__(self, grace_period: float) -> None:
-        """`grace_period` is the number of seconds after SIGTERM for which the process surely keeps running."""
+        """`grace_period` is the time in seconds for which the process surely runs on after SIGTERM."""
         self.grace_period = grace_period
         self.stage, self.since = Stage.SERVING, -math.inf
 
--- a/rainspindle/program/fleet/run.py
+++ b/rainspindle/program/fleet/run.py
@@ -50,16 +50,18 @@
         self.core: Core | None = None
         self.leaving_at = math.inf
         table = fleet.file.members
-        kept = Lasting(fleet.folder, table.name or config.name, table.fleet) if fleet.file.keep else None
+        persistence = (
+            Lasting(fleet.folder, table.name or config.name, table.fleet) if fleet.file.keep else None
+        )
         options = MembershipOptions(
             self.member_changed,
             successor,
             shares_address=config.console is not None,
-            incarnation_above=kept.life if kept else 0,
+            incarnation_above=persistence.life if persistence else 0,
         )
         self.members = MembershipComponent(loop, table, config, options)
-        if kept is not None:
-            kept.give_cells(self.members.registers, loop.now())
+        if persistence is not None:
+            persistence.give_cells(self.members.registers, loop.now())
         context = Ground(loop, config, self.members.view(), self.members.registers, fleet.folder)
         shuffler = random.Random(secrets.randbits(64))
         self.canaries = CanaryRun(
@@ -69,7 +71,7 @@
         file = fleet.file
         self.evidence = EvidenceRun(context, file.evidence) if file.evidence else None
         self.listing = ListRun(context, file.listing, bool(table.seeds)) if file.listing else None
-        self.keep = KeepRun(context, file.keep, kept, bool(table.seeds)) if file.keep else None
+        self.keep = KeepRun(context, file.keep, persistence, bool(table.seeds)) if file.keep else None
         self.joined: list[Joined] = [part for part in (self.evidence, self.listing, self.keep) if part]
         self.parts = [*self.joined, self.canaries, *([self.wallets] if self.wallets else [])]
         self.ticker = loop.spawn(loop.lasting(self.ticking), urgent=True)
@@ -117,10 +119,10 @@
         """Returns the time from which all parts allow the listener to be opened."""
         return max((part.ready_from(now) for part in self.joined), default=now)
 
-    def carry_words(self, core: Core, heard: Callable[[str, str], None]) -> None:
-        """Exchanges load reports over the members; `heard` gets sender and text of each received one."""
+    def connect_load_reports(self, core: Core, on_report: Callable[[str, str], None]) -> None:
+        """Exchanges load reports over the members; `on_report` gets sender and text of each received one."""
         core.tell = self.members.publish_load_report
-        self.members.members.on_load_report = lambda now, who, text: heard(who, text)
+        self.members.members.on_load_report = lambda now, who, text: on_report(who, text)
 
     # Events.
 
--- a/rainspindle/program/migrate.py
+++ b/rainspindle/program/migrate.py
@@ -33,10 +33,10 @@
     left: list[str] = field(default_factory=list)  # lines on what is not carried over
     wanted: list[str] = field(default_factory=list)  # lines on what the operator has to fill in
 
-    def change(self, holder: dict[str, Any], key: str, value: Any, where: str = "settings.") -> None:
-        """Sets a key, and reports a changed value under the key prefix `where`."""
+    def change(self, holder: dict[str, Any], key: str, value: Any, prefix: str = "settings.") -> None:
+        """Sets a key, and reports a changed value; `prefix` precedes the key there."""
         if holder.get(key) != value:
-            self.changed.append(f"{where}{key}: {shown(holder.get(key))} -> {shown(value)}")
+            self.changed.append(f"{prefix}{key}: {shown(holder.get(key))} -> {shown(value)}")
         holder[key] = value
 
     def lines(self) -> list[str]:
--- a/rainspindle/program/serve.py
+++ b/rainspindle/program/serve.py
@@ -143,8 +143,8 @@
     def ready_from(self, now: float) -> float:
         """Returns the time from which the fleet allows the listener to be opened."""
 
-    def carry_words(self, core: Core, heard: Callable[[str, str], None]) -> None:
-        """Exchanges load reports over the members; `heard` gets sender and text of each received one."""
+    def connect_load_reports(self, core: Core, on_report: Callable[[str, str], None]) -> None:
+        """Exchanges load reports over the members; `on_report` gets sender and text of each received one."""
 
     def call(self, call: FleetCall) -> Any:
         """Executes an operator's call and returns its `Answered`."""
@@ -232,7 +232,7 @@
             )
             self.core.tell = self.peers.tell
         elif self.fleet is not None:
-            self.fleet.carry_words(self.core, self.apply_load_report)
+            self.fleet.connect_load_reports(self.core, self.apply_load_report)
         self.stages = Stages(min(max(config.settings.expiries), MOST_LEAVING))
         self.listener = Listener(
             self.loop, config.listen, self.front.accepted, self.make_room, shared=config.console is not None
--- a/rainspindle/program/tables.py
+++ b/rainspindle/program/tables.py
@@ -47,7 +47,10 @@
     if not isinstance(value, dict):
         yield f"{at or 'the file'}: expected a table"
         return
-    fields, prefix = {f.encode_name: f for f in msgspec.structs.fields(model)}, f"{at}." if at else ""
+    fields, prefix = (
+        {struct_field.encode_name: struct_field for struct_field in msgspec.structs.fields(model)},
+        f"{at}." if at else "",
+    )
     for key in value:
         if key not in fields:
             close_matches = difflib.get_close_matches(key, list(fields), 1)
--- a/rainspindle/protocol/console.py
+++ b/rainspindle/protocol/console.py
@@ -164,7 +164,7 @@
             f"path or query is not UTF-8, or the query has more than {MAX_QUERY_FIELDS} fields",
             remedy=FLEET_DOCS,
         )
-    if any(len(text) > LONGEST_ID for text in (*parts, *(text for pair in fields for text in pair))):
+    if any(len(text) > LONGEST_ID for text in (*parts, *(item for pair in fields for item in pair))):
         return No(400, f"a name or value is longer than {LONGEST_ID} characters", remedy=FLEET_DOCS)
     if len(dict(fields)) != len(fields):
         return No(400, "a field of the query is there twice", remedy="leave one of them out")
--- a/rainspindle/protocol/settings.py
+++ b/rainspindle/protocol/settings.py
@@ -31,34 +31,34 @@
     return (ms or 0.0) / 1000
 
 
-def traffic_type(t: dict[str, Any]) -> TrafficClass:
+def traffic_type(entry: dict[str, Any]) -> TrafficClass:
     """Decodes one traffic class. Raises KeyError, or ValueError naming the key."""
-    if t["effect"] not in tuple(EFFECTS):  # a tuple, as the value may be unhashable
-        raise ValueError(f"unknown effect {t['effect']!r}")
-    group = t.get("dedup-scope") or "all"
+    if entry["effect"] not in tuple(EFFECTS):  # a tuple, as the value may be unhashable
+        raise ValueError(f"unknown effect {entry['effect']!r}")
+    group = entry.get("dedup-scope") or "all"
     if group not in tuple(DEDUPLICATION_SCOPES):
         raise ValueError(f"unknown group {group!r}")
     return TrafficClass(
-        EFFECTS[t["effect"]],
+        EFFECTS[entry["effect"]],
         DEDUPLICATION_SCOPES[group],
-        positive_seconds(t, "promised-time"),
-        positive_seconds(t, "expiry"),
-        seconds(number(t, "memory-span", 0.0)),
-        number(t, "value", 1.0),
+        positive_seconds(entry, "promised-time"),
+        positive_seconds(entry, "expiry"),
+        seconds(number(entry, "memory-span", 0.0)),
+        number(entry, "value", 1.0),
     )
 
 
-def positive_seconds(s: dict[str, Any], key: str) -> float:
+def positive_seconds(settings: dict[str, Any], key: str) -> float:
     """Returns a positive period, which the settings have in ms, in s. Raises KeyError, or ValueError."""
-    if s[key] is None or not number(s, key, 0.0):
-        raise ValueError(f"{key} is no number over 0: {s[key]!r}")
-    return seconds(s[key])
+    if settings[key] is None or not number(settings, key, 0.0):
+        raise ValueError(f"{key} is no number over 0: {settings[key]!r}")
+    return seconds(settings[key])
 
 
-def traffic_types(s: dict[str, Any]) -> list[TrafficClass]:
+def traffic_types(settings: dict[str, Any]) -> list[TrafficClass]:
     """Decodes the traffic classes, at least one. Raises ValueError, which names the one at fault."""
-    listed = s["traffic-types"]
-    if not isinstance(listed, list) or not listed or not all(isinstance(t, dict) for t in listed):
+    listed = settings["traffic-types"]
+    if not isinstance(listed, list) or not listed or not all(isinstance(entry, dict) for entry in listed):
         raise ValueError("traffic-types is no list of traffic types, one at least")
     types = list[TrafficClass]()
     for index, entry in enumerate(listed):
@@ -71,20 +71,20 @@
     return types
 
 
-def type_names(s: dict[str, Any]) -> tuple[str, ...]:
+def type_names(settings: dict[str, Any]) -> tuple[str, ...]:
     """Returns the names by which clients select a traffic class. Raises ValueError, or KeyError."""
-    names = [t["name"] for t in s["traffic-types"]]
-    for n, name in enumerate(names):
+    names = [entry["name"] for entry in settings["traffic-types"]]
+    for index, name in enumerate(names):
         if not isinstance(name, str) or not name:
-            raise ValueError(f"traffic-types[{n}]: name is no text: {name!r}")
-        if name in names[:n]:
-            raise ValueError(f"traffic-types[{n}]: {name!r} is there twice")
+            raise ValueError(f"traffic-types[{index}]: name is no text: {name!r}")
+        if name in names[:index]:
+            raise ValueError(f"traffic-types[{index}]: {name!r} is there twice")
     return tuple(names)
 
 
-def number(s: dict[str, Any], key: str, absent: float) -> float:
+def number(settings: dict[str, Any], key: str, absent: float) -> float:
     """Returns an optional number, `absent` without one. Raises ValueError if it is no number or below 0."""
-    value = s.get(key)
+    value = settings.get(key)
     if value is None:
         return absent
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
@@ -92,18 +92,18 @@
     return float(value)
 
 
-def required_number(s: dict[str, Any], key: str) -> float:
+def required_number(settings: dict[str, Any], key: str) -> float:
     """Returns a required number. Raises KeyError, or ValueError naming the key."""
-    if s[key] is None:
+    if settings[key] is None:
         raise ValueError(f"{key} is no number from 0 on: None")
-    return number(s, key, 0.0)
+    return number(settings, key, 0.0)
 
 
-def required_object(s: dict[str, Any], key: str) -> dict[str, Any]:
+def required_object(settings: dict[str, Any], key: str) -> dict[str, Any]:
     """Returns a copy of a required object. Raises KeyError, or ValueError naming the key."""
-    if not isinstance(s[key], dict):
-        raise ValueError(f"{key} is no object: {s[key]!r}")
-    return dict(s[key])
+    if not isinstance(settings[key], dict):
+        raise ValueError(f"{key} is no object: {settings[key]!r}")
+    return dict(settings[key])
 
 
 def max_attempts(limits: dict[str, Any]) -> int:
@@ -130,41 +130,41 @@
     return RetryLimits(free, share, seconds(over))
 
 
-def flag(s: dict[str, Any], key: str) -> bool:
+def flag(settings: dict[str, Any], key: str) -> bool:
     """Returns an optional flag, False without one. Raises ValueError naming the key."""
-    value = s.get(key)
+    value = settings.get(key)
     if value is not None and not isinstance(value, bool):
         raise ValueError(f"{key} is neither true nor false: {value!r}")
     return bool(value)
 
 
-def choice(s: dict[str, Any], key: str, options: Sequence[str], absent: str) -> str:
+def choice(settings: dict[str, Any], key: str, options: Sequence[str], absent: str) -> str:
     """Returns one of the options, `absent` without a value. Raises ValueError naming the key."""
-    value = s.get(key)
+    value = settings.get(key)
     if value is not None and value not in options:
         raise ValueError(f"{key} is none of {', '.join(options)}: {value!r}")
     return absent if value is None else str(value)
 
 
-def allowances(s: dict[str, Any]) -> tuple[float, ...]:
+def allowances(settings: dict[str, Any]) -> tuple[float, ...]:
     """Returns the requests per second that each tenant may send to all sidecars together."""
-    tenants = s.get("tenants") or []
+    tenants = settings.get("tenants") or []
     if not isinstance(tenants, list) or not all(isinstance(tenant, dict) for tenant in tenants):
         raise ValueError("tenants is no list of tenants")
     return tuple(number(tenant, "allowance-per-s", 0.0) or math.inf for tenant in tenants)
 
 
-def kinds(s: dict[str, Any]) -> tuple[str, ...]:
+def kinds(settings: dict[str, Any]) -> tuple[str, ...]:
     """Returns the names of the machine kinds; there may be none."""
-    named = s.get("kinds") or []
+    named = settings.get("kinds") or []
     if not isinstance(named, list) or not all(isinstance(name, str) for name in named):
         raise ValueError(f"kinds is no list of names: {named!r}")
     return tuple(named)
 
 
-def zones(s: dict[str, Any]) -> tuple[str, ...]:
+def zones(settings: dict[str, Any]) -> tuple[str, ...]:
     """Returns the names of the failure domains; a deployment may have none."""
-    named = s.get("failure-domains") or []
+    named = settings.get("failure-domains") or []
     if not isinstance(named, list) or not all(isinstance(name, str) for name in named):
         raise ValueError(f"failure-domains is no list of names: {named!r}")
     return tuple(named)
@@ -175,32 +175,32 @@
     return flag(contract, "soft-removal")
 
 
-def asks_list(s: dict[str, Any]) -> bool:
+def asks_list(settings: dict[str, Any]) -> bool:
     """Returns whether the endpoint list is polled instead of pushed."""
-    return choice(s, "discovery", ("on_request", "pushed"), "on_request") == "on_request"
+    return choice(settings, "discovery", ("on_request", "pushed"), "on_request") == "on_request"
 
 
-def make_balancer(host: BalancerHost, seed: int, now: float, s: dict[str, Any]) -> Balancer:
+def make_balancer(host: BalancerHost, seed: int, now: float, settings: dict[str, Any]) -> Balancer:
     """Makes the balancer that the settings describe.
 
     Raises:
         ValueError: The settings are wrong; the message names the key.
     """
     try:
-        config = balancer_config(s)
+        config = balancer_config(settings)
     except KeyError as error:
         raise ValueError(f"the settings lack {error}") from None
     return Balancer(host, config, seed, now)
 
 
-def balancer_config(s: dict[str, Any]) -> BalancerConfig:
+def balancer_config(settings: dict[str, Any]) -> BalancerConfig:
     """Decodes the balancer's configuration.
 
     Raises:
         KeyError: A key is missing.
         ValueError: A value is wrong; the message names its key.
     """
-    limits, contract = required_object(s, "policy-limits"), required_object(s, "contract")
+    limits, contract = required_object(settings, "policy-limits"), required_object(settings, "contract")
     # Even with soft removal the balancer sends nothing to endpoints gone from the list; the rule allows that.
     soft_removal(contract)
     slow_start = SlowStartBudget(
@@ -209,19 +209,19 @@
         required_number(contract, "cold-from"),
         seconds(required_number(contract, "cold")),
     )
-    prices, weights = s.get("prices") or {}, choice(s, "weight-kind", WEIGHTS, "off")
+    prices, weights = settings.get("prices") or {}, choice(settings, "weight-kind", WEIGHTS, "off")
     return BalancerConfig(
-        tuple(traffic_types(s)),
+        tuple(traffic_types(settings)),
         slow_start,
-        zone=s["zone"],
-        sidecar_count=max(s.get("peers-total") or 1, 1),
+        zone=settings["zone"],
+        sidecar_count=max(settings.get("peers-total") or 1, 1),
         max_attempts=max_attempts(limits),
         parallel_attempts=flag(limits, "parallel-tries"),
         can_cancel=flag(limits, "cancel"),
         max_retry_after=seconds(number(limits, "max-retry-after", 0.0))
         if flag(limits, "retry-after")
         else 0.0,
-        watch_list=asks_list(s),
+        watch_list=asks_list(settings),
         list_poll_interval=seconds(required_number(contract, "ask-within")),
         use_listed_weights=weights in ("nominal", "rough"),
         live_weights=weights == "live",
@@ -229,8 +229,8 @@
         retry_limits=retry_limits(contract),
         share_load=flag(limits, "peers"),
         message_price=number(prices, "peer", 0.0),
-        tenant_allowances=allowances(s),
-        excess_weight=number(s, "excess-value", 1.0),
+        tenant_allowances=allowances(settings),
+        excess_weight=number(settings, "excess-value", 1.0),
     )
 
 
@@ -251,30 +251,35 @@
     may_call_off: bool  # whether an attempt may be cancelled
 
 
-def socket_settings(s: dict[str, Any]) -> SocketSettings:
+def socket_settings(settings: dict[str, Any]) -> SocketSettings:
     """Decodes the settings for the network code. Raises ValueError naming the key."""
     try:
         limits, contract, types = (
-            required_object(s, "policy-limits"),
-            required_object(s, "contract"),
-            traffic_types(s),
+            required_object(settings, "policy-limits"),
+            required_object(settings, "contract"),
+            traffic_types(settings),
         )
         connect_timeout = seconds(number(limits, "connect-timeout", 0.0)) or 1.0
         return SocketSettings(
-            type_names(s),
-            tuple(t.timeout for t in types),
-            tuple(t.idempotency is Idempotency.NON_IDEMPOTENT for t in types),
+            type_names(settings),
+            tuple(traffic_class.timeout for traffic_class in types),
+            tuple(traffic_class.idempotency is Idempotency.NON_IDEMPOTENT for traffic_class in types),
             # Waiting for a machine that has vanished must not use up the time of the latency objective.
-            tuple(min(connect_timeout, CONNECT_SHARE * t.latency_objective) for t in types),
             tuple(
-                t.deduplication_window if t.idempotency is Idempotency.DEDUPLICATED else math.inf
-                for t in types
+                min(connect_timeout, CONNECT_SHARE * traffic_class.latency_objective)
+                for traffic_class in types
             ),
-            zones(s),
+            tuple(
+                traffic_class.deduplication_window
+                if traffic_class.idempotency is Idempotency.DEDUPLICATED
+                else math.inf
+                for traffic_class in types
+            ),
+            zones(settings),
             seconds(number(limits, "conn-idle", 0.0)),
             seconds(required_number(contract, "ask-within")),
             seconds(required_number(contract, "stop-sending-within")),
-            kinds(s),
+            kinds(settings),
             flag(limits, "cancel"),
         )
     except KeyError as error:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "message", "remedy"),
+    ("arguments", "told", "remedy"),
     [
         (["check", "--config", "none.json"], "none.json: No such file or directory", "this user may open"),
         (["check"], "no configuration: give --config or RELAY_CONFIG", "README.md describes its contents"),
@@ -112,9 +112,9 @@
     ],
 )
 def test_a_command_line_error_is_one_line_that_ends_with_the_remedy(
-    arguments: list[str], message: str, remedy: str
+    arguments: list[str], told: str, remedy: str
 ) -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "rainspindle", *arguments],
         cwd=ROOT,
         text=True,
@@ -122,14 +122,16 @@
         timeout=300,
         env={"PATH": "/usr/bin"},
     )
-    first, _, last = done.stderr.strip().rpartition("; ")
-    assert done.returncode == 2 and message in first and remedy in last and done.stderr.count("\n") == 1
+    first, _, last = completed.stderr.strip().rpartition("; ")
+    assert (
+        completed.returncode == 2 and told in first and remedy in last and completed.stderr.count("\n") == 1
+    )
 
 
 def test_check_reports_the_faults_of_both_files_together(tmp_path: Path) -> None:
     (file := tmp_path / "fleet.toml").write_text("[members]\nflet = 'x'\n[kep]\n")
     command = [sys.executable, "-m", "rainspindle", "check", "--config", "none.json", "--fleet", str(file)]
-    done = subprocess.run(command, cwd=ROOT, text=True, capture_output=True, timeout=300)
-    assert done.returncode == 2
+    completed = subprocess.run(command, cwd=ROOT, text=True, capture_output=True, timeout=300)
+    assert completed.returncode == 2
     for expected in ("none.json", "members.flet", "members.listen", "kep: unknown"):
-        assert expected in done.stderr
+        assert expected in completed.stderr
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -210,8 +210,8 @@
     ):
         assert receive(data) == order
         side = ConsoleSide()
-        got = [side.receive(data[n : n + 1]) for n in range(len(data))]
-        assert got[-1] == order and set(got[:-1]) == {None}
+        decoded = [side.receive(data[n : n + 1]) for n in range(len(data))]
+        assert decoded[-1] == order and set(decoded[:-1]) == {None}
 
 
 def test_an_invalid_call_gets_the_right_status() -> None:
@@ -228,9 +228,9 @@
         (b"GET /-/ready HTTP/1.1\r\nX: " + b"y" * 20000, 431),
         (b"", 400),
     ):
-        got = receive(data)
-        assert isinstance(got, No) and got.status == status, data[:60]
-        assert (got.status == 405) == bool(got.allow)
+        decoded = receive(data)
+        assert isinstance(decoded, No) and decoded.status == status, data[:60]
+        assert (decoded.status == 405) == bool(decoded.allow)
 
 
 def test_a_refusal_names_a_remedy_and_is_json_for_fleet_calls() -> None:
@@ -243,9 +243,9 @@
         ),
     ):
         side = ConsoleSide()
-        got = side.receive(call("GET", path))
-        assert isinstance(got, No)
-        head, _, body = side.refuse(got).partition(b"\r\n\r\n")
+        decoded = side.receive(call("GET", path))
+        assert isinstance(decoded, No)
+        head, _, body = side.refuse(decoded).partition(b"\r\n\r\n")
         assert body == remedy and (b"application/json" in head) == remedy.startswith(b"{")
 
 
@@ -331,17 +331,17 @@
             rig.loop.step()
     first = next(attempt.endpoint.id for attempt in rig.balancer.attempts.values())
     rig.core.leave_out(first, True)
-    got = rig.got()
-    assert len(got) == 1 and f"e{rig.stands.index(got[0].stand)}" != first
-    got[0].answer(200)
+    attempts = rig.got()
+    assert len(attempts) == 1 and f"e{rig.stands.index(attempts[0].stand)}" != first
+    attempts[0].answer(200)
     rig.settle()
     assert (client.answer() or (0,))[0] == 200
     rig.tell(*(entry(f"e{n}", s.port) for n, s in enumerate(rig.stands)), whole=True)
     for n in range(12):
         rig.asked(ask(f"y{n}"))
-        got = rig.got()
-        assert len(got) == 1 and f"e{rig.stands.index(got[0].stand)}" != first
-        got[0].answer(200)
+        attempts = rig.got()
+        assert len(attempts) == 1 and f"e{rig.stands.index(attempts[0].stand)}" != first
+        attempts[0].answer(200)
         rig.settle()
 
 
@@ -352,8 +352,8 @@
     fleet = Fleet([kind()], [line(n) for n in range(6)], peers=1)
     for n in range(300):
         held = fleet.arrive(n, key=f"k{n % 20}")
-        for m, sent in enumerate(held.sent):
-            fleet.end(n, m, AttemptOutcome.ERROR if sent.endpoint == "e0" else AttemptOutcome.SERVED)
+        for number, sent in enumerate(held.sent):
+            fleet.end(n, number, AttemptOutcome.ERROR if sent.endpoint == "e0" else AttemptOutcome.SERVED)
         fleet.wait(0.05)
     return fleet
 
@@ -393,11 +393,11 @@
         {"put_back": {"e1": "x"}},
     )
     for malformed in cases:
-        given = {**orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))), **malformed}
+        exported = {**orjson.loads(orjson.dumps(learnt.give(old.balancer, old.now))), **malformed}
         rig = Rig(2)
         before = rig.facade.give(0.0)
         with pytest.raises(ValueError):
-            rig.facade.take(0.0, given)
+            rig.facade.take(0.0, exported)
         assert rig.facade.give(0.0) == before
 
 
@@ -434,26 +434,26 @@
 
 def test_memory_slots_are_granted_in_order_of_arrival_and_waits_time_out() -> None:
     loop = SteppedLoop()
-    room, got = Room(loop, 0), list[str]()
+    room, granted = Room(loop, 0), list[str]()
 
     def stream(name: str, until: float) -> Coroutine[None]:
         try:
             yield from room.enter(loop.now() + until)
-            got.append(name)
+            granted.append(name)
         except Late:
-            got.append(name + " late")
+            granted.append(name + " late")
 
     for n in range(FEWEST + 3):
         loop.spawn(stream(str(n), 1.0 if n == FEWEST else 9.0))
     loop.settle()
-    assert got == [str(n) for n in range(FEWEST)]
+    assert granted == [str(n) for n in range(FEWEST)]
     loop.wait(1.0)
-    assert got[-1] == f"{FEWEST} late"
+    assert granted[-1] == f"{FEWEST} late"
     room.leave()
     loop.settle()
     room.leave()
     loop.settle()
-    assert got[-2:] == [str(FEWEST + 1), str(FEWEST + 2)] and not room.waiting and room.taken == FEWEST
+    assert granted[-2:] == [str(FEWEST + 1), str(FEWEST + 2)] and not room.waiting and room.taken == FEWEST
     loop.epoll.close()
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -108,12 +108,10 @@
     def logged(self) -> str:
         return self.log.read_text()
 
-    def until(self, found: Callable[[], T | None]) -> T:
+    def until(self, condition: Callable[[], T | None]) -> T:
         end = time.monotonic() + PATIENCE
-        while not (value := found()):
-            assert time.monotonic() < end, (
-                f"condition not met within {PATIENCE:.0f} s; the log: {self.logged()}"
-            )
+        while not (value := condition()):
+            assert time.monotonic() < end, f"condition not met in time; the log: {self.logged()}"
             select.select([], [], [], 0.005)
         return value
 
@@ -163,9 +161,9 @@
 def test_ready_then_serves_from_the_known_list(service: Service) -> None:
     assert service.answer(service.asked(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
     client = service.asked(ask("x", "book", body=b"in"))
-    got = service.got()
-    assert (got.id, got.body) == ("x", b"in")
-    got.answer(200, b"out")
+    attempt = service.got()
+    assert (attempt.id, attempt.body) == ("x", b"in")
+    attempt.answer(200, b"out")
     assert service.answer(client)[:2] == (200, b"out")
     client.send(ask("y"))
     service.got().answer(500)
@@ -242,14 +240,14 @@
     service.got().answer(200)
     assert "connection" not in service.answer(kept)[2]
     held = service.asked(ask("held", "book"))
-    got = service.got()
+    attempt = service.got()
     service.process.send_signal(signal.SIGTERM)
     service.until(lambda: "event=leaving" in service.logged())
     assert service.answer(service.asked(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 503
     late = service.asked(ask("late"))
     service.got().answer(200)
     assert service.answer(late)[0] == 200
-    got.answer(200, b"finished")
+    attempt.answer(200, b"finished")
     assert service.answer(held)[:2] == (200, b"finished")
     kept.send(ask("again"))
     service.got().answer(200)
@@ -300,7 +298,7 @@
         service.until(lambda: service.logged().count(log) > before)
 
     held = service.asked(ask("held", "book"))
-    got, first, moved = service.got(), service.watch(), Stand()
+    attempt, first, moved = service.got(), service.watch(), Stand()
     lines = service.logged().count("\n")
     for bad in ("{", json.dumps([1]), json.dumps({**service.config, "discovery": "nowhere"})):
         reload(bad, "configuration refused")
@@ -313,7 +311,7 @@
     assert watch.target == "/v1/endpoints"  # a generation of the old service has no meaning for the new one
     watch.tell(5, True, entry("e0", service.endpoint.port))
     assert "index=5" in service.next(moved).target and "list unavailable" not in service.logged()
-    got.answer(200, b"finished")
+    attempt.answer(200, b"finished")
     assert service.answer(held)[:2] == (200, b"finished")
     moved.close()
 
@@ -326,13 +324,13 @@
     assert service.answer(service.asked(ask("c", "unknown")))[0] == 400
     client = service.asked(ask("x"))
 
-    def mine() -> bool:
-        got = service.got()
+    def own_request_came() -> bool:
+        attempt = service.got()
         with contextlib.suppress(OSError):
-            got.answer(200, b"ok")
-        return got.id == "x"
+            attempt.answer(200, b"ok")
+        return attempt.id == "x"
 
-    service.until(mine)
+    service.until(own_request_came)
     assert service.answer(client)[:2] == (200, b"ok")
     assert "Traceback" not in service.logged() and "event=fault" not in service.logged()
 
@@ -371,9 +369,11 @@
     elif number == len(INVALID_CONFIGS):
         file.write_text("{")
     for command in ("serve", "check"):
-        done = run(command, "--config", str(file))
-        assert done.returncode == 2 and done.stdout == ""
-        assert done.stderr.startswith("rainspindle: ") and done.stderr.count("\n") == 1, done.stderr
+        completed = run(command, "--config", str(file))
+        assert completed.returncode == 2 and completed.stdout == ""
+        assert completed.stderr.startswith("rainspindle: ") and completed.stderr.count("\n") == 1, (
+            completed.stderr
+        )
 
 
 def test_other_commands(tmp_path: Path) -> None:
@@ -384,8 +384,8 @@
     assert run("nonsense").returncode == 2
     taken = socket.create_server(("127.0.0.1", 0))
     file.write_text(json.dumps(config(listen=f"127.0.0.1:{taken.getsockname()[1]}")))
-    done = run("serve", "--config", str(file))
-    assert done.returncode == 2 and done.stderr.count("\n") == 1
+    completed = run("serve", "--config", str(file))
+    assert completed.returncode == 2 and completed.stderr.count("\n") == 1
     taken.close()
 
 
@@ -393,7 +393,7 @@
 
 
 class Operated(Service):
-    """A service with a console; one started `beside` another shares its address, folder and test endpoints."""
+    """A service with a console; one `beside` another shares its address, folder and test endpoints."""
 
     def __init__(self, folder: Path, beside: Operated | None = None, **changes: Any) -> None:
         self.console = reserve_port()
@@ -458,7 +458,7 @@
     idle = operated.asked(ready)
     assert operated.answer(idle)[0] == 200
     held = operated.asked(ask("held", "book"))
-    got = operated.got()
+    attempt = operated.got()
     assert operated.call("drain") == 200 and operated.call("ready", "GET") == 200
     status, _, headers = operated.answer(operated.asked(ready))
     assert status == 503 and headers["connection"] == "close"
@@ -466,7 +466,7 @@
     operated.got().answer(200)
     assert operated.answer(late)[2]["connection"] == "close"
     operated.until(lambda: ended(idle))
-    got.answer(200)
+    attempt.answer(200)
     assert operated.answer(held)[2]["connection"] == "close"
     assert operated.call("resume") == 200
     again = operated.asked(ready)
@@ -475,7 +475,7 @@
 
 
 def test_a_new_version_takes_over_and_loses_no_order(operated: Operated, tmp_path: Path) -> None:
-    """Guards against connections refused during the handover, and against orders that the successor forgets."""
+    """Guards against connections refused during the handover, and orders that the successor forgets."""
     assert operated.call("endpoints/e0/disable") == 200 and operated.call("drain") == 200
     chain = [operated]
     for n in range(3):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -73,10 +73,10 @@
 ) -> None:
     client = SlowClient(rig)
     client.send(ask("x", "book"))
-    got = only(rig.got())
+    attempt = only(rig.got())
     rig.front.closing = True
     run_after_close_decision(monkeypatch, lambda: client.send(ask("crossed")))
-    got.answer(200, BODY)
+    attempt.answer(200, BODY)
     rig.settle()
     data, reset = client.rest()
     assert data.endswith(BODY) and b"\r\nConnection: close\r\n" in data and not reset
