--- a/rainspindle/program/tables.py
+++ b/rainspindle/program/tables.py
@@ -39,17 +39,17 @@
     return key
 
 
-def shape(value: Any, model: Any, at: str) -> Iterator[str]:
+def shape(value: Any, model: Any, path: str) -> Iterator[str]:
     """Yields the faults of one table: unknown keys, missing keys and values of the wrong type.
 
-    `at` is the path of the table in the file, empty for the whole file.
+    `path` is the path of the table in the file, empty for the whole file.
     """
     if not isinstance(value, dict):
-        yield f"{at or 'the file'}: expected a table"
+        yield f"{path or 'the file'}: expected a table"
         return
     fields, prefix = (
         {struct_field.encode_name: struct_field for struct_field in msgspec.structs.fields(model)},
-        f"{at}." if at else "",
+        f"{path}." if path else "",
     )
     for key in value:
         if key not in fields:
--- a/rainspindle/protocol/settings.py
+++ b/rainspindle/protocol/settings.py
@@ -239,14 +239,16 @@
     """The settings that the network code needs."""
 
     type_names: tuple[str, ...]
-    expiries: tuple[float, ...]  # by traffic class, in seconds; so are the next three
-    binding: tuple[bool, ...]
-    connect_times: tuple[float, ...]
+    # By traffic class:
+    expiries: tuple[float, ...]  # seconds until a request expires
+    binding: tuple[bool, ...]  # whether its requests are non-idempotent
+    connect_times: tuple[float, ...]  # connect timeout in seconds
     memory_spans: tuple[float, ...]  # seconds within which a retry may follow an attempt that may have run
+
     zones: tuple[str, ...]
     idle_time: float  # seconds after which an endpoint closes an idle connection
-    ask_within: float
-    drain_grace: float
+    ask_within: float  # seconds within which the endpoint list must be polled again
+    drain_grace: float  # seconds after which a draining endpoint must get no more requests
     kinds: tuple[str, ...]  # machine kinds, as the endpoint list names them
     may_call_off: bool  # whether an attempt may be cancelled
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -181,9 +181,8 @@
     stages = Stages(2.0)
     stages.drain(10.0)
     assert stages.idle_limit(10.3) > 100 and 0 < stages.idle_limit(10.6) < 0.5
-    assert (
-        stages.idle_limit(11.5) == 0.0
-    )  # 2 s before the end of the 4 s no connection without a request may be open
+    # 2 s before the end of the 4 s no connection without a request may be open.
+    assert stages.idle_limit(11.5) == 0.0
     stages.resume(11.6)
     assert stages.idle_limit(11.6) > 100 and not stages.closes(11.6) and stages.ready
 
@@ -322,9 +321,8 @@
     rig = Rig(2)
     client = rig.client()
     client.send(ask("x", "book"))
-    while (
-        not rig.pool.open
-    ):  # one coroutine or loop step at a time, to stop before the event of the connection
+    # One coroutine or loop step at a time, to stop before the event of the connection.
+    while not rig.pool.open:
         if rig.loop.ready:
             rig.loop.resume(rig.loop.ready.popleft())
         else:
