--- a/rainspindle/protocol/keep.py
+++ b/rainspindle/protocol/keep.py
@@ -1,7 +1,7 @@
-"""What a member tells those that start, in the cell `keep`, and the record that outlasts a process. No I/O.
+"""Formats of the start report, which members publish in the register `keep`, and of the persisted record.
 
-MessagePack by msgspec: the cell an array with a version first, fields only ever added at its end; the record
-a map, of which unknown names are ignored.
+Both are MessagePack, encoded by msgspec. The report is an array that begins with a version, and new fields
+are only appended to it; the record is a map whose unknown names are ignored. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,87 +16,103 @@
 from ..errors import Trouble
 
 CELL, VERSION = "keep", 1
-MARK = 6  # bytes that name an endpoint's start
-SLOW = struct.Struct(f">{MARK}sH")  # and milliseconds
-MOST_OUT, MOST_SLOW = 70, 50  # 820 of the 900 bytes that a cell holds
+MARK = 6  # bytes of the digest that identifies one start of an endpoint
+SLOW = struct.Struct(f">{MARK}sH")  # a digest and a time in milliseconds
+MOST_OUT, MOST_SLOW = 70, 50  # together 820 of the 900 bytes that a register can hold
 
 
 class UnreadableKept(Trouble):
-    """What was kept, or told for a start, is none that this release reads."""
+    """A persisted record or a start report is not in a format that this release reads."""
 
-    remedy = "nothing need be done, it starts with less known; if it comes again, see which releases run"
+    remedy = (
+        "no action needed, the start uses less information; if this recurs, check which releases are running"
+    )
 
 
 class Word(msgspec.Struct, array_like=True, frozen=True):
+    """A start report as encoded in the register."""
+
     version: int
-    ready: int  # endpoints that the teller may send to
-    out: bytes = b""  # marks of those that are out there, by its own failures
-    slow: bytes = b""  # marks and times of those that take much longer than most
+    ready: int  # number of endpoints to which the reporting member may send
+    out: bytes = b""  # digests of the endpoints that it has ejected because of failures of its own requests
+    slow: bytes = b""  # digests and service times of endpoints that are much slower than most
 
 
 class Told(msgspec.Struct, frozen=True):
-    """A word, taken apart."""
+    """A decoded start report."""
 
     ready: int
     out: tuple[bytes, ...]
-    slow: dict[bytes, float]  # seconds
+    slow: dict[bytes, float]  # service time in seconds by digest
 
 
 def mark(endpoint: str, started_ms: int) -> bytes:
-    """Of an endpoint between two starts of it; the same at all members. `started_ms`: Unix time, 0 if
-    unknown."""
+    """Returns a digest that identifies one start of an endpoint and is the same at all members.
+
+    `started_ms` is the start as Unix time in milliseconds, 0 if unknown.
+    """
     return hashlib.blake2b(f"{endpoint}\0{started_ms}".encode(), digest_size=MARK).digest()
 
 
 def encode(ready: int, out: Iterable[bytes], slow: Iterable[tuple[bytes, float]]) -> bytes:
-    marks = list(out)[:MOST_OUT]
-    times = [SLOW.pack(m, min(int(seconds * 1000), 65535)) for m, seconds in slow][:MOST_SLOW]
-    return msgspec.msgpack.encode(Word(VERSION, ready, b"".join(marks), b"".join(times)))
+    """Returns a start report; ejected and slow endpoints over the limits are left out."""
+    ejected = list(out)[:MOST_OUT]
+    slow_entries = [SLOW.pack(digest, min(int(seconds * 1000), 65535)) for digest, seconds in slow][
+        :MOST_SLOW
+    ]
+    return msgspec.msgpack.encode(Word(VERSION, ready, b"".join(ejected), b"".join(slow_entries)))
 
 
 def decode(raw: bytes) -> Told:
-    """Raises UnreadableKept."""
+    """Decodes a start report. Raises UnreadableKept."""
     try:
-        word = msgspec.msgpack.decode(raw, type=Word)
-    except (msgspec.MsgspecError, RecursionError) as fault:
-        raise UnreadableKept(f"no word for a start: {fault}") from None
-    if word.version < 1 or word.ready < 0 or len(word.out) % MARK or len(word.slow) % SLOW.size:
-        raise UnreadableKept("no word for a start: cut")
+        report = msgspec.msgpack.decode(raw, type=Word)
+    except (msgspec.MsgspecError, RecursionError) as error:
+        raise UnreadableKept(f"start report cannot be decoded: {error}") from None
+    if report.version < 1 or report.ready < 0 or len(report.out) % MARK or len(report.slow) % SLOW.size:
+        raise UnreadableKept(
+            f"start report is invalid: version {report.version}, {report.ready} ready endpoints, "
+            f"{len(report.out)} and {len(report.slow)} bytes of entries"
+        )
     return Told(
-        word.ready,
-        tuple(word.out[n : n + MARK] for n in range(0, len(word.out), MARK)),
-        {m: ms / 1000 for m, ms in SLOW.iter_unpack(word.slow)},
+        report.ready,
+        tuple(report.out[start : start + MARK] for start in range(0, len(report.out), MARK)),
+        {digest: milliseconds / 1000 for digest, milliseconds in SLOW.iter_unpack(report.slow)},
     )
 
 
 class OwnCell(msgspec.Struct, array_like=True, frozen=True):
+    """A register of the member itself, as persisted."""
+
     name: str
-    life: int
+    life: int  # the incarnation that wrote it
     sequence: int
     value: bytes
 
 
 class Record(msgspec.Struct, frozen=True):
-    """What one member keeps. Times of what was learnt are ages at `wall`."""
+    """What one member persists. Times in learned state are ages at `wall`."""
 
     member: str
     fleet: str
-    life: int
-    wall: float  # Unix time of its writing
-    boot: str = ""  # which start of the machine, and how long after that: no clock that is set moves these
+    life: int  # incarnation of the writing process
+    wall: float  # Unix time at which the record was written
+    # Identifier of the machine boot, and seconds since then: setting the clock does not change these.
+    boot: str = ""
     boot_at: float = 0.0
     cells: list[OwnCell] = []
-    sides: dict[str, Any] = {}  # by side of the core: what its module learnt
-    started: dict[str, int] = {}  # by endpoint: Unix milliseconds of its start as listed
+    sides: dict[str, Any] = {}  # learned balancer state by traffic side
+    started: dict[str, int] = {}  # listed start by endpoint, Unix time in milliseconds
 
 
 def encode_record(record: Record) -> bytes:
+    """Encodes a record; equal records give equal bytes."""
     return msgspec.msgpack.encode(record, order="deterministic")
 
 
 def decode_record(raw: bytes) -> Record:
-    """Raises UnreadableKept."""
+    """Decodes a record. Raises UnreadableKept."""
     try:
         return msgspec.msgpack.decode(raw, type=Record)
-    except (msgspec.MsgspecError, RecursionError) as fault:
-        raise UnreadableKept(f"no record: {fault}") from None
+    except (msgspec.MsgspecError, RecursionError) as error:
+        raise UnreadableKept(f"persisted record cannot be decoded: {error}") from None
--- a/rainspindle/store/__init__.py
+++ b/rainspindle/store/__init__.py
@@ -1,1 +1,1 @@
-"""Files that outlast a process: versioned, checksummed, never half written. Does not know what they mean."""
+"""Persistent files that are versioned, checksummed and written atomically; payloads are not interpreted."""
--- a/rainspindle/store/generations.py
+++ b/rainspindle/store/generations.py
@@ -1,8 +1,9 @@
-"""A record that outlasts its process: each writing is a new generation, and the one before it is kept.
+"""A persistent record: each write creates a new generation, and the generation before it is retained.
 
-A generation is a file of its own, `NAME.7`: made under another name, synced, renamed, and the folder synced;
-only then is it acknowledged, and only after that is the last but one removed. So whenever the machine stops,
-the newest acknowledged one is whole on the disk, or one newer: `lab/crashstates.py` goes through each moment.
+A generation is a file of its own, such as `NAME.7`. It is written under a temporary name, synced and renamed,
+and the folder is synced; only then is the write acknowledged, and only after that are older generations other
+than the previous one removed. Whenever the machine stops, the latest acknowledged generation, or a newer one,
+is therefore intact on disk: `lab/crashstates.py` checks this for a stop at each moment.
 """
 
 from __future__ import annotations
@@ -23,75 +24,90 @@
 from .file import Missing, Unfit
 
 MAGIC = b"rainkeep"
-# Magic, version, the lowest version of a reader, kind, generation, length.
+# Magic, format version, lowest version of a reader, kind, generation, payload length.
 HEADER = struct.Struct(">8sHHIQQ")
-CHECK = 4  # bytes of the checksum over all before it and the payload
-NAMED = re.compile(r"[1-9][0-9]{0,14}")
-LOOKED_AT = 8  # generations that are tried at a reading
-STRAY = 10  # writings after which a half-made file of another process is taken for left behind
+CHECK = 4  # bytes of the CRC-32 of the header and the payload
+GENERATION_NUMBER = re.compile(r"[1-9][0-9]{0,14}")
+MAX_READ_ATTEMPTS = 8  # newest generations that a read tries
+# Writes after which a temporary file of another process is regarded as abandoned.
+ABANDONED_AFTER_WRITES = 10
 
 
 class Files(Protocol):
-    """All that is done to a folder, so that it can be recorded. Names are within it. Each raises OSError."""
+    """The operations on a folder, as an interface so that tests can record them.
 
-    def names(self) -> list[str]: ...
+    Names are relative to the folder. Each method raises OSError.
+    """
+
+    def names(self) -> list[str]:
+        """Lists the folder."""
 
     def read(self, name: str, most: int) -> bytes:
-        """One byte over `most` at most."""
+        """Reads a file, up to one byte more than `most` so that the caller can detect an excess."""
 
     def write(self, name: str, data: bytes) -> None:
-        """A file made anew."""
+        """Writes a new file, replacing one of the same name."""
 
     def sync(self, name: str) -> None:
-        """What was last written is on the disk."""
+        """Returns once the file that was written last is on disk."""
 
-    def rename(self, name: str, to: str) -> None: ...
+    def rename(self, name: str, to: str) -> None:
+        """Renames a file, replacing one that has the new name."""
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Removes a file; does nothing if there is none."""
 
     def sync_folder(self) -> None:
-        """Its names are on the disk."""
+        """Returns once the names of the files are on disk."""
 
 
 class DiskFiles:
+    """Files in a folder on disk."""
+
     def __init__(self, folder: Path) -> None:
-        self.folder, self.fd = folder, -1
+        self.folder, self.fd = folder, -1  # the file being written, -1 if none
 
     def names(self) -> list[str]:
+        """Lists the folder."""
         return os.listdir(self.folder)
 
     def read(self, name: str, most: int) -> bytes:
+        """Reads up to `most` + 1 bytes. Raises PermissionError if others could have written the file."""
         fd = os.open(self.folder / name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
         with os.fdopen(fd, "rb") as file:
-            about = os.fstat(fd)
-            # Guards against a file that somebody else laid there, where the folder is not private.
-            if not stat.S_ISREG(about.st_mode) or about.st_uid != os.geteuid() or about.st_mode & 0o022:
-                raise PermissionError("not a file of this user alone")
+            status = os.fstat(fd)
+            # In a folder that is not private, another user can place a file under this name.
+            if not stat.S_ISREG(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & 0o022:
+                raise PermissionError("not a regular file owned and writable by this user alone")
             return file.read(most + 1)
 
     def write(self, name: str, data: bytes) -> None:
+        """Writes a new file and leaves it open for `sync`."""
         self.close()
         self.remove(name)
         self.fd = os.open(
             self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
         )
-        left = memoryview(data)
-        while left:
-            left = left[os.write(self.fd, left) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(self.fd, remaining) :]
 
     def sync(self, name: str) -> None:
-        """By the descriptor that wrote: only that one is told for certain what went wrong since."""
+        """Syncs through the descriptor that wrote: only that one is certain to report write errors."""
         os.fsync(self.fd)
         self.close()
 
     def rename(self, name: str, to: str) -> None:
+        """Renames a file, replacing one that has the new name."""
         os.replace(self.folder / name, self.folder / to)
 
     def remove(self, name: str) -> None:
+        """Removes a file; does nothing if there is none."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self.folder / name)
 
     def sync_folder(self) -> None:
+        """Syncs the folder, and so the names of its files."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -99,178 +115,212 @@
             os.close(fd)
 
     def close(self) -> None:
+        """Closes the file being written, if any."""
         if self.fd >= 0:
             fd, self.fd = self.fd, -1
             os.close(fd)
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """What was read."""
+class StoredGeneration:
+    """A generation as read from disk."""
 
     generation: int
-    version: int  # of its writer
+    version: int  # format version of the writer
     payload: bytes
-    refused: tuple[str, ...] = ()  # newer ones that are not sound, each with why
+    refused: tuple[str, ...] = ()  # file name and reason for each newer generation that failed a check
 
 
 class Generations:
-    """One name in a folder. Used by one thread at a time."""
+    """The generations of one record in a folder. Only one thread may use it at a time."""
 
     def __init__(
         self, files: Files, name: str, kind: int, version: int, least: int, most: int, tag: str = ""
     ) -> None:
-        """`least`: the lowest version whose readers understand what is written here; `most` bytes of payload;
-        `tag` tells apart processes that write beside each other."""
+        """Initializes without accessing the folder.
+
+        Args:
+            files: operations on the folder.
+            name: prefix of the file names.
+            kind: number that distinguishes this kind of record in the header.
+            version: format version that this program writes.
+            least: lowest reader version that understands what is written.
+            most: maximum payload size in bytes.
+            tag: makes the temporary file name distinct among concurrent processes.
+        """
         self.files, self.name, self.kind, self.most = files, name, kind, most
         self.version, self.least = version, least
         self.made = f"{name}.new-{tag}"
-        self.last = 0  # the last that is known to be sound
-        self.strays = Counter[str]()
+        self.last = 0  # latest generation known to be intact, 0 if none
+        self.foreign_writes_seen = Counter[str]()  # writes since each foreign temporary file appeared
 
     def write(self, payload: bytes) -> int:
-        """The generation, which is on the disk by then. Raises OSError; those before are as they were."""
+        """Writes a generation and returns its number once it is on disk.
+
+        Raises OSError, and then leaves earlier generations unchanged.
+        """
         if len(payload) > self.most:
-            raise OSError(f"{len(payload)} bytes for {self.name}, which may hold {self.most}")
-        there = self.there()
-        generation = max([self.last, *there]) + 1
+            raise OSError(
+                f"{self.name}: payload of {len(payload)} bytes exceeds the limit of {self.most} bytes"
+            )
+        existing = self.there()
+        generation = max([self.last, *existing]) + 1
         try:
-            self.put(generation, self.sealed(generation, payload))
+            self.put(generation, self.encode(generation, payload))
         except BaseException:
             with contextlib.suppress(OSError):
                 self.files.remove(self.made)
             raise
-        before = self.last if self.last in there else max(there, default=0)
+        before = self.last if self.last in existing else max(existing, default=0)
         self.last = generation
         with contextlib.suppress(OSError):
             self.prune(generation, before)
         return generation
 
     def put(self, generation: int, data: bytes) -> None:
+        """Makes the encoded generation durable under its final name."""
         self.files.write(self.made, data)
         self.files.sync(self.made)
         self.files.rename(self.made, self.named(generation))
         self.files.sync_folder()
 
     def prune(self, generation: int, before: int) -> None:
+        """Removes all generations but these two, and temporary files that killed writers have left."""
         for other in self.there():
             if other not in (generation, before):
                 self.files.remove(self.named(other))
-        # Guards against files that a killed writer left half made; one of a process beside this one stays.
-        half = [n for n in self.files.names() if n.startswith(f"{self.name}.new-") and n != self.made]
-        self.strays = Counter({name: self.strays[name] + 1 for name in half})
-        for name, seen in self.strays.items():
-            if seen > STRAY:
+        # A temporary file that persists was left by a killed writer; a concurrent process replaces its own.
+        foreign = [
+            name for name in self.files.names() if name.startswith(f"{self.name}.new-") and name != self.made
+        ]
+        self.foreign_writes_seen = Counter({name: self.foreign_writes_seen[name] + 1 for name in foreign})
+        for name, writes in self.foreign_writes_seen.items():
+            if writes > ABANDONED_AFTER_WRITES:
                 self.files.remove(name)
 
-    def read(self) -> Kept:
-        """The newest that is sound. Raises Unfit: Missing where there never was one."""
+    def read(self) -> StoredGeneration:
+        """Returns the newest intact generation. Raises Missing if there is none at all, otherwise Unfit."""
         refused: list[str] = []
         try:
-            there = sorted(self.there(), reverse=True)[:LOOKED_AT]
-        except OSError as fault:
-            raise Unfit(fault.strerror or str(fault)) from None
-        for generation in there:
+            newest_first = sorted(self.there(), reverse=True)[:MAX_READ_ATTEMPTS]
+        except OSError as error:
+            raise Unfit(error.strerror or str(error)) from None
+        for generation in newest_first:
             try:
-                version, payload = self.opened(generation)
-            except OSError as fault:
-                refused.append(f"{self.named(generation)}: {fault.strerror or fault}")
-            except Unfit as fault:
-                refused.append(f"{self.named(generation)}: {fault}")
+                version, payload = self.read_generation(generation)
+            except OSError as error:
+                refused.append(f"{self.named(generation)}: {error.strerror or error}")
+            except Unfit as error:
+                refused.append(f"{self.named(generation)}: {error}")
             else:
                 self.last = generation
-                return Kept(generation, version, payload, tuple(refused))
+                return StoredGeneration(generation, version, payload, tuple(refused))
         if not refused:
             raise Missing("there is none")
         raise Unfit("; ".join(refused))
 
     def there(self) -> list[int]:
-        start = self.name + "."
+        """Returns the numbers of the generations in the folder, in no order. Raises OSError."""
+        prefix = self.name + "."
         return [
-            int(n[len(start) :])
-            for n in self.files.names()
-            if n.startswith(start) and NAMED.fullmatch(n[len(start) :])
+            int(name[len(prefix) :])
+            for name in self.files.names()
+            if name.startswith(prefix) and GENERATION_NUMBER.fullmatch(name[len(prefix) :])
         ]
 
     def named(self, generation: int) -> str:
+        """Returns the file name of a generation."""
         return f"{self.name}.{generation}"
 
-    def sealed(self, generation: int, payload: bytes) -> bytes:
+    def encode(self, generation: int, payload: bytes) -> bytes:
+        """Returns the contents of a generation's file: header, checksum and payload."""
         head = HEADER.pack(MAGIC, self.version, self.least, self.kind, generation, len(payload))
         return head + self.check(head, payload) + payload
 
     def check(self, head: bytes, payload: bytes) -> bytes:
+        """Returns the CRC-32 of the header and the payload."""
         return zlib.crc32(payload, zlib.crc32(head)).to_bytes(CHECK, "big")
 
-    def opened(self, generation: int) -> tuple[int, bytes]:
-        """Version and payload. Raises OSError, Unfit."""
-        first = HEADER.size + CHECK
-        data = self.files.read(self.named(generation), first + self.most)
-        if len(data) < first:
-            raise Unfit("shorter than its header")
-        head, payload = data[: HEADER.size], data[first:]
+    def read_generation(self, generation: int) -> tuple[int, bytes]:
+        """Returns format version and payload. Raises OSError, or Unfit if the file fails a check."""
+        payload_start = HEADER.size + CHECK
+        data = self.files.read(self.named(generation), payload_start + self.most)
+        if len(data) < payload_start:
+            raise Unfit(
+                f"file of {len(data)} bytes is shorter than its header and checksum of {payload_start} bytes"
+            )
+        head, payload = data[: HEADER.size], data[payload_start:]
         magic, version, least, kind, number, length = HEADER.unpack(head)
         if magic != MAGIC or kind != self.kind:
-            raise Unfit("another kind of file")
-        if length != len(payload) or data[HEADER.size : first] != self.check(head, payload):
-            raise Unfit("its checksum or its length does not fit")
+            raise Unfit("another kind of file: magic or kind does not match")
+        if length != len(payload) or data[HEADER.size : payload_start] != self.check(head, payload):
+            raise Unfit("checksum or payload length does not match the header")
         if number != generation:
-            raise Unfit(f"is generation {number}")
+            raise Unfit(f"header is of generation {number}, expected {generation}")
         if least > self.version:
-            raise Unfit(f"version {version} wants a reader of version {least}, this one is {self.version}")
+            raise Unfit(
+                f"format version {version} requires a reader of version {least}, this one has {self.version}"
+            )
         return version, payload
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """Of the last writing that came to an end."""
+class WriteOutcome:
+    """The state of a writer after its last completed write."""
 
-    generation: int = 0  # the last acknowledged
-    at: float | None = None  # when, by the clock given
-    fault: str = ""  # of the last writing; "" where it went well
-    writes: int = 0
+    generation: int = 0  # latest acknowledged generation, 0 if none
+    at: float | None = None  # time of the acknowledgement by the writer's clock
+    fault: str = ""  # error of the last write, "" if it succeeded
+    writes: int = 0  # successful writes
 
 
 class Writer:
-    """Writes in a thread of its own: a disk that stalls holds up nobody, and the latest waits its turn."""
+    """Writes in a thread of its own, so that a stalled disk blocks no caller.
+
+    At most one payload is pending; a newer payload replaces it.
+    """
 
     def __init__(self, generations: Generations, clock: Callable[[], float]) -> None:
         self.generations, self.clock = generations, clock
-        self.outcome = Outcome()
-        self.wanted: bytes | None = None
-        self.begun: float | None = None  # of the writing under way
-        self.there = threading.Condition()
+        self.outcome = WriteOutcome()
+        self.pending: bytes | None = None
+        self.begun: float | None = None  # start of the write in progress, None if there is none
+        self.state_changed = threading.Condition()
         self.thread: threading.Thread | None = None
 
-    def give(self, payload: bytes) -> None:
-        """Instead of one that still waits."""
-        with self.there:
-            self.wanted = payload
+    def submit(self, payload: bytes) -> None:
+        """Schedules a write; replaces a payload that is still pending."""
+        with self.state_changed:
+            self.pending = payload
             if self.thread is None:
                 self.thread = threading.Thread(target=self.run, name="keep", daemon=True)
                 self.thread.start()
-            self.there.notify_all()
+            self.state_changed.notify_all()
 
     def run(self) -> None:
+        """Writes pending payloads; the body of the thread."""
         while True:
-            with self.there:
-                while self.wanted is None:
-                    self.there.wait()
-                payload, self.wanted, self.begun = self.wanted, None, self.clock()
-            before = self.outcome
+            with self.state_changed:
+                while self.pending is None:
+                    self.state_changed.wait()
+                payload, self.pending, self.begun = self.pending, None, self.clock()
+            previous = self.outcome
             try:
-                done = Outcome(self.generations.write(payload), self.clock(), "", before.writes + 1)
-            except OSError as fault:
-                done = Outcome(before.generation, before.at, fault.strerror or str(fault), before.writes)
-            with self.there:
-                self.outcome, self.begun = done, None
-                self.there.notify_all()
+                outcome = WriteOutcome(self.generations.write(payload), self.clock(), "", previous.writes + 1)
+            except OSError as error:
+                outcome = WriteOutcome(
+                    previous.generation, previous.at, error.strerror or str(error), previous.writes
+                )
+            with self.state_changed:
+                self.outcome, self.begun = outcome, None
+                self.state_changed.notify_all()
 
     @property
     def busy(self) -> bool:
-        return self.begun is not None or self.wanted is not None
+        """Whether a write is in progress or pending."""
+        return self.begun is not None or self.pending is not None
 
     def flush(self, seconds: float) -> bool:
-        """Whether all that was given is written, or has failed, within the time."""
-        with self.there:
-            return self.there.wait_for(lambda: not self.busy, seconds)
+        """Waits up to `seconds` until each submitted payload is written or failed; returns whether all are."""
+        with self.state_changed:
+            return self.state_changed.wait_for(lambda: not self.busy, seconds)
--- a/rainspindle/store/kept.py
+++ b/rainspindle/store/kept.py
@@ -1,13 +1,13 @@
-"""Rows under keys that are on disk for certain before anybody is told so; written by a thread of its own.
+"""Durable rows by key, written by a thread of its own; a batch is acknowledged only once it is on disk.
 
-sqlite3 of the standard library, synchronous FULL, with a rollback journal: each batch is one transaction.
-Beside the database stand two small files by which a folder that was copied, or put back from a copy, is
-noticed:
+The store is SQLite with synchronous FULL and a rollback journal, and each batch is one transaction. Two small
+files beside the database detect that the folder was copied or restored from a copy:
 
-- `.mark` is made once and never touched again. The database knows its inode and its time of change, which no
-  copying tool can set.
-- `.last` holds the number of the last batch, written after it. So a database put back alone is older than it;
-  and a write sets both its times to the same moment, which a tool that keeps the time of a file does not.
+- `.mark` is created once and never modified. The database holds its inode and its ctime, which no copying
+  tool can set.
+- `.last` holds the number of the last batch and is written after the batch. A database that is restored alone
+  is therefore older than this number. A write sets both mtime and ctime of the file to the same moment,
+  whereas a tool that preserves the mtime of a file leaves them different.
 """
 
 from __future__ import annotations
@@ -27,133 +27,143 @@
 
 from ..errors import Trouble
 
-HELD_LOOK = 0.1  # seconds between looks at a folder that another process holds, and at who wants it
-MOST_WAIT = 0.5  # seconds that the end of the process waits for the disk, twice at most
+LOCK_POLL_INTERVAL = 0.1  # seconds between checks for a released lock or a process that requests the lock
+MOST_WAIT = 0.5  # seconds for which process shutdown waits for the disk, at most twice
 
 
 class StoreTrouble(Trouble):
-    """What is kept on disk can't be read or written now."""
+    """The store cannot be read or written at present."""
 
-    remedy = "see that the folder is writable and has room; it is tried again each second"
+    remedy = "check that the folder is writable and has free space; it is retried each second"
 
 
 class StoreForeign(Trouble):
-    """The folder is another member's."""
+    """The store belongs to another member."""
 
-    remedy = "give this member its own folder in [members] folder, or an empty one"
+    remedy = "set [members] folder to a folder of this member alone, or to an empty one"
 
 
 class StoreHeld(Trouble):
-    """Another process has it open."""
+    """Another process has the store open."""
 
-    remedy = "wait until the process before this one has ended, or give each its own folder and name"
+    remedy = "wait until the previous process has exited, or give each process its own folder and name"
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """What was there at the start."""
+    """The contents of the store when it was opened."""
 
     rows: dict[str, bytes]
-    fresh: bool  # there was nothing
-    newest: bool  # these are the very files that were written last, as far as files can tell
-    why: str = ""  # they are not
-    boot: int = 0  # this start of the machine, and this volume
-    number: int = 0  # of the last batch: what others know of it shows a volume that was set back
+    fresh: bool  # the store did not exist before
+    newest: bool  # whether these are the files that were written last, as far as the checks can detect
+    why: str = ""  # reason that they are not the latest
+    boot: int = 0  # identifies this machine boot and this volume
+    # Number of the last batch: a higher number known to other members reveals that the volume was restored.
+    number: int = 0
 
 
 @dataclass(slots=True)
 class Done:
-    """Of one batch, or of the start."""
+    """The result of a batch or of opening the store, or a request by another process for the store."""
 
     found: Found | None = None
     trouble: Trouble | None = None
-    batch: int = 0
-    number: int = 0  # that it has in the store
-    wanted: bool = False  # a process that came later waits for the folder
+    batch: int = 0  # as given to `write`
+    number: int = 0  # of the batch in the store
+    wanted: bool = False  # a process that started later waits for the store
 
 
 @dataclass(slots=True)
 class Job:
+    """A batch to write."""
+
     rows: dict[str, bytes] = field(default_factory=dict)
     batch: int = 0
-    over: int = 0
+    over: int = 0  # the number of the batch in the store is to be greater than this
 
 
 class Kept:
-    def __init__(self, folder: Path, name: str, owner: str, done: Callable[[], None]) -> None:
-        """`done` is called in the thread when `results` has grown. Nothing is opened before `start`."""
-        self.base, self.owner, self.done = str(folder / name), owner, done
+    """Durable rows by key, owned by one member and open in one process at a time."""
+
+    def __init__(self, folder: Path, name: str, owner: str, on_result: Callable[[], None]) -> None:
+        """`on_result` is called in the thread after each addition to `results`; `start` opens the store."""
+        self.base, self.owner, self.on_result = str(folder / name), owner, on_result
         self.jobs: queue.SimpleQueue[Job | None] = queue.SimpleQueue()
         self.results: deque[Done] = deque()
         self.database: sqlite3.Connection | None = None
-        self.last: int | None = None
-        self.lock: int | None = None
-        self.number = 0  # of the last batch
+        self.last: int | None = None  # descriptor of the `.last` file
+        self.lock: int | None = None  # descriptor of the lock file
+        self.number = 0  # number of the last batch
         self.ended = False
-        self.thread = threading.Thread(target=self.work, name="kept", daemon=True)
+        self.thread = threading.Thread(target=self.run, name="kept", daemon=True)
 
     def start(self) -> None:
+        """Starts the thread, which opens the store."""
         self.thread.start()
 
     def write(self, rows: dict[str, bytes], batch: int, over: int = 0) -> None:
-        """`over`: which its number in the store is to be over, beside that of the one before."""
+        """Queues a batch, whose number in the store becomes greater than `over` and the number before it."""
         self.jobs.put(Job(rows, batch, over))
 
     def end(self) -> None:
-        """After what was given to `write`."""
+        """Stops the thread after the batches that were queued before."""
         self.ended = True
         self.jobs.put(None)
 
     def close(self) -> None:
-        """Waits for the end, for half a second at most."""
+        """Stops the thread and waits up to half a second for it."""
         self.end()
         self.thread.join(MOST_WAIT)
 
-    # In the thread.
+    # Executed in the thread.
 
-    def work(self) -> None:
-        told = ""
+    def run(self) -> None:
+        """Opens the store, retrying until that succeeds, and then writes batches."""
+        reported = ""
         while not self.ended:
             try:
-                self.tell(Done(found=self.open()))
+                self.add_result(Done(found=self.open()))
                 break
-            except Exception as fault:  # also what a file that was tampered with brings about
+            except Exception as error:  # corrupted files can cause errors of any type
                 self.shut()
-                if str(fault) != told:
-                    told = str(fault)
-                    self.tell(Done(trouble=self.trouble(fault)))
-                time.sleep(HELD_LOOK if isinstance(fault, StoreHeld) else 10 * HELD_LOOK)
-        wanted = False
+                if str(error) != reported:
+                    reported = str(error)
+                    self.add_result(Done(trouble=self.to_trouble(error)))
+                time.sleep(LOCK_POLL_INTERVAL if isinstance(error, StoreHeld) else 10 * LOCK_POLL_INTERVAL)
+        requested = False
         while self.database is not None:
             try:
-                job = self.jobs.get(timeout=HELD_LOOK)
+                job = self.jobs.get(timeout=LOCK_POLL_INTERVAL)
             except queue.Empty:
-                if not wanted and os.path.exists(f"{self.base}.wanted"):
-                    wanted = True
-                    self.tell(Done(wanted=True))
+                if not requested and os.path.exists(f"{self.base}.wanted"):
+                    requested = True
+                    self.add_result(Done(wanted=True))
                 continue
             if job is None:
                 break
             try:
                 self.put(job.rows, job.over)
-                self.tell(Done(batch=job.batch, number=self.number))
-            except Exception as fault:
+                self.add_result(Done(batch=job.batch, number=self.number))
+            except Exception as error:
                 with contextlib.suppress(sqlite3.Error):
                     self.database.rollback()
-                self.tell(Done(trouble=self.trouble(fault), batch=job.batch))
+                self.add_result(Done(trouble=self.to_trouble(error), batch=job.batch))
         self.shut()
 
-    def tell(self, done: Done) -> None:
-        self.results.append(done)
-        self.done()
+    def add_result(self, result: Done) -> None:
+        """Appends to `results` and notifies the owner."""
+        self.results.append(result)
+        self.on_result()
 
-    def trouble(self, fault: Exception) -> Trouble:
-        if isinstance(fault, Trouble):
-            return fault
-        why = fault.strerror if isinstance(fault, OSError) and fault.strerror else str(fault)
-        return StoreTrouble(f"{self.base}.db: {why}")
+    def to_trouble(self, error: Exception) -> Trouble:
+        """Returns a Trouble as it is and wraps any other error in StoreTrouble."""
+        if isinstance(error, Trouble):
+            return error
+        reason = error.strerror if isinstance(error, OSError) and error.strerror else str(error)
+        return StoreTrouble(f"{self.base}.db: {reason}")
 
     def shut(self) -> None:
+        """Closes the database and releases the lock."""
         if self.database is not None:
             with contextlib.suppress(sqlite3.Error):
                 self.database.close()
@@ -164,7 +174,7 @@
         self.last = self.lock = None
 
     def open(self) -> Found:
-        """Raises Trouble, OSError, sqlite3.Error."""
+        """Locks and opens the store and reads all rows. Raises Trouble, OSError or sqlite3.Error."""
         os.makedirs(os.path.dirname(self.base), mode=0o700, exist_ok=True)
         self.lock = os.open(f"{self.base}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -172,7 +182,7 @@
         except BlockingIOError:
             with contextlib.suppress(OSError):
                 os.close(os.open(f"{self.base}.wanted", os.O_CREAT | os.O_WRONLY | os.O_CLOEXEC, 0o600))
-            raise StoreHeld(f"{self.base}.db: another process has it open") from None
+            raise StoreHeld(f"{self.base}.db: another process has the store open") from None
         with contextlib.suppress(FileNotFoundError):
             os.unlink(f"{self.base}.wanted")
         database = self.database = sqlite3.connect(
@@ -183,61 +193,66 @@
         database.execute("PRAGMA synchronous=FULL")
         database.execute("CREATE TABLE IF NOT EXISTS about (name TEXT PRIMARY KEY, value TEXT) WITHOUT ROWID")
         database.execute("CREATE TABLE IF NOT EXISTS rows (key TEXT PRIMARY KEY, value BLOB) WITHOUT ROWID")
-        about = dict(database.execute("SELECT name, value FROM about"))
-        if about.get("owner", self.owner) != self.owner:
-            raise StoreForeign(f"{self.base}.db: it is the member {about['owner']!r}'s")
-        fresh = not about
-        self.number = int(about.get("number", 0))
-        why = self.why_not_newest(about)
-        if why:
-            self.mark()
+        facts = dict(database.execute("SELECT name, value FROM about"))
+        if facts.get("owner", self.owner) != self.owner:
+            raise StoreForeign(
+                f"{self.base}.db: expected a store of member {self.owner!r}, found one of {facts['owner']!r}"
+            )
+        fresh = not facts
+        self.number = int(facts.get("number", 0))
+        reason = self.reason_not_newest(facts)
+        if reason:
+            self.create_markers()
         self.last = os.open(f"{self.base}.last", os.O_RDWR | os.O_CLOEXEC)
         rows = {str(key): bytes(value) for key, value in database.execute("SELECT key, value FROM rows")}
         try:
             boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip().replace("-", "")
-        except OSError:  # each start counts as one of the machine then
+        except OSError:  # without a boot identifier, each process start counts as a machine boot
             boot = secrets.token_hex(16)
         volume = os.fstat(self.last).st_dev
         return Found(
             rows,
             fresh,
-            not why,
-            "" if fresh else why,
+            not reason,
+            "" if fresh else reason,
             (int(boot[:14], 16) ^ volume * 0x9E3779B1) & ((1 << 62) - 1),
             self.number,
         )
 
-    def why_not_newest(self, about: dict[str, str]) -> str:
+    def reason_not_newest(self, facts: dict[str, str]) -> str:
+        """Returns why these are not the files that were written last, "" if no check fails."""
         try:
-            marked, last = os.stat(f"{self.base}.mark"), os.stat(f"{self.base}.last")
-            told = Path(f"{self.base}.last").read_bytes()
+            mark_status, last_status = os.stat(f"{self.base}.mark"), os.stat(f"{self.base}.last")
+            last_number = Path(f"{self.base}.last").read_bytes()
         except OSError:
-            return "one of its files is missing"
-        if about.get("mark") != f"{marked.st_ino} {marked.st_ctime_ns}":
-            return "its mark was copied or touched"
-        if about.get("last") != str(last.st_ino):
-            return "the number of its last batch was copied"
-        if about.get("times") == "same" and last.st_ctime_ns != last.st_mtime_ns:
-            return "the number of its last batch was put back"
-        if not told.strip().isdigit() or int(told) > self.number:
-            return "it is older than its last batch"
+            return "the .mark or .last file is missing"
+        if facts.get("mark") != f"{mark_status.st_ino} {mark_status.st_ctime_ns}":
+            return "the .mark file was copied or modified"
+        if facts.get("last") != str(last_status.st_ino):
+            return "the .last file was copied"
+        if facts.get("times") == "same" and last_status.st_ctime_ns != last_status.st_mtime_ns:
+            return "the .last file was restored from a copy"
+        if not last_number.strip().isdigit() or int(last_number) > self.number:
+            return "the database is older than its last batch"
         return ""
 
-    def mark(self) -> None:
-        """Makes the files by which this folder is known again. Rows that were in it are old from now on:
-        their keys begin with `-`; those that begin with `#` stay as they are.
+    def create_markers(self) -> None:
+        """Creates the `.mark` and `.last` files and marks existing rows as outdated.
 
-        Guards against a crash in between: until the new mark is known, the next start finds none."""
+        The key of an outdated row begins with `-`; rows whose key begins with `#` are not changed. The
+        database forgets the old files first: after a crash in between, the next start finds that the new
+        files are not the recorded ones and creates them again.
+        """
         assert self.database is not None
         self.database.execute("BEGIN IMMEDIATE")
-        self.about(owner=self.owner, mark="", last="")
+        self.save_facts(owner=self.owner, mark="", last="")
         self.database.execute(
             "UPDATE OR REPLACE rows SET key = '-' || key WHERE key NOT LIKE '-%' AND key NOT LIKE '#%'"
         )
         self.database.execute("COMMIT")
         for path, content in (
             (f"{self.base}.mark", b"do not touch\n"),
-            (f"{self.base}.last", self.as_bytes(self.number)),
+            (f"{self.base}.last", self.encode_number(self.number)),
         ):
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
@@ -252,24 +267,28 @@
             os.fsync(folder)
         finally:
             os.close(folder)
-        marked, last = os.stat(f"{self.base}.mark"), os.stat(f"{self.base}.last")
-        same = "same" if last.st_ctime_ns == last.st_mtime_ns else "apart"
-        self.about(mark=f"{marked.st_ino} {marked.st_ctime_ns}", last=str(last.st_ino), times=same)
+        mark_status, last_status = os.stat(f"{self.base}.mark"), os.stat(f"{self.base}.last")
+        times = "same" if last_status.st_ctime_ns == last_status.st_mtime_ns else "apart"
+        self.save_facts(
+            mark=f"{mark_status.st_ino} {mark_status.st_ctime_ns}", last=str(last_status.st_ino), times=times
+        )
 
-    def about(self, **facts: str) -> None:
+    def save_facts(self, **facts: str) -> None:
+        """Inserts or replaces entries of the table `about`."""
         assert self.database is not None
         self.database.executemany("INSERT OR REPLACE INTO about VALUES (?, ?)", list(facts.items()))
 
-    def as_bytes(self, number: int) -> bytes:
+    def encode_number(self, number: int) -> bytes:
+        """Returns the contents of the `.last` file, whose length is constant."""
         return b"%020d\n" % number
 
     def put(self, rows: dict[str, bytes], over: int = 0) -> None:
-        """One batch; it is on disk for certain when this returns. Raises OSError, sqlite3.Error."""
+        """Writes one batch, which is on disk when this returns. Raises OSError or sqlite3.Error."""
         assert self.database is not None and self.last is not None
         self.number = max(self.number, over) + 1
         self.database.execute("BEGIN IMMEDIATE")
         self.database.executemany("INSERT OR REPLACE INTO rows VALUES (?, ?)", list(rows.items()))
-        self.about(number=str(self.number))
+        self.save_facts(number=str(self.number))
         self.database.execute("COMMIT")
-        os.pwrite(self.last, self.as_bytes(self.number), 0)
+        os.pwrite(self.last, self.encode_number(self.number), 0)
         os.fsync(self.last)
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -246,7 +246,7 @@
     ],
 )
 def test_how_old_a_record_is_when_clocks_differ(clock: At, age: float) -> None:
-    assert clock.since(record()) == age
+    assert clock.record_age(record()) == age
 
 
 class Start:
@@ -291,7 +291,7 @@
         self.cells.merge(self.rig.loop.now(), keep_cell(owner, word))
 
     def mark(self, id: str) -> bytes:
-        return self.run.mark_of(self.balancer.registry.by_id[id])
+        return self.run.start_digest(self.balancer.registry.by_id[id])
 
     def close(self) -> None:
         self.run.close()
@@ -313,7 +313,7 @@
 
 def write(start: Start) -> None:
     start.rig.core.taken += 1
-    start.run.write_at = start.rig.loop.now()
+    start.run.write_due_at = start.rig.loop.now()
     start.run.tick(start.rig.loop.now())
     writer = start.run.lasting.writer
     assert writer is not None and writer.flush(20.0)
@@ -405,7 +405,7 @@
     assert rig.balancer.registry.by_id["e2"].breaker and not rig.balancer.registry.by_id["e1"].breaker
     rig.wait(keep.LASTS + 1)
     rig.tell(entry("e3", 2))
-    assert not second.run.kept
+    assert not second.run.pending_state
     second.close()
 
 
@@ -430,7 +430,7 @@
     if member == "a":
         assert second.run.lasting.life == 9, "a life is above it, whatever the clock says"
     else:
-        assert "of member 'a'" in second.body()["start"]["refused"] and second.run.lasting.life == 0
+        assert "belongs to member 'a'" in second.body()["start"]["refused"] and second.run.lasting.life == 0
     second.close()
 
 
@@ -468,8 +468,10 @@
         start.run.tick(start.rig.loop.now())
         wait_until(lambda: writer.begun is not None, 20.0, "the writing has begun")
         start.rig.loop.time += 1.0
-    assert start.body()["trouble"] == "the disk stalls" and not list(tmp_path.glob("keep.[0-9]*"))
-    assert [r.message for r in caplog.records if r.levelname == "ERROR"] == ["what was learnt cannot be kept"]
+    assert start.body()["trouble"] == "disk write stalled" and not list(tmp_path.glob("keep.[0-9]*"))
+    assert [r.message for r in caplog.records if r.levelname == "ERROR"] == [
+        "learned state cannot be written"
+    ]
     files.stalled.set()
     assert writer.flush(20.0) and writer.outcome.generation == 2, "the first, and the latest after it"
     start.run.tick(start.rig.loop.now())
@@ -492,11 +494,11 @@
         finally:
             ended.set()
 
-    monkeypatch.setattr(keep, "READ_TIME", 0.01)
+    monkeypatch.setattr(keep, "READ_TIMEOUT", 0.01)
     monkeypatch.setattr(DiskFiles, "read", stalls)
     second = Start(tmp_path)
     go_on.set()
-    assert ended.wait(20) and second.body()["start"]["refused"] == "the folder is not read in time"
+    assert ended.wait(20) and second.body()["start"]["refused"] == "folder was not read within 0.01 s"
     monkeypatch.setattr(DiskFiles, "read", before)
     write(second)
     assert second.body()["generation"] == 2 and second.run.lasting.record is None
@@ -558,12 +560,12 @@
     breaker = start.balancer.registry.by_id["e4"].breaker
     assert breaker is not None and breaker.trial_due, "one exchange of its own tells"
     assert start.balancer.registry.by_id["e5"].latency.total == beginning.PRIOR
-    assert start.body()["start"]["members"] == ["e4", "e5"] and start.run.unread == 1
+    assert start.body()["start"]["members"] == ["e4", "e5"] and start.run.unreadable_reports == 1
     start.close()
     old = Start(None, rig=Rig(9), others=2)
     old.told("m0", word)
-    old.rig.loop.time += keep.FRESH_WORD + 1
-    assert old.run.heard(old.rig.loop.now()) == []
+    old.rig.loop.time += keep.MAX_REPORT_AGE + 1
+    assert old.run.fresh_reports(old.rig.loop.now()) == []
     old.close()
 
 
@@ -609,7 +611,9 @@
 
     assert sent(True) <= 40 < 3 * 40 <= sent(False)
     herd = Herd(60, seed=1)  # in virtual time with the classes that run
-    assert herd.doors[-1] <= 1.0 + keep.LOOK and herd.told == len(herd.starters), "in time, and each is told"
+    assert herd.doors[-1] <= 1.0 + keep.READY_POLL_INTERVAL and herd.told == len(herd.starters), (
+        "in time, and each is told"
+    )
     assert max(herd.sent) < 60 * 6, "the teller sends each a few datagrams"
     names = [f"m{n}" for n in range(1000)]
     assert sum(beginning.tells(name, names) for name in names) == beginning.TELLERS
--- a/tests/test_keep_processes.py
+++ b/tests/test_keep_processes.py
@@ -126,14 +126,14 @@
         start = body(a)["start"]
         # Of one other where it is heard of before the second; on a busy machine sound ones may be slow too.
         assert start["words"] and set(start["members"]) >= BAD and start["folder"] == []
-        assert f'event="begins with what was learnt" folder=0 members={len(start["members"])}' in a.logged()
+        assert f'event="ready with restored state" folder=0 members={len(start["members"])}' in a.logged()
         a.kill()
         cut = fleet.network.begin(Split(0.0, (("a",), ("b", "c"))))
         a.write(a.config, {**fleet.file("a", folder=""), "keep": {"wait": 1.0}})
-        before = a.logged().count('event="begins anew"')
+        before = a.logged().count('event="ready without restored state"')
         a.start()
         wait_until(lambda: open_door(a), PATIENCE, "the door is open")
-        assert a.logged().count('event="begins anew"') == before + 1, "and not sooner"
+        assert a.logged().count('event="ready without restored state"') == before + 1, "and not sooner"
         fleet.await_ready("a")
         start = body(a)["start"]
         assert start["words"] == 0 and start["members"] == [] and start["waited"] >= 0.5
@@ -160,7 +160,7 @@
             (
                 ("full", "No space left on device"),
                 ("read-only", "Read-only file system"),
-                ("stalled", "the disk stalls"),
+                ("stalled", "disk write stalled"),
             )
         ):
             wait_until(lambda: body(a)["writes"] > 2 and not body(a)["trouble"], PATIENCE, "it keeps")
@@ -175,10 +175,10 @@
             assert good > len(found) / 2, f"{how}: {good} of {len(found)}"
             kept = disk(a).read()
             assert (kept.generation, kept.refused, body(a)["generation"]) == (before, (), before)
-            assert a.logged().count('event="what was learnt cannot be kept"') == n + 1
+            assert a.logged().count('event="learned state cannot be written"') == n + 1
             state.unlink()
             wait_until(lambda: not body(a)["trouble"], PATIENCE, "it is over")
-            assert a.logged().count('event="what was learnt is kept again"') == n + 1
+            assert a.logged().count('event="learned state is written again"') == n + 1
             assert body(a)["generation"] > before
 
 
@@ -208,7 +208,7 @@
         a.start()
         fleet.await_ready("a")
         start = body(a)["start"]
-        assert "member 'b'" in start["refused"] and start["folder"] == []
+        assert "belongs to member 'b'" in start["refused"] and start["folder"] == []
         wait_until(lambda: b.members()["a"]["life"] > life, PATIENCE, "it is a later start of its own name")
         wait_until(lambda: body(a)["writes"] > 1, PATIENCE, "it keeps its own")
         a.kill()
@@ -233,8 +233,8 @@
         wait_until(lambda: body(a)["trouble"] and time.monotonic() > before + 1.0, PATIENCE, "it stays")
         kept.mkdir()
         wait_until(lambda: body(a)["trouble"] is None, PATIENCE, "it keeps again")
-        assert a.logged().count('event="what was learnt cannot be kept"') == 1
-        assert a.logged().count('event="what was learnt is kept again"') == 1
+        assert a.logged().count('event="learned state cannot be written"') == 1
+        assert a.logged().count('event="learned state is written again"') == 1
 
 
 def test_an_abort_outlasts_the_loss_of_the_canarys_own_file_at_all(tmp_path: Path) -> None:
