--- a/rainspindle/store/generations.py
+++ b/rainspindle/store/generations.py
@@ -191,7 +191,9 @@
                 self.files.remove(self.named(other))
         # A temporary file that persists was left by a killed writer; a concurrent process replaces its own.
         foreign = [
-            name for name in self.files.names() if name.startswith(f"{self.name}.new-") and name != self.made
+            file_name
+            for file_name in self.files.names()
+            if file_name.startswith(f"{self.name}.new-") and file_name != self.made
         ]
         self.foreign_writes_seen = Counter({name: self.foreign_writes_seen[name] + 1 for name in foreign})
         for name, writes in self.foreign_writes_seen.items():
@@ -321,6 +323,6 @@
         return self.begun is not None or self.pending is not None
 
     def flush(self, seconds: float) -> bool:
-        """Waits up to `seconds` until each submitted payload is written or failed; returns whether all are."""
+        """Waits up to `seconds` for all submitted payloads; returns whether each was written or failed."""
         with self.state_changed:
             return self.state_changed.wait_for(lambda: not self.busy, seconds)
