--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -1,12 +1,13 @@
-"""Every message, cell and stored form with a value, and the files that hold their bytes as released.
+"""Each message, register and stored format with a value, and the files of the bytes that releases wrote.
 
-    python -m tests.golden.forms add 0.3        writes what is new or other since the last release
-    PYTHONPATH=BUILD python FILE add 0.2        the same of another build's package: so 0.2 was made
+    python -m tests.golden.forms add 0.3        writes the formats added or changed since the last release
+    PYTHONPATH=BUILD python FILE add 0.2        does so with the package of another build, as was done for 0.2
 
-`values.json` has the values. A folder a release: `index.json` has them too, and the checksums of the `.hex`.
-What a release wrote is never written again once it is out (`version` in pyproject.toml); a later one that
-writes other bytes has a file of its own, and reads the older ones too.
-Run by path with an older build's package in front, `write` and `read` tell what that build makes of them.
+`values.json` holds the values. Each release has a folder whose `index.json` holds the values as well and the
+checksums of the `.hex` files. The files of a release never change once it is published (`version` in
+pyproject.toml); a later release that writes other bytes has files of its own, and reads the older ones too.
+Run by path with the package of an older build first in the import path, `write` and `read` print what that
+build writes and reads.
 """
 
 from __future__ import annotations
@@ -40,17 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
+    """A format with its codec."""
+
     name: str
     write: Callable[[Any], bytes]
     read: Reader
-    refuses: tuple[type[Exception], ...]  # all that `read` may raise, of whatever bytes
-    type: Any = None  # of a value that is no plain JSON
-    shape: Any = None  # the struct that the bytes are, where `read` gives something else
-    cell: str = ""  # of a cell's value: its name, `*` for a part that is drawn
-    kind: int = 0  # of a stored file: by which it tells itself
-    module: str = ""  # which has the codec
-    grows: bool = True  # whether a reader passes over what it does not know
-    header: int = 0  # bytes before the payload of a stored file, the last four of them its checksum
+    refuses: tuple[type[Exception], ...]  # all errors that `read` may raise, whatever the bytes
+    type: Any = None  # type of the value, None if it is plain JSON
+    shape: Any = None  # the struct that is encoded, if `read` returns another type
+    cell: str = ""  # name of the register that holds it, with `*` for a variable part; "" if none
+    kind: int = 0  # kind in the header of a stored file, 0 for other formats
+    module: str = ""  # module of the codec
+    grows: bool = True  # whether a reader ignores unknown fields
+    header: int = 0  # bytes before the payload of a stored file; the last four are the checksum
 
     @property
     def value(self) -> Any:
@@ -59,7 +62,7 @@
     def to_json(self, value: Any) -> Any:
         try:
             return msgspec.json.decode(msgspec.json.encode(value, order="sorted"))
-        except TypeError:  # keys of maps that are no text
+        except TypeError:  # maps with keys other than strings cannot be sorted
             return msgspec.json.decode(msgspec.json.encode(value))
 
     def of_json(self, plain: Any) -> Any:
@@ -70,19 +73,19 @@
     return [name for name in VALUES if name.startswith(prefix)]
 
 
-# What members tell one another.
+# Messages between members.
 
 
 def members() -> Iterator[Form]:
     wire = there("protocol.members")
     lists = ("member_updates", "register_updates", "register_digests", "register_requests")
     draft, unreadable = getattr(wire, "OutgoingMessage", None), getattr(wire, "UnreadableMessageError", None)
-    if draft is None or unreadable is None:  # of an older build
+    if draft is None or unreadable is None:  # an older build
         lists, draft, unreadable = ("members", "cells", "sums", "wants"), wire.Draft, wire.Unreadable
 
     def write(message: Any) -> bytes:
         plain = {name: getattr(message, name) for name in message.__struct_fields__}
-        encoded = {name: [wire.raw(piece) for piece in plain[name]] for name in lists}
+        encoded = {name: [wire.raw(item) for item in plain[name]] for name in lists}
         return bytes(wire.encode(draft(**{**plain, **encoded})))
 
     for name in named("members-"):
@@ -123,14 +126,17 @@
     from rainspindle.balancer.host import LearnedState
     from rainspindle.protocol import peers
 
-    found = peers.decode(data.decode())
-    if isinstance(found, LearnedState):
-        kinds = {str(kind): [one.unloaded_time, one.concurrency] for kind, one in found.kinds.items()}
-        return {"rates": list(found.request_rates), "kinds": kinds}
-    return {"began": found.started, "ended": found.ended, "whole": found.complete}
+    message = peers.decode(data.decode())
+    if isinstance(message, LearnedState):
+        kinds = {
+            str(kind): [estimate.unloaded_time, estimate.concurrency]
+            for kind, estimate in message.kinds.items()
+        }
+        return {"rates": list(message.request_rates), "kinds": kinds}
+    return {"began": message.started, "ended": message.ended, "whole": message.complete}
 
 
-# Cells.
+# Values of registers.
 
 
 def struct(name: str, kind: Any, read: Reader, *refuses: type[Exception], **more: Any) -> Form:
@@ -143,7 +149,7 @@
     yield struct("wallet-word", words.Word, words.decode_word, words.UnreadableWord, cell="wallet/*")
     yield struct("wallet-pair", words.Pair, words.decode_pair, words.UnreadableWord, cell="wallet/*/t/*")
     yield struct("wallet-row", words.Kept, words.decode_kept, words.UnreadableWord)
-    if hasattr(words, "Mark"):  # its cell begins with a number and a blank, by `Cells.sweep`
+    if hasattr(words, "Mark"):  # `Cells.sweep` puts a number and a space before it
         yield struct("wallet-mark", words.Mark, words.decode_mark, words.UnreadableWord, cell="swept/wallet")
 
 
@@ -173,7 +179,7 @@
 
 
 def there(name: str) -> Any:
-    """A module that not every build has. Raises ImportError."""
+    """Imports a module that not every build has. Raises ImportError."""
     return importlib.import_module(f"rainspindle.{name}")
 
 
@@ -198,14 +204,14 @@
 def keep() -> Iterator[Form]:
     words, run, store = (there(name) for name in ("protocol.keep", "program.fleet.keep", "store.generations"))
 
-    def told(raw: bytes) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
-        found = words.decode(raw)
-        return found.ready, list(found.out), list(found.slow.items())
+    def read_report(raw: bytes) -> tuple[int, list[bytes], list[tuple[bytes, float]]]:
+        report = words.decode(raw)
+        return report.ready, list(report.out), list(report.slow.items())
 
     yield Form(
         "keep-word",
-        lambda word: words.encode(*word),
-        told,
+        lambda report: words.encode(*report),
+        read_report,
         (words.UnreadableKept,),
         tuple[int, list[bytes], list[tuple[bytes, float]]],
         words.Word,
@@ -213,20 +219,22 @@
         module=words.__name__,
     )
 
-    def at(folder: str) -> Any:
+    def generations_in(folder: str) -> Any:
         return store.Generations(
             store.DiskFiles(Path(folder)), run.NAME, run.KIND, run.VERSION, run.LEAST, run.MOST, "tag"
         )
 
     def write(record: Any) -> bytes:
         with tempfile.TemporaryDirectory() as folder:
-            return Path(folder, f"{run.NAME}.{at(folder).write(words.encode_record(record))}").read_bytes()
+            return Path(
+                folder, f"{run.NAME}.{generations_in(folder).write(words.encode_record(record))}"
+            ).read_bytes()
 
     def read(data: bytes) -> Any:
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, f"{run.NAME}.1").write_bytes(data)
             Path(folder, f"{run.NAME}.1").chmod(0o600)
-            return words.decode_record(at(folder).read().payload)
+            return words.decode_record(generations_in(folder).read().payload)
 
     yield Form(
         "stored-keep",
@@ -240,11 +248,11 @@
     )
 
 
-# What members reckon alike, each for itself: of other releases too.
+# Values that all members must compute alike, whatever their release.
 
 
-def endpoint_mark(id: str) -> int:
-    return int(there("balancer.endpoint").endpoint_mark(id))
+def endpoint_mark(endpoint_id: str) -> int:
+    return int(there("balancer.endpoint").endpoint_mark(endpoint_id))
 
 
 def member_marks(*names: str) -> str:
@@ -290,12 +298,12 @@
     for name, rule in rules.items():
 
         def write(given: list[list[Any]], rule: Callable[..., Any] = rule) -> bytes:
-            return json.dumps([[one, rule(*one)] for one in given]).encode()
+            return json.dumps([[arguments, rule(*arguments)] for arguments in given]).encode()
 
         def read(data: bytes, rule: Callable[..., Any] = rule) -> list[list[Any]]:
-            if wrong := [one for one, told in json.loads(data) if rule(*one) != told]:
-                raise ValueError(f"reckoned otherwise: {wrong}")
-            return [one for one, _ in json.loads(data)]
+            if wrong := [arguments for arguments, result in json.loads(data) if rule(*arguments) != result]:
+                raise ValueError(f"computed results differ from the recorded ones for arguments {wrong}")
+            return [arguments for arguments, _ in json.loads(data)]
 
         yield Form(f"reckoned-{name}", write, read, (ValueError, TypeError), grows=False)
 
@@ -307,10 +315,10 @@
     from rainspindle.protocol.link import frames as f
 
     def read(data: bytes) -> f.Any:
-        found = f.Reader().receive(data)
-        if len(found) != 1:
-            raise f.LinkFault("not_one", f"{len(found)} frames")
-        return found[0]
+        frames = f.Reader().receive(data)
+        if len(frames) != 1:
+            raise f.LinkFault("not_one", f"expected 1 frame, got {len(frames)}")
+        return frames[0]
 
     for name in named("link-"):
         yield Form(
@@ -324,7 +332,7 @@
         )
 
 
-# What is stored.
+# Stored files.
 
 
 def stored(
@@ -337,22 +345,22 @@
     *refuses: type[Exception],
     **more: Any,
 ) -> Form:
-    """A file as `store.file` writes it."""
+    """Returns the format of a file that `store.file` writes."""
     from rainspindle.store import file as store
 
-    def at(folder: str) -> store.StoredFile:
+    def file_in(folder: str) -> store.StoredFile:
         return store.StoredFile(os.path.join(folder, "file"), kind, version, most)
 
     def write(value: Any) -> bytes:
         with tempfile.TemporaryDirectory() as folder:
-            at(folder).write(dump(value), "tag")
+            file_in(folder).write(dump(value), "tag")
             return Path(folder, "file").read_bytes()
 
     def read(data: bytes) -> Any:
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "file").write_bytes(data)
             Path(folder, "file").chmod(0o600)
-            return load(at(folder).read())
+            return load(file_in(folder).read())
 
     return Form(
         name,
@@ -375,7 +383,7 @@
 
     yield stored(
         "stored-life",
-        lambda life: b"%d" % life,
+        lambda incarnation: b"%d" % incarnation,
         int,
         members.LIFE_KIND,
         members.LIFE_VERSION,
@@ -413,15 +421,15 @@
     )
 
 
-class Still:
-    """A host that does nothing of what it is asked."""
+class InertHost:
+    """A balancer host whose methods do nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
 def taken(given: dict[str, Any]) -> bytes:
-    """What a balancer that has taken this over would hand on itself."""
+    """Returns the state that a balancer gives after it has taken over this state."""
     import orjson
 
     from rainspindle.decisions.operation import learnt
@@ -455,14 +463,14 @@
         use_listed_weights=True,
         cross_zone_price=0.02,
     )
-    host: Any = Still()
+    host: Any = InertHost()
     balancer = Balancer(host, config, 1, now)
     listed = ListedEndpoint("e0", 0, 0, 1.0, EndpointStatus.READY, now - 64.0)
     balancer.on_list_changed(now, EndpointListUpdate([listed], complete=True))
     return balancer
 
 
-# Of builds before the package `balancer`: the same by their names.
+# The same for builds before the package `balancer`, with the names of those builds.
 
 
 def is_this_build() -> bool:
@@ -479,23 +487,26 @@
 
 def read_older_pool_message(data: bytes) -> dict[str, Any]:
     peers, host = there("protocol.peers"), there("host")
-    found = peers.decode(data.decode())
-    if isinstance(found, host.Facts):
-        return {"rates": list(found.rates), "kinds": {str(k): list(v) for k, v in found.kinds.items()}}
-    return {"began": found.began, "ended": found.ended, "whole": found.whole}
+    message = peers.decode(data.decode())
+    if isinstance(message, host.Facts):
+        return {
+            "rates": list(message.rates),
+            "kinds": {str(kind): list(estimate) for kind, estimate in message.kinds.items()},
+        }
+    return {"began": message.began, "ended": message.ended, "whole": message.whole}
 
 
-def older_endpoint_mark(id: str) -> int:
+def older_endpoint_mark(endpoint_id: str) -> int:
     host, logic = there("host"), there("logic")
-    return int(logic.Endpoint(host.Listed(id, 0, 0, 1.0, host.State.READY, None), 0.1).mark)
+    return int(logic.Endpoint(host.Listed(endpoint_id, 0, 0, 1.0, host.State.READY, None), 0.1).mark)
 
 
 def older_member_marks(*names: str) -> str:
     table, wire = there("decisions.members.table"), there("protocol.members")
-    made = table.Table("a", 100)
+    older_table = table.Table("a", 100)
     for n, name in enumerate(names):
-        made.add(table.Record(name, bytes(6), 7 + n, n, wire.ALIVE + n % 4, 0.0, 0.0))
-    return str(made.marks().hex())
+        older_table.add(table.Record(name, bytes(6), 7 + n, n, wire.ALIVE + n % 4, 0.0, 0.0))
+    return str(older_table.marks().hex())
 
 
 def older_cell_mark(owner: str, name: str, life: int, number: int) -> int:
@@ -510,7 +521,7 @@
     host, logic = there("host"), there("logic")
     kind = host.TrafficType(host.Effect.RETRIABLE, host.Group.ALL, 0.6, 2.0, 0.15)
     balancer = logic.Balancer(
-        Still(),
+        InertHost(),
         1,
         now,
         peers=1,
@@ -533,59 +544,63 @@
 
 
 def rows() -> Iterator[Form]:
-    """The wallets' folder: the database with its rows, and the two files by which it is known again."""
+    """Yields the format of the wallet store: the database and the two files that detect copies."""
     from rainspindle.errors import Trouble
     from rainspindle.store import kept as store
 
     row = next(form for form in wallet() if form.name == "wallet-row")
     VALUES["stored-wallets"] = {
         "owner": "a",
-        "rows": {  # as the build in front writes rows
+        "rows": {  # rows as the imported build writes them
             "north/29360128": base64.b64encode(row.write(row.value)).decode(),
             "#north/2026/first": base64.b64encode(b"500").decode(),
         },
     }
 
-    def opened(folder: str, owner: str) -> tuple[store.Kept, store.Found]:
-        kept = store.Kept(Path(folder), "wallets", owner, lambda: None)
-        return kept, kept.open()
+    def open_store(folder: str, owner: str) -> tuple[store.Kept, store.Found]:
+        wallets = store.Kept(Path(folder), "wallets", owner, lambda: None)
+        return wallets, wallets.open()
 
     def write(value: dict[str, Any]) -> bytes:
         with tempfile.TemporaryDirectory() as folder:
-            kept, _ = opened(folder, value["owner"])
-            kept.put({key: base64.b64decode(row) for key, row in value["rows"].items()})
-            kept.shut()
+            wallets, _ = open_store(folder, value["owner"])
+            wallets.put({key: base64.b64decode(encoded) for key, encoded in value["rows"].items()})
+            wallets.shut()
             with contextlib.closing(sqlite3.connect(f"{folder}/wallets.db")) as database:
-                # What tells this very folder from a copy is another each time.
+                # These values distinguish the folder from a copy and differ each time.
                 database.execute("UPDATE about SET value = '' WHERE name IN ('mark', 'last', 'times')")
                 lines = list(database.iterdump())
-            beside = {end: Path(folder, f"wallets.{end}").read_text() for end in ("mark", "last")}
-            return json.dumps({"sql": lines, **beside}, indent=1).encode()
+            other_files = {
+                suffix: Path(folder, f"wallets.{suffix}").read_text() for suffix in ("mark", "last")
+            }
+            return json.dumps({"sql": lines, **other_files}, indent=1).encode()
 
     def read(data: bytes) -> dict[str, Any]:
-        told = json.loads(data)
+        contents = json.loads(data)
         with tempfile.TemporaryDirectory() as folder:
-            for end in ("mark", "last"):
-                Path(folder, f"wallets.{end}").write_text(told[end])
-            marked, last = (os.stat(f"{folder}/wallets.{end}") for end in ("mark", "last"))
+            for suffix in ("mark", "last"):
+                Path(folder, f"wallets.{suffix}").write_text(contents[suffix])
+            mark_status, last_status = (os.stat(f"{folder}/wallets.{suffix}") for suffix in ("mark", "last"))
             with contextlib.closing(sqlite3.connect(f"{folder}/wallets.db")) as database:
-                database.executescript("\n".join(told["sql"]))
+                database.executescript("\n".join(contents["sql"]))
                 database.executemany(
                     "UPDATE about SET value = ? WHERE name = ?",
                     [
-                        (f"{marked.st_ino} {marked.st_ctime_ns}", "mark"),
-                        (str(last.st_ino), "last"),
+                        (f"{mark_status.st_ino} {mark_status.st_ctime_ns}", "mark"),
+                        (str(last_status.st_ino), "last"),
                         ("apart", "times"),
                     ],
                 )
                 database.commit()
-            kept, found = opened(folder, "a")
-            kept.shut()
+            wallets, found = open_store(folder, "a")
+            wallets.shut()
             if not found.newest:
                 raise store.StoreTrouble(found.why)
             return {
                 "owner": "a",
-                "rows": {key: base64.b64encode(row).decode() for key, row in found.rows.items()},
+                "rows": {
+                    key: base64.b64encode(stored_row).decode() for key, stored_row in found.rows.items()
+                },
             }
 
     yield Form(
@@ -614,20 +629,20 @@
 
 
 def forms() -> dict[str, Form]:
-    """By name. A build has none of the groups whose modules are not there yet."""
-    found: dict[str, Form] = {}
+    """Returns the formats by name, without the groups whose modules the imported build does not have."""
+    by_name: dict[str, Form] = {}
     for group in GROUPS:
         with contextlib.suppress(ImportError):
-            found.update((form.name, form) for form in group())
-    return found
+            by_name.update((form.name, form) for form in group())
+    return by_name
 
 
-# The files.
+# Golden files.
 
 
 @dataclass(frozen=True, slots=True)
 class Golden:
-    """One form as one release wrote it."""
+    """A format as a release wrote it."""
 
     release: str
     name: str
@@ -643,51 +658,54 @@
 
 
 def releases() -> list[str]:
-    """The oldest first."""
-    found = [path.parent.name for path in FOLDER.glob("*/index.json")]
-    return sorted(found, key=numbers)
+    """Returns the releases that have golden files, the oldest first."""
+    names = [path.parent.name for path in FOLDER.glob("*/index.json")]
+    return sorted(names, key=numbers)
 
 
 def golden(release: str) -> list[Golden]:
     index = json.loads((FOLDER / release / "index.json").read_text())
-    return [Golden(release, one["form"], one["value"], one["sha256"]) for one in index]
+    return [Golden(release, entry["form"], entry["value"], entry["sha256"]) for entry in index]
 
 
 def newest() -> dict[str, Golden]:
-    return {one.name: one for release in releases() for one in golden(release)}
+    """Returns the latest golden file of each format."""
+    return {file.name: file for release in releases() for file in golden(release)}
 
 
-def is_out(release: str) -> bool:
+def is_published(release: str) -> bool:
     project = tomllib.loads((FOLDER.parent.parent / "pyproject.toml").read_text())["project"]
     return numbers(release) <= numbers(project["version"])
 
 
 def numbers(release: str) -> list[int]:
-    return [int(part) for part in release.split(".")]
+    return [int(number) for number in release.split(".")]
 
 
 def add(release: str) -> list[str]:
-    """Writes what is new or other since the last release; the names. That of a release that is not out yet is
-    written anew. Raises FileExistsError."""
-    if not is_out(release):
+    """Writes the formats added or changed since the last release and returns their names.
+
+    The folder of an unpublished release is replaced. Raises FileExistsError for a published one.
+    """
+    if not is_published(release):
         shutil.rmtree(FOLDER / release, ignore_errors=True)
-    known, made = newest(), list[dict[str, Any]]()
-    here = forms()
-    written = {name: form.write(form.value) for name, form in here.items()}
-    changed = [name for name in written if name not in known or known[name].data() != written[name]]
+    released, entries = newest(), list[dict[str, Any]]()
+    current = forms()
+    written = {name: form.write(form.value) for name, form in current.items()}
+    changed = [name for name in written if name not in released or released[name].data() != written[name]]
     folder = FOLDER / release
     folder.mkdir()
     for name in changed:
         text = "\n".join(textwrap.wrap(written[name].hex(), 100)) + "\n"
         (folder / f"{name}.hex").write_text(text)
-        made.append(
+        entries.append(
             {
                 "form": name,
-                "value": here[name].to_json(here[name].value),
+                "value": current[name].to_json(current[name].value),
                 "sha256": hashlib.sha256(text.encode()).hexdigest(),
             }
         )
-    lines = ",\n".join(json.dumps(one, sort_keys=True) for one in made)
+    lines = ",\n".join(json.dumps(entry, sort_keys=True) for entry in entries)
     (folder / "index.json").write_text(f"[\n{lines}\n]\n")
     return changed
 
@@ -695,16 +713,16 @@
 def main(arguments: list[str]) -> None:
     if arguments[:1] == ["add"] and len(arguments) == 2:
         print("\n".join(add(arguments[1])))
-    elif arguments == ["write"]:  # what the build in front writes, by form
+    elif arguments == ["write"]:  # what the imported build writes, by format
         print(json.dumps({name: form.write(form.value).hex() for name, form in forms().items()}))
-    elif arguments == ["read"]:  # what it makes of the bytes on its standard input, by form
-        known = forms()
+    elif arguments == ["read"]:  # what it reads from the bytes on standard input, by format
+        known_forms = forms()
         print(
             json.dumps(
                 {
-                    name: known[name].to_json(known[name].read(bytes.fromhex(data)))
+                    name: known_forms[name].to_json(known_forms[name].read(bytes.fromhex(data)))
                     for name, data in json.load(sys.stdin).items()
-                    if name in known
+                    if name in known_forms
                 }
             )
         )
--- a/tests/test_keep_processes.py
+++ b/tests/test_keep_processes.py
@@ -249,7 +249,7 @@
         fleet.await_ready("a")
         assert body(a)["start"]["generation"] == 0
         wait_until(lambda: body(a)["writes"] > 0, PATIENCE, "records are written again")
-        # With the folder removed while in use: one log line, requests go on, and writes resume with the folder.
+        # With the folder removed in use: one log line, requests go on, and writes resume with the folder.
         folder.rename(tmp_path / "gone")  # emptying it would race with the writes of the process
         wait_until(lambda: body(a)["trouble"], PATIENCE, "the fault is reported")
         before = time.monotonic()
