--- a/rainspindle/program/fleet/keep.py
+++ b/rainspindle/program/fleet/keep.py
@@ -221,9 +221,8 @@
         self.wait_started_at: float | None = None  # when `ready_from` was first called
         self.peer_seen_at = math.inf  # when another live member was first known
         self.ready_at: float | None = None  # when the listeners were allowed to open
-        self.pending_state: dict[
-            str, dict[str, Any]
-        ] = {}  # stored state by side, of endpoints not listed yet
+        # Stored state by side, of which the state of endpoints not listed yet remains.
+        self.pending_state: dict[str, dict[str, Any]] = {}
         self.restored_sides: set[str] = set()  # sides whose state of the sidecar itself is restored
         self.pending_reports: list[forms.Told] = []  # reports that are not applied yet
         # Endpoints to which stored state and reports were applied, by source.
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -61,7 +61,7 @@
     with pytest.raises(Missing):
         disk.read()
     assert [disk.write(b"%d" % number) for number in range(1, 5)] == [1, 2, 3, 4]
-    assert sorted(path.name for path in tmp_path.iterdir()) == ["keep.3", "keep.4"]
+    assert sorted(file.name for file in tmp_path.iterdir()) == ["keep.3", "keep.4"]
     whole = (tmp_path / "keep.4").read_bytes()
     (tmp_path / "keep.4").write_bytes(whole[:-1])  # truncated
     stored = on_disk(tmp_path).read()
@@ -69,7 +69,7 @@
     again = on_disk(tmp_path)
     again.read()
     assert again.write(b"5") == 5  # replaces the corrupted generation, and the intact one is retained
-    assert sorted(path.name for path in tmp_path.iterdir()) == ["keep.3", "keep.5"]
+    assert sorted(file.name for file in tmp_path.iterdir()) == ["keep.3", "keep.5"]
     for path in tmp_path.iterdir():  # both corrupted
         path.write_bytes(b"x" * 50)
     with pytest.raises(Unfit, match="another kind"):
@@ -190,8 +190,8 @@
     old = shared_fleet()
     started = old.now - age
     given = decoded_state(old)
-    for endpoint in given["endpoints"].values():
-        endpoint["age"] = age
+    for endpoint_state in given["endpoints"].values():
+        endpoint_state["age"] = age
     new = Fleet([kind()], [line(n, started=started - seconds) for n in range(6)], peers=1)
     new.now = old.now
     learnt.take(new.balancer, new.now, learnt.aged(given, seconds, COLD, 5.0))
@@ -593,7 +593,10 @@
     """Judges reports on ten endpoints a to j; each gives the ready count and the ejected endpoints."""
     ready = {letter.encode(): letter for letter in "abcdefghij"}
     return beginning.judge(
-        [forms.Told(count, tuple(letter.encode() for letter in ejected), {}) for count, ejected in reports],
+        [
+            forms.Told(count, tuple(character.encode() for character in ejected), {})
+            for count, ejected in reports
+        ],
         ready,
     )
 
--- a/tests/test_keep_processes.py
+++ b/tests/test_keep_processes.py
@@ -251,7 +251,7 @@
         wait_until(lambda: body(a)["writes"] > 0, PATIENCE, "records are written again")
         # With the folder removed in use: one log line, requests go on, and writes resume with the folder.
         folder.rename(tmp_path / "gone")  # emptying it would race with the writes of the process
-        wait_until(lambda: body(a)["trouble"], PATIENCE, "the fault is reported")
+        wait_until(lambda: body(a)["trouble"], PATIENCE, "trouble")
         before = time.monotonic()
         wait_until(
             lambda: body(a)["trouble"] and time.monotonic() > before + 1.0, PATIENCE, "the fault lasts 1 s"
