--- a/rainspindle/store/file.py
+++ b/rainspindle/store/file.py
@@ -75,9 +75,9 @@
         try:
             fd = os.open(self.path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
         except FileNotFoundError:
-            raise Missing("there is none") from None
-        except OSError as fault:
-            raise Unfit(fault.strerror or str(fault)) from None
+            raise Missing("there is none: the file does not exist") from None
+        except OSError as error:
+            raise Unfit(error.strerror or str(error)) from None
         with os.fdopen(fd, "rb") as file:
             status = os.fstat(fd)
             # In a folder that is not private, another user can place a file under this name.
@@ -89,8 +89,8 @@
                 )
             try:
                 data = file.read(HEADER.size + self.most + 1)
-            except OSError as fault:
-                raise Unfit(fault.strerror or str(fault)) from None
+            except OSError as error:
+                raise Unfit(error.strerror or str(error)) from None
         if len(data) < HEADER.size:
             raise Unfit(f"file of {len(data)} bytes is shorter than its header of {HEADER.size} bytes")
         magic, version, kind, length, _ = HEADER.unpack_from(data)
--- a/rainspindle/store/generations.py
+++ b/rainspindle/store/generations.py
@@ -218,7 +218,7 @@
                 self.last = generation
                 return StoredGeneration(generation, version, payload, tuple(refused))
         if not refused:
-            raise Missing("there is none")
+            raise Missing(f"no generation of {self.name} exists")
         raise Unfit("; ".join(refused))
 
     def there(self) -> list[int]:
