--- a/rainspindle/program/serve.py
+++ b/rainspindle/program/serve.py
@@ -308,7 +308,7 @@
     def apply_load_report(self, who: str, message: str) -> None:
         """Applies a load report of another sidecar."""
         try:
-            self.core.apply(self.core.facade.heard(self.loop.now(), who, message))
+            self.core.apply(self.core.facade.receive_message(self.loop.now(), who, message))
         except ValueError as error:  # from another release, or truncated: the next report replaces it soon
             self.unread += 1
             log.debug("unreadable load report", extra={"fields": {"from": who, "why": error}})
